--- a/packages/core/src/cowslipshelf_core/agreement.py
+++ b/packages/core/src/cowslipshelf_core/agreement.py
@@ -18,10 +18,10 @@
 from cowslipshelf_core.internal.agreement.errors import LogDivergedError
 from cowslipshelf_core.internal.agreement.events import (
     AddReplica,
+    BootstrapCluster,
     CommandProposed,
     DiskFailed,
     Event,
-    FoundCluster,
     MembershipChange,
     MembershipProposed,
     PeerMessageArrived,
@@ -85,6 +85,7 @@
     "AgreementMessage",
     "AppendEntries",
     "AppendRefused",
+    "BootstrapCluster",
     "CommandProposed",
     "Committed",
     "DiskFailed",
@@ -94,7 +95,6 @@
     "EntryKind",
     "Event",
     "ForcedMembership",
-    "FoundCluster",
     "HardState",
     "InstallSnapshot",
     "InstallState",
--- a/packages/core/src/cowslipshelf_core/internal/agreement/config.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/config.py
@@ -18,26 +18,26 @@
     """
     lease_seconds: float = 0.5
     """A leader that has heard from no quorum for so long steps down."""
-    join_seconds: float = 0.5
+    join_retry_seconds: float = 0.5
     """Pause between two questions of an empty replica to be taken in."""
     snapshot_after_entries: int = 4096
     entries_kept: int = 1024
     """Entries kept before a snapshot for replicas that are a little behind."""
-    most_uncommitted_entries: int = 4096
-    most_entries_per_message: int = 512
-    most_bytes_per_message: int = 262_144
+    max_uncommitted_entries: int = 4096
+    max_entries_per_message: int = 512
+    max_bytes_per_message: int = 262_144
     """Bound on payloads in one message; a larger single entry still travels."""
-    most_messages_in_flight: int = 8
+    max_messages_in_flight: int = 8
     open_membership: bool = False
     """Whether replicas find each other: any that asks is taken in, the cluster is
     founded by the one that is told to, and a silent voter gives way to a new one."""
-    most_lost: int = 0
+    max_failures: int = 0
     """Replicas that may be lost at once; with open membership, commands wait until
     there are enough voters for that."""
-    replaced_after_seconds: float = 6.0
+    voter_removal_seconds: float = 6.0
     """Silence of a voter after which a newer voter has taken its place."""
 
     @property
-    def least_voters(self) -> int:
+    def min_voters(self) -> int:
         """Return how many voters can lose the most that may be lost."""
-        return 2 * self.most_lost + 1
+        return 2 * self.max_failures + 1
--- a/packages/core/src/cowslipshelf_core/internal/agreement/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/events.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoundCluster:
+class BootstrapCluster:
     """Ask an empty replica to found the cluster alone; the others join it."""
 
 
@@ -104,6 +104,6 @@
     | SnapshotTaken
     | TransferLeadership
     | ReplicasSeen
-    | FoundCluster
+    | BootstrapCluster
     | DiskFailed
 )
--- a/packages/core/src/cowslipshelf_core/internal/agreement/founding.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/founding.py
@@ -33,7 +33,7 @@
     waiting = state.join_due is not None and state.now < state.join_due
     if waiting or not may_ask(state):
         return
-    state.join_due = state.now + state.config.join_seconds
+    state.join_due = state.now + state.config.join_retry_seconds
     own = state.replica_id
     cluster = "" if is_empty(state) else state.hard_state.cluster
     asked = JoinAsked(own.folder, cluster)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -31,7 +31,7 @@
     leadership = state.leadership
     if event.proposal_id in leadership.proposals.values():
         return
-    if len(leadership.proposals) >= state.config.most_uncommitted_entries:
+    if len(leadership.proposals) >= state.config.max_uncommitted_entries:
         state.refuse(event.proposal_id, ProposalRefusal.OVERLOADED)
         return
     entry = state.append_own(
@@ -62,7 +62,7 @@
     config = state.config
     if not config.open_membership:
         return False
-    reachable = min(config.least_voters, len(state.replica_instances))
+    reachable = min(config.min_voters, len(state.replica_instances))
     return len(state.membership.voters) < reachable
 
 
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -145,10 +145,10 @@
     """
     config = state.config
     voters = state.membership.voters
-    if not config.open_membership or len(voters) <= config.least_voters:
+    if not config.open_membership or len(voters) <= config.min_voters:
         return
     leadership = state.leadership
-    silence = config.replaced_after_seconds + state.sync_allowance
+    silence = config.voter_removal_seconds + state.sync_allowance
     if state.now - leadership.began_at <= silence:
         return
     silent = [
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -18,10 +18,10 @@
 from cowslipshelf_core.internal.agreement.config import ReplicaConfig
 from cowslipshelf_core.internal.agreement.effects import Effect, Role
 from cowslipshelf_core.internal.agreement.events import (
+    BootstrapCluster,
     CommandProposed,
     DiskFailed,
     Event,
-    FoundCluster,
     MembershipProposed,
     PeerMessageArrived,
     ReadAsked,
@@ -165,7 +165,7 @@
                     leading.transfer_leadership(state)
             case ReplicasSeen(replicas):
                 state.replica_instances = replicas
-            case FoundCluster():
+            case BootstrapCluster():
                 founding.found_alone(state)
             case DiskFailed(reason):
                 self.fail(reason)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
@@ -36,7 +36,7 @@
 
 def fill_window(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
     """Send entries until the window is full or the replica has them all."""
-    window = 1 if progress.probing else state.config.most_messages_in_flight
+    window = 1 if progress.probing else state.config.max_messages_in_flight
     while progress.next_index <= state.log.last_index:
         if progress.snapshot is not None or len(progress.in_flight) >= window:
             return
@@ -52,8 +52,8 @@
     """Send the next entries."""
     entries = state.log.slice_from(
         progress.next_index,
-        state.config.most_entries_per_message,
-        state.config.most_bytes_per_message,
+        state.config.max_entries_per_message,
+        state.config.max_bytes_per_message,
     )
     send_append(state, peer, progress.next_index - 1, tuple(entries))
     if not progress.in_flight:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
@@ -44,7 +44,7 @@
 def send_chunk(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
     """Send the chunk that is not answered yet."""
     snapshot = progress.snapshot
-    end = progress.snapshot_offset + state.config.most_bytes_per_message
+    end = progress.snapshot_offset + state.config.max_bytes_per_message
     state.send(
         peer,
         InstallSnapshot,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -9,6 +9,7 @@
 from pykka import ActorRef
 
 from cowslipshelf_core.agreement import (
+    BootstrapCluster,
     CommandProposed,
     Committed,
     DiskFailed,
@@ -16,7 +17,6 @@
     Entry,
     EntryKind,
     Event,
-    FoundCluster,
     InstallState,
     LeaderSeen,
     PeerMessageArrived,
@@ -126,7 +126,7 @@
                 self.events.append(TickElapsed())
             case Delivered():
                 self.receive(message)
-            case TransferLeadership() | ReplicasSeen() | FoundCluster():
+            case TransferLeadership() | ReplicasSeen() | BootstrapCluster():
                 self.events.append(message)
             case ControlStateAsked(read=read, reply=reply):
                 reply.put(read(self.state, self.replica.status()))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -8,7 +8,7 @@
 from result import Ok, Result
 
 from cowslipshelf_core.agreement import (
-    FoundCluster,
+    BootstrapCluster,
     Replica,
     ReplicaConfig,
     ReplicasSeen,
@@ -125,7 +125,7 @@
             election_seconds=ELECTION_SECONDS,
             lease_seconds=ELECTION_SECONDS,
             open_membership=True,
-            most_lost=settings.most_lost,
+            max_failures=settings.most_lost,
         )
         state = ControlState()
         if stored.snapshot is not None:
@@ -203,7 +203,7 @@
         if self.view.peers.founder() == settings.instance:
             self.founded = True
             LOG.info("Cluster founded.", replicas=self.replicas)
-            self.actor.tell(FoundCluster())
+            self.actor.tell(BootstrapCluster())
 
     def hand_over(self) -> None:
         """Give leadership away before the process ends."""
--- a/tests/common/agreement_machine.py
+++ b/tests/common/agreement_machine.py
@@ -44,9 +44,9 @@
             seed,
             snapshot_after_entries=snapshot_after,
             entries_kept=kept,
-            most_entries_per_message=entries,
-            most_bytes_per_message=size_bytes,
-            most_messages_in_flight=2,
+            max_entries_per_message=entries,
+            max_bytes_per_message=size_bytes,
+            max_messages_in_flight=2,
             make_disk=make_disk,
         )
         if founded:
--- a/tests/common/slow_disks.py
+++ b/tests/common/slow_disks.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from cowslipshelf_core.agreement import (
+    BootstrapCluster,
     CommandProposed,
     Committed,
     Effect,
     Event,
-    FoundCluster,
     PeerMessageArrived,
     Persist,
     ProposalRefused,
@@ -72,7 +72,7 @@
             election_seconds=1.0,
             lease_seconds=1.0,
             open_membership=True,
-            most_lost=1,
+            max_failures=1,
         )
         nodes = {}
         for name in names:
@@ -81,7 +81,7 @@
         fleet = cls(nodes, Random(seed), sync_seconds)
         for name in names:
             fleet.put(name, ReplicasSeen(names), 0.0)
-        fleet.put(names[0], FoundCluster(), 0.0)
+        fleet.put(names[0], BootstrapCluster(), 0.0)
         return fleet
 
     def put(self, name: str, event: Event, delay: float) -> None:
--- a/tests/cover/agreement/test_catching_up.py
+++ b/tests/cover/agreement/test_catching_up.py
@@ -29,7 +29,7 @@
     cluster = Cluster.settled(
         snapshot_after_entries=snapshot_after,
         entries_kept=10,
-        most_bytes_per_message=500,
+        max_bytes_per_message=500,
     )
     away = cluster.followers()[0]
     cluster.crash(away)
@@ -47,7 +47,7 @@
     copies would multiply with each chunk of the snapshot.
     """
     cluster = Cluster.settled(
-        snapshot_after_entries=50, entries_kept=0, most_bytes_per_message=100
+        snapshot_after_entries=50, entries_kept=0, max_bytes_per_message=100
     )
     away = cluster.followers()[0]
     cluster.crash(away)
@@ -128,7 +128,7 @@
     Messages behind the lost one are refused, each of them; answering every
     refusal with the whole window would multiply the load when it hurts most.
     """
-    cluster = Cluster.settled(most_entries_per_message=1)
+    cluster = Cluster.settled(max_entries_per_message=1)
     target = cluster.followers()[0]
     for _ in range(BURST):
         cluster.propose(cluster.leader().instance)
--- a/tests/cover/agreement/test_open_membership.py
+++ b/tests/cover/agreement/test_open_membership.py
@@ -3,20 +3,20 @@
 from common.agreement_cluster import Cluster
 from common.agreement_node import Node
 from cowslipshelf_core.agreement import (
-    FoundCluster,
+    BootstrapCluster,
     ProposalRefusal,
     ReplicasSeen,
     TickElapsed,
 )
 from cowslipshelf_core.identifiers import InstanceId
 
-OPEN = {"open_membership": True, "most_lost": 1}
+OPEN = {"open_membership": True, "max_failures": 1}
 
 
 def founded(size: int = 3) -> Cluster:
     """Found a cluster at its first replica, and let the others join."""
     cluster = Cluster.of_size(size, **OPEN)
-    cluster.step("entry-0", [FoundCluster()])
+    cluster.step("entry-0", [BootstrapCluster()])
     cluster.run_until(lambda: has_voters(cluster, cluster.nodes))
     return cluster
 
@@ -50,7 +50,7 @@
 def test_no_command_is_accepted_while_the_founder_is_alone():
     """An acknowledged change is gone with the one disk that held it."""
     cluster = Cluster.of_size(3, **OPEN)
-    cluster.step("entry-0", [FoundCluster()])
+    cluster.step("entry-0", [BootstrapCluster()])
     for _ in range(100):
         cluster.nodes["entry-0"].clock += 0.05
         cluster.step("entry-0", [TickElapsed()])
--- a/tests/cover/agreement/test_replicas_in_memory.py
+++ b/tests/cover/agreement/test_replicas_in_memory.py
@@ -8,7 +8,7 @@
 
 from common.agreement_cluster import Cluster
 from common.routing import PROPERTY
-from cowslipshelf_core.agreement import FoundCluster
+from cowslipshelf_core.agreement import BootstrapCluster
 
 LOSS = 0.1
 COPIES = 0.1
@@ -16,8 +16,8 @@
 
 def founded(size: int, seed: int) -> Cluster:
     """Found a cluster at its first replica, and let the others join."""
-    cluster = Cluster.of_size(size, seed, open_membership=True, most_lost=1)
-    cluster.step("entry-0", [FoundCluster()])
+    cluster = Cluster.of_size(size, seed, open_membership=True, max_failures=1)
+    cluster.step("entry-0", [BootstrapCluster()])
     cluster.run_until(lambda: all_vote(cluster))
     return cluster
 
