--- a/packages/core/src/cowslipshelf_core/agreement.py
+++ b/packages/core/src/cowslipshelf_core/agreement.py
@@ -50,7 +50,8 @@
     VoteAnswered,
     VoteAsked,
 )
-from cowslipshelf_core.internal.agreement.proposals import (
+from cowslipshelf_core.internal.agreement.proposal_client import (
+    CommandSubmitted,
     LeaderSeen,
     ProposalAnswered,
     ProposalClient,
@@ -59,7 +60,6 @@
     ProposalClientEvent,
     ProposalFailed,
     ProposalResultArrived,
-    SubmitAsked,
 )
 from cowslipshelf_core.internal.agreement.records import (
     Entry,
@@ -138,7 +138,7 @@
     "SnapshotTaken",
     "SnapshotWanted",
     "StoredState",
-    "SubmitAsked",
+    "CommandSubmitted",
     "TickElapsed",
     "TimeoutNow",
     "TransferLeadership",
--- a/packages/core/src/cowslipshelf_core/internal/agreement/proposals.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/proposal_client.py
@@ -18,17 +18,17 @@
     """Set where proposals go and how patient the client is."""
 
     replicas: tuple[InstanceId, ...]
-    answer_seconds: float = 1.0
+    answer_timeout_seconds: float = 1.0
     """Silence after which a proposal is sent to another replica."""
-    least_bytes_per_second: float = 200_000
+    min_bytes_per_second: float = 200_000
     """Pace at which a large proposal travels at least; its answer may take so much
     longer. A sixth of a link of 10 Mbit/s: one of 100 kB is given 0.5 s more."""
-    first_pause_seconds: float = 0.02
-    longest_pause_seconds: float = 0.5
+    initial_backoff_seconds: float = 0.02
+    max_backoff_seconds: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class SubmitAsked:
+class CommandSubmitted:
     """Ask for a command to be committed before a time (monotonic seconds)."""
 
     proposal_id: str
@@ -52,7 +52,7 @@
 
 
 ProposalClientEvent = (
-    SubmitAsked | ProposalResultArrived | LeaderSeen | ReplicasSeen | TickElapsed
+    CommandSubmitted | ProposalResultArrived | LeaderSeen | ReplicasSeen | TickElapsed
 )
 
 
@@ -96,7 +96,7 @@
     due: float
     """When to send next."""
     attempts: int = 0
-    asked: InstanceId | None = None
+    awaiting: InstanceId | None = None
     """The replica whose answer is waited for."""
     last_asked: InstanceId | None = None
     last_refusal: ProposalRefusal | None = None
@@ -127,14 +127,14 @@
     ) -> list[ProposalClientEffect]:
         """Handle one event; `now` is monotonic, in seconds."""
         match event:
-            case SubmitAsked(proposal_id, command, deadline):
+            case CommandSubmitted(proposal_id, command, deadline):
                 submission = Submission(proposal_id, command, deadline, now)
                 self.submissions[proposal_id] = submission
                 return self.send(submission, now, random)
             case ProposalResultArrived(sender, result):
-                return self.take_result(sender, result, now, random)
+                return self.handle_result(sender, result, now, random)
             case LeaderSeen(leader):
-                return self.take_leader(leader, now, random)
+                return self.handle_leader_change(leader, now, random)
             case ReplicasSeen(replicas):
                 self.replicas = replicas
                 return []
@@ -147,14 +147,14 @@
         for submission in list(self.submissions.values()):
             if now >= submission.deadline:
                 del self.submissions[submission.proposal_id]
-                effects.append(self.failure(submission))
+                effects.append(self.describe_failure(submission))
             elif now >= submission.due:
                 if submission.asked is not None and submission.asked == self.leader:
                     self.leader = None
                 effects += self.send(submission, now, random)
         return effects
 
-    def failure(self, submission: Submission) -> ProposalFailed:
+    def describe_failure(self, submission: Submission) -> ProposalFailed:
         """Describe how a submission ended without an outcome."""
         unanswered = submission.asked is not None
         return ProposalFailed(
@@ -174,12 +174,12 @@
             submission.may_take_effect = True
         target = self.leader or self.choose_replica(submission, random)
         if target is None:
-            submission.due = now + self.pause(submission, random)
+            submission.due = now + self.backoff(submission, random)
             return []
         submission.attempts += 1
         submission.asked = submission.last_asked = target
-        travels = len(submission.command) / self.config.least_bytes_per_second
-        submission.due = now + self.config.answer_seconds + travels
+        travels = len(submission.command) / self.config.min_bytes_per_second
+        submission.due = now + self.config.answer_timeout_seconds + travels
         return [SendTo(target, Propose(submission.proposal_id, submission.command))]
 
     def choose_replica(
@@ -189,12 +189,12 @@
         others = [r for r in self.replicas if r != submission.last_asked]
         return random.choice(others or [*self.replicas]) if self.replicas else None
 
-    def pause(self, submission: Submission, random: Random) -> float:
+    def backoff(self, submission: Submission, random: Random) -> float:
         """Return a growing pause with jitter, in seconds."""
-        grown = self.config.first_pause_seconds * 2 ** min(submission.attempts, 16)
-        return random.uniform(0.5, 1.0) * min(grown, self.config.longest_pause_seconds)
+        grown = self.config.initial_backoff_seconds * 2 ** min(submission.attempts, 16)
+        return random.uniform(0.5, 1.0) * min(grown, self.config.max_backoff_seconds)
 
-    def take_result(
+    def handle_result(
         self, sender: InstanceId, result: ProposalResult, now: float, random: Random
     ) -> list[ProposalClientEffect]:
         """Finish a submission by its outcome, or send it elsewhere after a refusal."""
@@ -219,10 +219,10 @@
             self.leader = hinted
         if hinted is not None and submission.attempts == 1:
             return self.send(submission, now, random)
-        submission.due = now + self.pause(submission, random)
+        submission.due = now + self.backoff(submission, random)
         return []
 
-    def take_leader(
+    def handle_leader_change(
         self, leader: InstanceId | None, now: float, random: Random
     ) -> list[ProposalClientEffect]:
         """Send at once what the new leader has not been asked for.
--- a/packages/daemon/src/cowslipshelf_daemon/internal/control_gateway.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/control_gateway.py
@@ -9,6 +9,7 @@
 from pykka import ActorDeadError, ActorRef
 
 from cowslipshelf_core.agreement import (
+    CommandSubmitted,
     LeaderSeen,
     ProposalAnswered,
     ProposalClient,
@@ -18,7 +19,6 @@
     ProposalResultArrived,
     ReplicasSeen,
     SendTo,
-    SubmitAsked,
     TickElapsed,
 )
 from cowslipshelf_core.control import (
@@ -45,7 +45,7 @@
 class CommandAsked(NamedTuple):
     """Ask for a command to be committed, with the place for its outcome."""
 
-    submit: SubmitAsked
+    submit: CommandSubmitted
     reply: "SimpleQueue[ControlOutcome | Refusal]"
 
 
@@ -140,7 +140,7 @@
     ) -> ControlOutcome | Refusal:
         """Commit a command and wait for its outcome, for `patience` seconds."""
         reply: SimpleQueue[ControlOutcome | Refusal] = SimpleQueue()
-        submit = SubmitAsked(
+        submit = CommandSubmitted(
             uuid.uuid4().hex, encode_command(command), time.monotonic() + patience
         )
         try:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -6,7 +6,7 @@
 
 from pykka import ActorRef
 
-from cowslipshelf_core.agreement import SubmitAsked
+from cowslipshelf_core.agreement import CommandSubmitted
 from cowslipshelf_core.control import (
     ControlCommand,
     ControlOutcome,
@@ -47,7 +47,7 @@
         loop = asyncio.get_running_loop()
         reply = LoopReply(loop)
         deadline = time.monotonic() + CHANGE_SECONDS
-        submit = SubmitAsked(uuid.uuid4().hex, encode_command(command), deadline)
+        submit = CommandSubmitted(uuid.uuid4().hex, encode_command(command), deadline)
         self.gateway.tell(CommandAsked(submit, reply))
         try:
             async with asyncio.timeout(CHANGE_SECONDS + 0.5):
--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -8,6 +8,7 @@
 from common.agreement_cluster import DECODER
 from common.matrix_control_cluster import ControlCluster, Mail, Viewer
 from cowslipshelf_core.agreement import (
+    CommandSubmitted,
     PeerMessageArrived,
     ProposalAnswered,
     ProposalClient,
@@ -16,7 +17,6 @@
     ProposalResult,
     ProposalResultArrived,
     SendTo,
-    SubmitAsked,
     TickElapsed,
 )
 from cowslipshelf_core.configuration import Model
@@ -177,7 +177,7 @@
         self.asked += 1
         submit_id = f"submit-{self.asked}"
         deadline = self.now + PATIENCE_SECONDS
-        event = SubmitAsked(submit_id, encode_command(command), deadline)
+        event = CommandSubmitted(submit_id, encode_command(command), deadline)
         self.tell_client(name, event)
         return submit_id
 
--- a/tests/cover/agreement/test_proposal_client.py
+++ b/tests/cover/agreement/test_proposal_client.py
@@ -7,6 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from cowslipshelf_core.agreement import (
+    CommandSubmitted,
     LeaderSeen,
     ProposalAnswered,
     ProposalClient,
@@ -18,7 +19,6 @@
     Propose,
     ReplicasSeen,
     SendTo,
-    SubmitAsked,
     TickElapsed,
 )
 
@@ -68,7 +68,8 @@
     def submit(self):
         proposal_id = f"proposal-{len(self.deadlines)}"
         self.deadlines[proposal_id] = self.now + DEADLINE_SECONDS
-        self.handle(SubmitAsked(proposal_id, b"command", self.now + DEADLINE_SECONDS))
+        deadline = self.now + DEADLINE_SECONDS
+        self.handle(CommandSubmitted(proposal_id, b"command", deadline))
 
     @precondition(lambda self: self.asked)
     @rule(position=POSITIONS)
@@ -136,7 +137,7 @@
     for seed in range(20):
         client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
         random = Random(seed)
-        sent = client.handle(SubmitAsked("p", b"", 5.0), 0.0, random)
+        sent = client.handle(CommandSubmitted("p", b"", 5.0), 0.0, random)
         hops = 1
         while sent[0].instance != "entry-2":
             refusal = ProposalRefusal.NOT_LEADER
@@ -155,7 +156,7 @@
     """
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
     random = Random(0)
-    first = client.handle(SubmitAsked("p", b"", 5.0), 0.0, random)[0].instance
+    first = client.handle(CommandSubmitted("p", b"", 5.0), 0.0, random)[0].instance
     second = client.handle(TickElapsed(), 1.0, random)[0].instance
     assert first != second
     result = ProposalResult("p", 0, b"", ProposalRefusal.NO_QUORUM)
@@ -172,7 +173,7 @@
     random = Random(1)
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
     client.handle(LeaderSeen("entry-0"), 0.0, random)
-    client.handle(SubmitAsked("confirm", b"", DEADLINE_SECONDS), 0.0, random)
+    client.handle(CommandSubmitted("confirm", b"", DEADLINE_SECONDS), 0.0, random)
     client.handle(LeaderSeen(None), 0.1, random)
     (sent,) = client.handle(LeaderSeen("entry-1"), 0.2, random)
     assert sent == SendTo("entry-1", Propose("confirm", b""))
@@ -184,11 +185,11 @@
 
     It takes longer on its way than the silence after which another replica is asked.
     """
-    pace = ProposalClientConfig(REPLICAS).least_bytes_per_second
+    pace = ProposalClientConfig(REPLICAS).min_bytes_per_second
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
     random = Random(0)
     client.handle(LeaderSeen("entry-0"), 0.0, random)
     large = bytes(int(2 * pace))
-    client.handle(SubmitAsked("p", large, 60.0), 0.0, random)
+    client.handle(CommandSubmitted("p", large, 60.0), 0.0, random)
     assert client.handle(TickElapsed(), 2.9, random) == []
     assert client.handle(TickElapsed(), 3.1, random) != []
