--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -7,7 +7,7 @@
     remove_replaced_voter,
 )
 from cowslipshelf_core.internal.agreement.messages import ProposalRefusal
-from cowslipshelf_core.internal.agreement.reading import (
+from cowslipshelf_core.internal.agreement.read_index import (
     confirm_reads,
     next_round_is_wanted,
 )
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -6,12 +6,12 @@
 
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.internal.agreement import (
+    bootstrap,
     elections,
     following,
-    founding,
     leading,
     membership,
-    reading,
+    read_index,
     replication,
     snapshots,
 )
@@ -64,7 +64,7 @@
     commit_index: int
     last_index: int
     membership: Membership
-    behind: tuple[tuple[ReplicaId, int], ...]
+    follower_lag: tuple[tuple[ReplicaId, int], ...]
     """Entries that each follower has yet to confirm, as its leader sees it."""
     failure: str
     sync_seconds: float
@@ -135,7 +135,7 @@
         if state.leadership is not None:
             leading.finish_batch(state)
         if state.forwarded_reads:
-            reading.settle_forwarded_reads(state)
+            read_index.settle_forwarded_reads(state)
         effects = state.effects
         state.effects = []
         return effects
@@ -151,7 +151,7 @@
             case CommandProposed() | MembershipProposed():
                 self.propose(event)
             case ReadAsked():
-                reading.read_asked(state, event)
+                read_index.read_asked(state, event)
             case _ if state.failure:
                 return
             case TickElapsed():
@@ -166,7 +166,7 @@
             case ReplicasSeen(replicas):
                 state.replica_instances = replicas
             case BootstrapCluster():
-                founding.found_alone(state)
+                bootstrap.found_alone(state)
             case DiskFailed(reason):
                 self.fail(reason)
 
@@ -188,9 +188,9 @@
             leading.lead_on(state)
         elif elections.may_lead(state):
             elections.campaign_when_due(state)
-            founding.ask_back_when_due(state)
+            bootstrap.ask_back_when_due(state)
         elif not elections.follows_a_leader(state):
-            founding.ask_when_due(state)
+            bootstrap.ask_when_due(state)
 
     def fail(self, reason: str) -> None:
         """Take no further part: what was handled since the last sync may be lost."""
@@ -203,9 +203,9 @@
         """Handle a message from the replica on another instance."""
         match message:
             case JoinAsked():
-                founding.join_asked(self.state, sender, message)
+                bootstrap.join_asked(self.state, sender, message)
             case JoinAnswered():
-                founding.join_answered(self.state, sender, message)
+                bootstrap.join_answered(self.state, sender, message)
             case ReplicaMessage():
                 if self.accept(message):
                     peer = ReplicaId(sender, message.sender_folder)
@@ -221,7 +221,7 @@
         state = self.state
         if message.recipient_folder != state.replica_id.folder:
             return False
-        if not founding.is_empty(state):
+        if not bootstrap.is_empty(state):
             return message.cluster == state.hard_state.cluster or (
                 isinstance(message, VoteAnswered) and message.pre_vote
             )
@@ -261,9 +261,9 @@
                     elections.campaign(state, pre_vote=False, transfer=True)
             case ReadIndexAsked(read_id=read_id):
                 if state.leadership is not None:
-                    reading.await_round(state, read_id, asked_by=peer)
+                    read_index.await_round(state, read_id, asked_by=peer)
             case ReadIndexAnswered():
-                reading.read_index_answered(state, message)
+                read_index.read_index_answered(state, message)
             case EntriesAppended() | AppendRefused() | SnapshotReceived():
                 self.hear_follower(peer, message)
 
--- a/tests/common/agreement_cluster.py
+++ b/tests/common/agreement_cluster.py
@@ -251,7 +251,7 @@
         if leader is None:
             return False
         status = leader.replica.status()
-        behind = any(entries for _, entries in status.behind)
+        behind = any(entries for _, entries in status.follower_lag)
         whole = status.commit_index == status.last_index and not behind
         applied = {
             self.nodes[replica.instance].applied_index
--- a/tests/common/lonely_replica.py
+++ b/tests/common/single_replica.py
@@ -66,7 +66,7 @@
         return found
 
 
-class LonelyReplica:
+class SingleReplica:
     """Run the actor of a one-replica cluster without a thread."""
 
     def __init__(self) -> None:
--- a/tests/cover/agreement/test_membership.py
+++ b/tests/cover/agreement/test_membership.py
@@ -242,7 +242,7 @@
         cluster.wipe(instance)
         cluster.restart(instance)
         leading = cluster.leader().replica
-        cluster.run_until(lambda n=others, r=leading: len(r.status().behind) == n)
+        cluster.run_until(lambda n=others, r=leading: len(r.status().follower_lag) == n)
         cluster.run_until(cluster.is_settled)
     members = cluster.leader().replica.status().membership.voters
     assert {member.instance for member in members} == set(cluster.nodes)
--- a/tests/cover/agreement/test_proposal_client.py
+++ b/tests/cover/agreement/test_proposal_client.py
@@ -68,8 +68,9 @@
     def submit(self):
         proposal_id = f"proposal-{len(self.deadlines)}"
         self.deadlines[proposal_id] = self.now + DEADLINE_SECONDS
-        deadline = self.now + DEADLINE_SECONDS
-        self.handle(CommandSubmitted(proposal_id, b"command", deadline))
+        self.handle(
+            CommandSubmitted(proposal_id, b"command", self.now + DEADLINE_SECONDS)
+        )
 
     @precondition(lambda self: self.asked)
     @rule(position=POSITIONS)
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from common.lonely_replica import ELECTION_SECONDS, LonelyReplica
+from common.single_replica import ELECTION_SECONDS, SingleReplica
 from cowslipshelf_core.agreement import (
     LeaderSeen,
     ProposalRefusal,
@@ -37,7 +37,7 @@
     An operator and some callers wait for outcomes that went with the batch. They must
     be told at once, and truly: nothing that was not synced counts as done.
     """
-    lonely = LonelyReplica()
+    lonely = SingleReplica()
     lonely.deliver_together([propose(number) for number in range(before)])
     results = lonely.post.take(ProposalResult)
     assert [result.refusal for result in results] == [None] * before
@@ -62,7 +62,7 @@
     What the page cache lost meanwhile is unknown, so only a restart may vote again.
     Until then operators see the failure, and proposers turn elsewhere at once.
     """
-    lonely = LonelyReplica()
+    lonely = SingleReplica()
     lonely.storage.full = True
     lonely.deliver_together([propose(1)])
     lonely.storage.full = False
--- a/tests/cover/daemon/test_unknown_commands.py
+++ b/tests/cover/daemon/test_unknown_commands.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from common.lonely_replica import LonelyReplica
+from common.single_replica import SingleReplica
 from cowslipshelf_core.agreement import Entry, EntryKind, Propose
 from cowslipshelf_core.control import ControlCodecError
 
@@ -15,7 +15,7 @@
     A leader of a newer version committed a command; an older replica skipped it, went
     on with another state, and later sent that state on as a snapshot.
     """
-    lonely = LonelyReplica()
+    lonely = SingleReplica()
     entry = Entry(9, 9, 0.0, EntryKind.COMMAND, NEWER_COMMAND, "p")
     with pytest.raises(ControlCodecError):
         lonely.actor.apply(9, entry)
@@ -23,7 +23,7 @@
 
 def test_a_leader_puts_no_command_into_the_log_that_it_cannot_read():
     """All replicas end at once, again and again: the log holds bytes nobody reads."""
-    lonely = LonelyReplica()
+    lonely = SingleReplica()
     before = lonely.actor.replica.status().last_index
     lonely.deliver_together([Propose("p", NEWER_COMMAND)])
     assert lonely.actor.replica.status().last_index == before
