--- a/packages/core/src/cowslipshelf_core/internal/agreement/proposal_client.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/proposal_client.py
@@ -149,14 +149,17 @@
                 del self.submissions[submission.proposal_id]
                 effects.append(self.describe_failure(submission))
             elif now >= submission.due:
-                if submission.asked is not None and submission.asked == self.leader:
+                if (
+                    submission.awaiting is not None
+                    and submission.awaiting == self.leader
+                ):
                     self.leader = None
                 effects += self.send(submission, now, random)
         return effects
 
     def describe_failure(self, submission: Submission) -> ProposalFailed:
         """Describe how a submission ended without an outcome."""
-        unanswered = submission.asked is not None
+        unanswered = submission.awaiting is not None
         return ProposalFailed(
             submission.proposal_id,
             submission.may_take_effect or unanswered,
@@ -170,14 +173,14 @@
         self, submission: Submission, now: float, random: Random
     ) -> list[ProposalClientEffect]:
         """Send a submission to the leader or, where none is known, to anybody."""
-        if submission.asked is not None:
+        if submission.awaiting is not None:
             submission.may_take_effect = True
         target = self.leader or self.choose_replica(submission, random)
         if target is None:
             submission.due = now + self.backoff(submission, random)
             return []
         submission.attempts += 1
-        submission.asked = submission.last_asked = target
+        submission.awaiting = submission.last_asked = target
         travels = len(submission.command) / self.config.min_bytes_per_second
         submission.due = now + self.config.answer_timeout_seconds + travels
         return [SendTo(target, Propose(submission.proposal_id, submission.command))]
@@ -211,9 +214,9 @@
         # A late refusal, by a replica asked earlier, says nothing of the one that
         # is asked now; taken for its answer, an overloaded leader would be sent one
         # copy more for each of them.
-        if submission.asked != sender:
+        if submission.awaiting != sender:
             return []
-        submission.asked = None
+        submission.awaiting = None
         hinted = result.leader if result.leader != sender else None
         if self.leader in (None, sender):
             self.leader = hinted
@@ -235,6 +238,6 @@
             return []
         effects = []
         for submission in self.submissions.values():
-            if submission.asked != leader:
+            if submission.awaiting != leader:
                 effects += self.send(submission, now, random)
         return effects
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -108,7 +108,7 @@
             commit_index=state.commit_index,
             last_index=state.log.last_index,
             membership=state.membership,
-            behind=tuple(
+            follower_lag=tuple(
                 (peer, state.log.last_index - progress.match_index)
                 for peer, progress in peers.items()
             ),
