--- a/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
@@ -2,8 +2,8 @@
 
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.internal.agreement.effects import Persist, SendTo
-from cowslipshelf_core.internal.agreement.elections import follows_a_leader
-from cowslipshelf_core.internal.agreement.membership import admit_newcomer
+from cowslipshelf_core.internal.agreement.elections import follows_active_leader
+from cowslipshelf_core.internal.agreement.membership import admit_learner
 from cowslipshelf_core.internal.agreement.messages import JoinAnswered, JoinAsked
 from cowslipshelf_core.internal.agreement.records import (
     Entry,
@@ -14,7 +14,7 @@
 )
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
-FOUNDING_TERM = 1
+INITIAL_TERM = 1
 
 
 def is_empty(state: ReplicaState) -> bool:
@@ -28,10 +28,10 @@
     return not state.hard_state.cluster
 
 
-def ask_when_due(state: ReplicaState) -> None:
+def request_join_when_due(state: ReplicaState) -> None:
     """Ask every replica of the settings, from time to time, to be taken in."""
     waiting = state.join_due is not None and state.now < state.join_due
-    if waiting or not may_ask(state):
+    if waiting or not may_request_join(state):
         return
     state.join_due = state.now + state.config.join_retry_seconds
     own = state.replica_id
@@ -41,10 +41,10 @@
         if instance != own.instance:
             state.effects.append(SendTo(instance, asked))
     if is_empty(state) and not state.config.open_membership:
-        found_if_all_are_empty(state)
+        bootstrap_if_all_empty(state)
 
 
-def may_ask(state: ReplicaState) -> bool:
+def may_request_join(state: ReplicaState) -> bool:
     """Tell whether this replica is a newcomer rather than one that was removed.
 
     A newcomer may have been forgotten, with or without some entries, when the
@@ -55,19 +55,19 @@
     return not instances or state.replica_id.instance in instances
 
 
-def join_asked(state: ReplicaState, sender: InstanceId, message: JoinAsked) -> None:
+def on_join_asked(state: ReplicaState, sender: InstanceId, message: JoinAsked) -> None:
     """Take an empty replica in as the leader, or tell it that this one is empty."""
     newcomer = ReplicaId(sender, message.sender_folder)
     if message.cluster not in ("", state.hard_state.cluster):
         return
     if state.leadership is not None:
-        admit_newcomer(state, newcomer)
+        admit_learner(state, newcomer)
     elif is_empty(state):
         answer = JoinAnswered(state.replica_id.folder, newcomer.folder)
         state.effects.append(SendTo(sender, answer))
 
 
-def join_answered(
+def on_join_answered(
     state: ReplicaState, sender: InstanceId, message: JoinAnswered
 ) -> None:
     """Note that another replica is empty too; the answer must be to this folder.
@@ -81,10 +81,10 @@
         # Those that answered need not be all: the one that is told to founds.
         return
     state.empty_peers[sender] = ReplicaId(sender, message.sender_folder)
-    found_if_all_are_empty(state)
+    bootstrap_if_all_empty(state)
 
 
-def found_if_all_are_empty(state: ReplicaState) -> None:
+def bootstrap_if_all_empty(state: ReplicaState) -> None:
     """Found the cluster, at the first instance by name only.
 
     Every replica of the settings must have said that it is empty: one that was
@@ -97,37 +97,37 @@
         return
     if any(instance not in state.empty_peers for instance in others):
         return
-    found(state, (own, *(state.empty_peers[instance] for instance in others)))
+    start_cluster(state, (own, *(state.empty_peers[instance] for instance in others)))
 
 
-def found_alone(state: ReplicaState) -> None:
+def bootstrap_alone(state: ReplicaState) -> None:
     """Found the cluster with one voter; those that ask are taken in after it."""
     if is_empty(state):
-        found(state, (state.replica_id,))
+        start_cluster(state, (state.replica_id,))
 
 
-def ask_back_when_due(state: ReplicaState) -> None:
+def request_rejoin_when_due(state: ReplicaState) -> None:
     """Ask to be taken in again, where the others may have removed this voter.
 
     With open membership a voter that was silent for long gives way to a new one. If
     it returns all the same, the others never answer its campaigns, and it knows of
     no removal; the leader takes it in again or ignores a voter that it still has.
     """
-    if state.config.open_membership and not follows_a_leader(state):
-        ask_when_due(state)
+    if state.config.open_membership and not follows_active_leader(state):
+        request_join_when_due(state)
 
 
-def found(state: ReplicaState, voters: tuple[ReplicaId, ...]) -> None:
+def start_cluster(state: ReplicaState, voters: tuple[ReplicaId, ...]) -> None:
     """Write the first entry of a new cluster's log, and stand for election."""
     own = state.replica_id
     entry = Entry(
         index=1,
-        term=FOUNDING_TERM,
+        term=INITIAL_TERM,
         at=0.0,
         kind=EntryKind.MEMBERSHIP,
         payload=encode_membership(Membership(voters)),
     )
-    state.save_hard_state(term=FOUNDING_TERM, voted_for=own, cluster=own.folder)
+    state.save_hard_state(term=INITIAL_TERM, voted_for=own, cluster=own.folder)
     state.log.append((entry,))
     state.effects.append(Persist(entries=(entry,)))
     state.election_due = state.now
--- a/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
@@ -7,7 +7,7 @@
 from cowslipshelf_core.internal.agreement.state import Campaign, ReplicaState
 
 
-def may_lead(state: ReplicaState) -> bool:
+def may_campaign(state: ReplicaState) -> bool:
     """Tell whether this replica stands for election.
 
     A voter whose removal is not known to be committed still does, on behalf of
@@ -17,7 +17,7 @@
     if state.replica_id in state.membership.voters:
         return True
     uncommitted = state.commit_index < state.log.membership_index
-    return uncommitted and state.replica_id in state.log.membership_before.voters
+    return uncommitted and state.replica_id in state.log.previous_membership.voters
 
 
 def campaign_when_due(state: ReplicaState) -> None:
@@ -38,15 +38,15 @@
     if not pre_vote:
         state.save_hard_state(term=term, voted_for=state.replica_id)
     state.campaign = Campaign(pre_vote, term, transfer, {state.replica_id})
-    state.become(Role.CANDIDATE, None)
+    state.set_role(Role.CANDIDATE, None)
     state.restart_campaign_timer()
     if not pre_vote:
-        state.await_vote_round()
+        state.extend_vote_round()
     if count_votes(state):
         return
     for voter in state.membership.voters:
         if voter != state.replica_id:
-            state.send_at(
+            state.send_in_term(
                 term,
                 voter,
                 VoteAsked,
@@ -65,11 +65,11 @@
     if state.campaign.pre_vote:
         campaign(state, pre_vote=False)
     else:
-        lead(state)
+        become_leader(state)
     return True
 
 
-def lead(state: ReplicaState) -> None:
+def become_leader(state: ReplicaState) -> None:
     """Begin to lead, with a no-op that can commit the entries of older terms."""
     state.campaign = None
     start_index = state.log.last_index + 1
@@ -79,11 +79,11 @@
     for peer in state.membership.replicas:
         if peer != state.replica_id:
             state.leadership.peers[peer] = PeerProgress(start_index)
-    state.become(Role.LEADER, state.replica_id.instance)
-    state.append_own(EntryKind.NO_OP, b"", "", state.log.last_at)
+    state.set_role(Role.LEADER, state.replica_id.instance)
+    state.append_as_leader(EntryKind.NO_OP, b"", "", state.log.last_at)
 
 
-def follows_a_leader(state: ReplicaState) -> bool:
+def follows_active_leader(state: ReplicaState) -> bool:
     """Tell whether a leader has been heard so lately that none else is wanted."""
     if state.leadership is not None:
         return True
@@ -93,7 +93,9 @@
     return state.now - heard < state.config.election_seconds + state.sync_allowance
 
 
-def vote_asked(state: ReplicaState, candidate: ReplicaId, message: VoteAsked) -> None:
+def on_vote_asked(
+    state: ReplicaState, candidate: ReplicaId, message: VoteAsked
+) -> None:
     """Answer a candidate whose term is not above the own one, or a pre-vote."""
     own = (state.log.last_term, state.log.last_index)
     up_to_date = (message.last_term, message.last_index) >= own
@@ -107,7 +109,7 @@
     if granted:
         state.save_hard_state(voted_for=candidate)
         state.restart_election_timer()
-        state.await_vote_round()
+        state.extend_vote_round()
     answer_vote(state, candidate, message, granted)
 
 
@@ -115,7 +117,7 @@
     state: ReplicaState, candidate: ReplicaId, message: VoteAsked, granted: bool
 ) -> None:
     """Send the answer: a yes under the asked term, a no under the own one."""
-    state.send_at(
+    state.send_in_term(
         message.term if granted else state.term,
         candidate,
         VoteAnswered,
@@ -125,7 +127,9 @@
     )
 
 
-def vote_answered(state: ReplicaState, voter: ReplicaId, message: VoteAnswered) -> None:
+def on_vote_answered(
+    state: ReplicaState, voter: ReplicaId, message: VoteAnswered
+) -> None:
     """Count a vote for the campaign that is on."""
     running = state.campaign
     if running is None or not message.granted:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/following.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/following.py
@@ -8,12 +8,12 @@
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 
-def append_entries(
+def on_append_entries(
     state: ReplicaState, leader: ReplicaId, message: AppendEntries
 ) -> None:
     """Append what follows a common entry, or say that the logs differ there."""
     previous = message.previous_index
-    if not holds(state, previous, message.previous_term):
+    if not contains_entry(state, previous, message.previous_term):
         conflict_term, conflict_index = state.log.conflict_at(previous)
         state.send(
             leader,
@@ -24,7 +24,7 @@
             conflict_index=conflict_index,
         )
         return
-    take_over(state, message.entries)
+    append_new_entries(state, message.entries)
     match_index = previous + len(message.entries)
     commit_index = min(message.commit_index, match_index)
     if commit_index > state.commit_index:
@@ -34,12 +34,12 @@
     confirm_match(state, leader, match_index, message.read_round)
 
 
-def holds(state: ReplicaState, index: int, term: int) -> bool:
+def contains_entry(state: ReplicaState, index: int, term: int) -> bool:
     """Tell whether the log has this entry; what is committed needs no check."""
     return index <= state.commit_index or state.log.term_at(index) == term
 
 
-def take_over(state: ReplicaState, entries: tuple[Entry, ...]) -> None:
+def append_new_entries(state: ReplicaState, entries: tuple[Entry, ...]) -> None:
     """Append the entries that are new, after cutting off those that contradict.
 
     Entries that are already there stay, and so does what follows them: a late
@@ -48,7 +48,7 @@
     truncate_from = None
     for position, entry in enumerate(entries):
         if entry.index <= state.commit_index:
-            check_committed(state, entry)
+            check_committed_term(state, entry)
             continue
         term = state.log.term_at(entry.index)
         if term == entry.term:
@@ -62,7 +62,7 @@
         return
 
 
-def check_committed(state: ReplicaState, entry: Entry) -> None:
+def check_committed_term(state: ReplicaState, entry: Entry) -> None:
     """Stop rather than go on beside a leader that has another history."""
     term = state.log.term_at(entry.index)
     if term is not None and term != entry.term:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -2,26 +2,26 @@
 
 from cowslipshelf_core.internal.agreement.events import CommandProposed
 from cowslipshelf_core.internal.agreement.membership import (
-    is_heard,
+    heard_within_lease,
     promote_learner,
-    remove_replaced_voter,
+    remove_silent_voter,
 )
 from cowslipshelf_core.internal.agreement.messages import ProposalRefusal
 from cowslipshelf_core.internal.agreement.read_index import (
     confirm_reads,
-    next_round_is_wanted,
+    needs_new_round,
 )
 from cowslipshelf_core.internal.agreement.records import EntryKind
 from cowslipshelf_core.internal.agreement.replication import (
     advance_commit,
-    flush,
-    hand_over,
     send_heartbeats,
+    send_pending,
+    try_transfer,
 )
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 
-def command_proposed(state: ReplicaState, event: CommandProposed) -> None:
+def on_command_proposed(state: ReplicaState, event: CommandProposed) -> None:
     """Append a command as the leader.
 
     One that waits for its commit already is answered with it. A proposer repeats what
@@ -34,22 +34,22 @@
     if len(leadership.proposals) >= state.config.max_uncommitted_entries:
         state.refuse(event.proposal_id, ProposalRefusal.OVERLOADED)
         return
-    entry = state.append_own(
+    entry = state.append_as_leader(
         EntryKind.COMMAND, event.command, event.proposal_id, event.at
     )
     leadership.proposals[entry.index] = event.proposal_id
 
 
-def refusal_of(state: ReplicaState) -> ProposalRefusal | None:
+def refusal_reason(state: ReplicaState) -> ProposalRefusal | None:
     """Return why this replica can't take a proposal, if so."""
     if state.failure:
         return ProposalRefusal.DISK_FAILED
     if state.leadership is not None:
-        if state.leadership.transfer_to is not None:
+        if state.leadership.transfer_target is not None:
             return ProposalRefusal.TRANSFERRING
         # A cluster that was founded alone holds a command on one disk only, and
         # would lose it with that disk after it was acknowledged.
-        if waits_for_voters(state):
+        if lacks_voters(state):
             return ProposalRefusal.NO_QUORUM
         return None
     if state.leader is not None:
@@ -57,7 +57,7 @@
     return ProposalRefusal.NO_QUORUM
 
 
-def waits_for_voters(state: ReplicaState) -> bool:
+def lacks_voters(state: ReplicaState) -> bool:
     """Tell whether replicas that found each other are still too few."""
     config = state.config
     if not config.open_membership:
@@ -70,18 +70,18 @@
     """Send what the events of a batch made necessary, once for all of them."""
     leadership = state.leadership
     advance_commit(state)
-    if leave_if_removed(state):
+    if step_down_if_removed(state):
         return
     promote_learner(state)
     confirm_reads(state)
-    if next_round_is_wanted(state):
+    if needs_new_round(state):
         leadership.read_round += 1
         confirm_reads(state)
         send_heartbeats(state)
-    flush(state)
+    send_pending(state)
 
 
-def leave_if_removed(state: ReplicaState) -> bool:
+def step_down_if_removed(state: ReplicaState) -> bool:
     """Step down once the membership without this replica is committed."""
     if state.replica_id in state.membership.voters:
         return False
@@ -103,7 +103,11 @@
     leadership = state.leadership
     if state.now - leadership.began_at <= state.lease_seconds:
         return
-    heard = {p for p, progress in leadership.peers.items() if is_heard(state, progress)}
+    heard = {
+        p
+        for p, progress in leadership.peers.items()
+        if heard_within_lease(state, progress)
+    }
     heard.add(state.replica_id)
     if not state.membership.is_quorum(heard):
         state.become_follower(state.term, None)
@@ -115,25 +119,26 @@
     candidates = [
         voter
         for voter in state.membership.voters
-        if voter in leadership.peers and is_heard(state, leadership.peers[voter])
+        if voter in leadership.peers
+        and heard_within_lease(state, leadership.peers[voter])
     ]
     if not candidates:
         return
-    leadership.transfer_to = max(
+    leadership.transfer_target = max(
         candidates, key=lambda voter: leadership.peers[voter].match_index
     )
-    leadership.transfer_ends = state.now + 2 * state.config.election_seconds
-    hand_over(state)
+    leadership.transfer_deadline = state.now + 2 * state.config.election_seconds
+    try_transfer(state)
 
 
-def lead_on(state: ReplicaState) -> None:
+def on_tick(state: ReplicaState) -> None:
     """Do what is due at a tick."""
     leadership = state.leadership
-    if leadership.transfer_to is not None:
-        if state.now >= leadership.transfer_ends:
-            leadership.transfer_to = None
+    if leadership.transfer_target is not None:
+        if state.now >= leadership.transfer_deadline:
+            leadership.transfer_target = None
         else:
-            hand_over(state)
+            try_transfer(state)
     if state.now >= leadership.heartbeat_due:
         send_heartbeats(state)
-    remove_replaced_voter(state)
+    remove_silent_voter(state)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/log.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/log.py
@@ -32,7 +32,7 @@
         log = cls()
         entries = stored.entries
         if stored.snapshot is not None:
-            log.adopt_snapshot(stored.snapshot)
+            log.reset_to_snapshot(stored.snapshot)
             entries = tuple(e for e in entries if e.index > stored.snapshot.index)
         log.append(entries)
         return log
@@ -65,7 +65,7 @@
         return self.memberships[-1][1] if self.memberships else Membership()
 
     @property
-    def membership_before(self) -> Membership:
+    def previous_membership(self) -> Membership:
         """Return the membership that the one in force has changed."""
         return self.memberships[-2][1] if len(self.memberships) > 1 else Membership()
 
@@ -91,14 +91,14 @@
         """Return an entry that is held."""
         return self.entries[index - self.base_index - 1]
 
-    def slice_from(self, index: int, most_entries: int, most_bytes: int) -> list[Entry]:
+    def slice_from(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
         """Return entries from an index on, at least one, within the bounds."""
         start = index - self.base_index - 1
         chosen = []
         size = 0
-        for entry in self.entries[start : start + most_entries]:
+        for entry in self.entries[start : start + max_entries]:
             size += len(entry.payload)
-            if chosen and size > most_bytes:
+            if chosen and size > max_bytes:
                 break
             chosen.append(entry)
         return chosen
@@ -131,7 +131,7 @@
         later = [m for m in self.memberships if m[0] > snapshot.index]
         self.memberships = [(snapshot.index, snapshot.membership), *later]
 
-    def adopt_snapshot(self, snapshot: Snapshot) -> None:
+    def reset_to_snapshot(self, snapshot: Snapshot) -> None:
         """Begin anew after a snapshot from elsewhere, without any entry."""
         self.snapshot = snapshot
         self.entries = []
@@ -149,9 +149,9 @@
             first -= 1
         return term, first
 
-    def last_index_of(self, term: int, most: int) -> int | None:
+    def last_index_of_term(self, term: int, max_index: int) -> int | None:
         """Return the last index, up to a bound, whose entry has a term."""
-        for index in range(min(most, self.last_index), self.base_index - 1, -1):
+        for index in range(min(max_index, self.last_index), self.base_index - 1, -1):
             found = self.term_at(index)
             if found == term:
                 return index
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -17,15 +17,15 @@
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 
-def membership_proposed(state: ReplicaState, event: MembershipProposed) -> None:
+def on_membership_proposed(state: ReplicaState, event: MembershipProposed) -> None:
     """Put a change into the log, or refuse it with the reason."""
     proposed = change_membership(state.membership, event.change)
     if proposed is None:
         state.refuse(event.proposal_id, ProposalRefusal.BAD_MEMBERSHIP)
-    elif not is_ready_for(state, proposed):
+    elif not can_change_to(state, proposed):
         state.refuse(event.proposal_id, ProposalRefusal.MEMBERSHIP_BUSY)
     else:
-        put_in_force(state, proposed, event.proposal_id, event.at)
+        append_membership(state, proposed, event.proposal_id, event.at)
 
 
 def change_membership(
@@ -36,16 +36,16 @@
         case AddReplica(replica_id):
             if replica_id in current.replicas:
                 return None
-            others = without(current, replica_id.instance)
+            others = without_instance(current, replica_id.instance)
             proposed = others._replace(learners=(*others.learners, replica_id))
         case RemoveReplica(replica_id):
             if replica_id not in current.replicas:
                 return None
-            proposed = without(current, replica_id.instance)
+            proposed = without_instance(current, replica_id.instance)
     return proposed if proposed.voters else None
 
 
-def without(membership: Membership, instance: str) -> Membership:
+def without_instance(membership: Membership, instance: str) -> Membership:
     """Leave out the replica of an instance, whatever its folder."""
     return Membership(
         tuple(r for r in membership.voters if r.instance != instance),
@@ -53,7 +53,7 @@
     )
 
 
-def is_ready_for(state: ReplicaState, proposed: Membership) -> bool:
+def can_change_to(state: ReplicaState, proposed: Membership) -> bool:
     """Tell whether the change before is whole and the next one can commit.
 
     Two changes under way at once could each be committed by a quorum that shares
@@ -61,23 +61,23 @@
     have caught up would leave the committed entries on less than a quorum.
     """
     waiting = set(state.membership.learners) & set(proposed.learners)
-    if waiting or not is_settled(state):
+    if waiting or not is_membership_committed(state):
         return False
     needed = state.log.membership_index
     caught_up = {state.replica_id}
     for peer, progress in state.leadership.peers.items():
-        if progress.match_index >= needed and is_heard(state, progress):
+        if progress.match_index >= needed and heard_within_lease(state, progress):
             caught_up.add(peer)
     return proposed.is_quorum(caught_up)
 
 
-def is_settled(state: ReplicaState) -> bool:
+def is_membership_committed(state: ReplicaState) -> bool:
     """Tell whether this term and the membership in force are both committed."""
     needed = max(state.leadership.start_index, state.log.membership_index)
     return state.commit_index >= needed
 
 
-def is_heard(state: ReplicaState, progress: PeerProgress) -> bool:
+def heard_within_lease(state: ReplicaState, progress: PeerProgress) -> bool:
     """Tell whether a replica has answered within the lease."""
     return heard_within(state, progress, state.lease_seconds)
 
@@ -88,11 +88,11 @@
     return heard is not None and state.now - heard <= seconds
 
 
-def put_in_force(
+def append_membership(
     state: ReplicaState, membership: Membership, proposal_id: str, at: float
 ) -> None:
     """Append a membership, which counts from here on, committed or not."""
-    entry = state.append_own(
+    entry = state.append_as_leader(
         EntryKind.MEMBERSHIP, encode_membership(membership), proposal_id, at
     )
     leadership = state.leadership
@@ -107,22 +107,25 @@
 
 def promote_learner(state: ReplicaState) -> None:
     """Give a learner its vote once it holds everything committed, synced."""
-    if not state.membership.learners or not is_settled(state):
+    if not state.membership.learners or not is_membership_committed(state):
         return
     for learner in state.membership.learners:
         progress = state.leadership.peers[learner]
-        if is_heard(state, progress) and progress.match_index >= state.commit_index:
-            put_in_force(state, promoted(state.membership, learner), "", 0.0)
+        if (
+            heard_within_lease(state, progress)
+            and progress.match_index >= state.commit_index
+        ):
+            append_membership(state, with_promoted(state.membership, learner), "", 0.0)
             return
 
 
-def promoted(membership: Membership, learner: ReplicaId) -> Membership:
+def with_promoted(membership: Membership, learner: ReplicaId) -> Membership:
     """Move a learner to the voters."""
     learners = tuple(r for r in membership.learners if r != learner)
     return Membership((*membership.voters, learner), learners)
 
 
-def admit_newcomer(state: ReplicaState, newcomer: ReplicaId) -> None:
+def admit_learner(state: ReplicaState, newcomer: ReplicaId) -> None:
     """Take in an empty replica that the settings know, when its turn comes.
 
     It asks again and again, so a request that comes while another change is
@@ -132,11 +135,11 @@
     if not known and not state.config.open_membership:
         return
     proposed = change_membership(state.membership, AddReplica(newcomer))
-    if proposed is not None and is_ready_for(state, proposed):
-        put_in_force(state, proposed, "", 0.0)
+    if proposed is not None and can_change_to(state, proposed):
+        append_membership(state, proposed, "", 0.0)
 
 
-def remove_replaced_voter(state: ReplicaState) -> None:
+def remove_silent_voter(state: ReplicaState) -> None:
     """Remove a voter that stays silent although there are enough others.
 
     An instance that is gone for good would count in every quorum until an operator
@@ -160,5 +163,5 @@
     if len(silent) != 1:
         return
     proposed = change_membership(state.membership, RemoveReplica(silent[0]))
-    if proposed is not None and is_ready_for(state, proposed):
-        put_in_force(state, proposed, "", 0.0)
+    if proposed is not None and can_change_to(state, proposed):
+        append_membership(state, proposed, "", 0.0)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/progress.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/progress.py
@@ -17,9 +17,9 @@
     """True until the replica has confirmed a common entry."""
     in_flight: list[int] = field(default_factory=list)
     """Last index of each message with entries that is not answered yet."""
-    moved_at: float = 0.0
+    last_progress_at: float = 0.0
     """When entries or chunks were last sent or confirmed."""
-    commit_told: int = 0
+    sent_commit_index: int = 0
     """Commit index in the last message to the replica."""
     snapshot: Snapshot | None = None
     """The snapshot that is being sent in chunks."""
@@ -36,7 +36,7 @@
         """Note that the replica's synced log equals the leader's up to an index."""
         if match_index > self.match_index:
             self.match_index = match_index
-            self.moved_at = now
+            self.last_progress_at = now
         self.in_flight = [last for last in self.in_flight if last > self.match_index]
         self.next_index = max(self.next_index, self.match_index + 1)
 
@@ -60,11 +60,11 @@
     """Index of the no-op that began the term."""
     began_at: float
     heartbeat_due: float
-    durable: bool = False
+    term_is_durable: bool = False
     """Whether the term was synced by an earlier batch than the present one."""
     peers: dict[ReplicaId, PeerProgress] = field(default_factory=dict)
     proposals: dict[int, str] = field(default_factory=dict)
     reads: list[PendingRead] = field(default_factory=list)
     read_round: int = 0
-    transfer_to: ReplicaId | None = None
-    transfer_ends: float = 0.0
+    transfer_target: ReplicaId | None = None
+    transfer_deadline: float = 0.0
--- a/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
@@ -11,12 +11,12 @@
 from cowslipshelf_core.internal.agreement.state import ForwardedRead, ReplicaState
 
 
-def read_asked(state: ReplicaState, event: ReadAsked) -> None:
+def on_read_asked(state: ReplicaState, event: ReadAsked) -> None:
     """Have a read confirmed here, or by the leader that this replica follows."""
     if state.leadership is not None:
-        await_round(state, event.read_id, asked_by=None)
+        queue_read(state, event.read_id, asked_by=None)
         return
-    leader = leading_replica(state)
+    leader = leader_replica(state)
     if leader is None or state.failure:
         state.effects.append(ReadFailed(event.read_id, state.leader))
         return
@@ -25,13 +25,13 @@
     state.send(leader, ReadIndexAsked, read_id=event.read_id)
 
 
-def leading_replica(state: ReplicaState) -> ReplicaId | None:
+def leader_replica(state: ReplicaState) -> ReplicaId | None:
     """Return the replica that leads, where this one knows it."""
     replicas = state.membership.replicas
     return next((r for r in replicas if r.instance == state.leader), None)
 
 
-def await_round(state: ReplicaState, read_id: str, asked_by: ReplicaId | None) -> None:
+def queue_read(state: ReplicaState, read_id: str, asked_by: ReplicaId | None) -> None:
     """Remember a read for the next round of heartbeats.
 
     The round must begin after the question: an earlier one proves only that the
@@ -52,14 +52,14 @@
     state.send(read.asked_by, ReadIndexAnswered, read_id=read.read_id, index=read.index)
 
 
-def read_index_answered(state: ReplicaState, message: ReadIndexAnswered) -> None:
+def on_read_index_answered(state: ReplicaState, message: ReadIndexAnswered) -> None:
     """Note the index from which on a forwarded read may be answered."""
     read = state.forwarded_reads.get(message.read_id)
     if read is not None:
         read.index = message.index
 
 
-def settle_forwarded_reads(state: ReplicaState) -> None:
+def resolve_forwarded_reads(state: ReplicaState) -> None:
     """Confirm what is applied up to its index, and fail what waited too long.
 
     The question or the answer may be lost, or the leader may have stepped down.
@@ -68,12 +68,12 @@
         if read.index is not None and read.index <= state.commit_index:
             del state.forwarded_reads[read_id]
             state.effects.append(ReadConfirmed(read_id, read.index))
-        elif state.now >= read.ends or state.failure:
+        elif state.now >= read.deadline or state.failure:
             del state.forwarded_reads[read_id]
             state.effects.append(ReadFailed(read_id, state.leader))
 
 
-def next_round_is_wanted(state: ReplicaState) -> bool:
+def needs_new_round(state: ReplicaState) -> bool:
     """Tell whether reads wait and no round is under way for others."""
     leadership = state.leadership
     rounds = {read.read_round for read in leadership.reads}
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -135,7 +135,7 @@
         if state.leadership is not None:
             leading.finish_batch(state)
         if state.forwarded_reads:
-            read_index.settle_forwarded_reads(state)
+            read_index.resolve_forwarded_reads(state)
         effects = state.effects
         state.effects = []
         return effects
@@ -151,7 +151,7 @@
             case CommandProposed() | MembershipProposed():
                 self.propose(event)
             case ReadAsked():
-                read_index.read_asked(state, event)
+                read_index.on_read_asked(state, event)
             case _ if state.failure:
                 return
             case TickElapsed():
@@ -159,53 +159,53 @@
             case PeerMessageArrived(sender, message):
                 self.receive(sender, message)
             case SnapshotTaken():
-                snapshots.snapshot_taken(state, event)
+                snapshots.on_snapshot_taken(state, event)
             case TransferLeadership():
                 if state.leadership is not None:
                     leading.transfer_leadership(state)
             case ReplicasSeen(replicas):
                 state.replica_instances = replicas
             case BootstrapCluster():
-                bootstrap.found_alone(state)
+                bootstrap.bootstrap_alone(state)
             case DiskFailed(reason):
                 self.fail(reason)
 
     def propose(self, event: CommandProposed | MembershipProposed) -> None:
         """Take a proposal as the leader, or refuse it."""
         state = self.state
-        refusal = leading.refusal_of(state)
+        refusal = leading.refusal_reason(state)
         if refusal is not None:
             state.refuse(event.proposal_id, refusal)
         elif isinstance(event, CommandProposed):
-            leading.command_proposed(state, event)
+            leading.on_command_proposed(state, event)
         else:
-            membership.membership_proposed(state, event)
+            membership.on_membership_proposed(state, event)
 
     def tick(self) -> None:
         """Do what the time demands."""
         state = self.state
         if state.leadership is not None:
-            leading.lead_on(state)
-        elif elections.may_lead(state):
+            leading.on_tick(state)
+        elif elections.may_campaign(state):
             elections.campaign_when_due(state)
-            bootstrap.ask_back_when_due(state)
-        elif not elections.follows_a_leader(state):
-            bootstrap.ask_when_due(state)
+            bootstrap.request_rejoin_when_due(state)
+        elif not elections.follows_active_leader(state):
+            bootstrap.request_join_when_due(state)
 
     def fail(self, reason: str) -> None:
         """Take no further part: what was handled since the last sync may be lost."""
         state = self.state
         state.become_follower(state.term, None)
         state.failure = reason
-        state.become(Role.FAILED, None)
+        state.set_role(Role.FAILED, None)
 
     def receive(self, sender: InstanceId, message: object) -> None:
         """Handle a message from the replica on another instance."""
         match message:
             case JoinAsked():
-                bootstrap.join_asked(self.state, sender, message)
+                bootstrap.on_join_asked(self.state, sender, message)
             case JoinAnswered():
-                bootstrap.join_answered(self.state, sender, message)
+                bootstrap.on_join_answered(self.state, sender, message)
             case ReplicaMessage():
                 if self.accept(message):
                     peer = ReplicaId(sender, message.sender_folder)
@@ -236,47 +236,49 @@
     def receive_from_peer(self, peer: ReplicaId, message: ReplicaMessage) -> None:
         """Bring the own term up to the message's, then handle it."""
         state = self.state
-        self.hear_sync_time(peer, message)
+        self.record_sync_time(peer, message)
         if isinstance(message, VoteAsked):
             # A replica that lost touch must not depose a leader that the others
             # still hear; its wish is ignored, term and all.
-            if elections.follows_a_leader(state) and not message.transfer:
+            if elections.follows_active_leader(state) and not message.transfer:
                 return
             if message.term > state.term and not message.pre_vote:
                 state.become_follower(message.term, None)
-            elections.vote_asked(state, peer, message)
+            elections.on_vote_asked(state, peer, message)
             return
         promised = isinstance(message, VoteAnswered) and message.granted
         if message.term > state.term and not promised:
             state.become_follower(message.term, None)
         match message:
             case VoteAnswered():
-                elections.vote_answered(state, peer, message)
+                elections.on_vote_answered(state, peer, message)
             case AppendEntries() | InstallSnapshot():
-                self.follow(peer, message)
+                self.on_leader_message(peer, message)
             case _ if message.term < state.term:
                 return
             case TimeoutNow():
-                if elections.may_lead(state):
+                if elections.may_campaign(state):
                     elections.campaign(state, pre_vote=False, transfer=True)
             case ReadIndexAsked(read_id=read_id):
                 if state.leadership is not None:
-                    read_index.await_round(state, read_id, asked_by=peer)
+                    read_index.queue_read(state, read_id, asked_by=peer)
             case ReadIndexAnswered():
-                read_index.read_index_answered(state, message)
+                read_index.on_read_index_answered(state, message)
             case EntriesAppended() | AppendRefused() | SnapshotReceived():
-                self.hear_follower(peer, message)
+                self.on_follower_answer(peer, message)
 
-    def hear_sync_time(self, peer: ReplicaId, message: ReplicaMessage) -> None:
+    def record_sync_time(self, peer: ReplicaId, message: ReplicaMessage) -> None:
         """Note how slow another replica's disk is."""
         match message:
             case VoteAsked() | VoteAnswered() | AppendEntries() | EntriesAppended():
                 times = self.state.sync_times
-                if peer not in times.told:
-                    times.forget_others(self.state.membership.replicas)
-                times.hear(peer, message.sync_ms)
+                if peer not in times.peer_seconds:
+                    times.retain_only(self.state.membership.replicas)
+                times.record_peer(peer, message.sync_ms)
 
-    def follow(self, leader: ReplicaId, message: AppendEntries | InstallSnapshot):
+    def on_leader_message(
+        self, leader: ReplicaId, message: AppendEntries | InstallSnapshot
+    ):
         """Follow the leader of this term; tell an older one that it is deposed."""
         state = self.state
         if message.term < state.term:
@@ -293,11 +295,11 @@
         state.leader_heard_at = state.now
         state.restart_election_timer()
         if isinstance(message, AppendEntries):
-            following.append_entries(state, leader, message)
+            following.on_append_entries(state, leader, message)
         else:
-            snapshots.install_snapshot(state, leader, message)
+            snapshots.on_install_snapshot(state, leader, message)
 
-    def hear_follower(
+    def on_follower_answer(
         self,
         peer: ReplicaId,
         message: EntriesAppended | AppendRefused | SnapshotReceived,
@@ -312,11 +314,11 @@
         progress.read_round = max(progress.read_round, message.read_round)
         match message:
             case EntriesAppended():
-                replication.entries_appended(self.state, peer, message)
+                replication.on_entries_appended(self.state, peer, message)
             case AppendRefused():
-                replication.append_refused(self.state, peer, message)
+                replication.on_append_refused(self.state, peer, message)
             case SnapshotReceived():
-                snapshots.snapshot_received(self.state, peer, message)
+                snapshots.on_snapshot_received(self.state, peer, message)
         # What was sent while the replica was away is lost; without this, it would
         # wait for the next retry, which may have gone out just before its return.
         if returned:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
@@ -11,17 +11,19 @@
 from cowslipshelf_core.internal.agreement.snapshots import send_chunk, start_snapshot
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
-SILENT_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 
 
-def flush(state: ReplicaState) -> None:
+def send_pending(state: ReplicaState) -> None:
     """Send every replica what its window allows; one call serves a whole batch."""
     for peer, progress in state.leadership.peers.items():
         fill_window(state, peer, progress)
-        tell_commit(state, peer, progress)
+        send_commit_index(state, peer, progress)
 
 
-def tell_commit(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
+def send_commit_index(
+    state: ReplicaState, peer: ReplicaId, progress: PeerProgress
+) -> None:
     """Let a replica that is up to date apply at once what was committed.
 
     It would otherwise learn of it by the next heartbeat. Under load the next
@@ -30,7 +32,7 @@
     committed = min(state.commit_index, state.durable_index, progress.match_index)
     if progress.probing or progress.in_flight or progress.snapshot is not None:
         return
-    if progress.commit_told < committed:
+    if progress.sent_commit_index < committed:
         send_append(state, peer, progress.match_index)
 
 
@@ -57,7 +59,7 @@
     )
     send_append(state, peer, progress.next_index - 1, tuple(entries))
     if not progress.in_flight:
-        progress.moved_at = state.now
+        progress.last_progress_at = state.now
     progress.in_flight.append(entries[-1].index)
     if not progress.probing:
         progress.next_index = entries[-1].index + 1
@@ -78,12 +80,12 @@
     leadership = state.leadership
     commit_index = min(state.commit_index, state.durable_index)
     told = min(commit_index, previous + len(entries))
-    leadership.peers[peer].commit_told = told
-    state.send_at(
+    leadership.peers[peer].sent_commit_index = told
+    state.send_in_term(
         state.term,
         peer,
         AppendEntries,
-        before_sync=leadership.durable,
+        before_sync=leadership.term_is_durable,
         previous_index=previous,
         previous_term=state.log.term_at(previous),
         commit_index=commit_index,
@@ -119,7 +121,7 @@
     if progress.heard_at is None:
         return False
     silence = state.now - progress.heard_at
-    return silence > SILENT_HEARTBEATS * state.config.heartbeat_seconds
+    return silence > MAX_MISSED_HEARTBEATS * state.config.heartbeat_seconds
 
 
 def retry_if_stalled(
@@ -127,7 +129,7 @@
 ) -> None:
     """Send again what has not been answered for an election timeout."""
     patience = state.config.election_seconds + state.sync_allowance
-    if state.now - progress.moved_at >= patience:
+    if state.now - progress.last_progress_at >= patience:
         resend(state, peer, progress)
 
 
@@ -135,7 +137,7 @@
     """Send again what has not been answered."""
     if progress.snapshot is None and not progress.in_flight:
         return
-    progress.moved_at = state.now
+    progress.last_progress_at = state.now
     if progress.snapshot is not None:
         send_chunk(state, peer, progress)
     elif progress.probing:
@@ -144,7 +146,7 @@
         progress.probe_from(progress.match_index + 1)
 
 
-def entries_appended(
+def on_entries_appended(
     state: ReplicaState, peer: ReplicaId, message: EntriesAppended
 ) -> None:
     """Take in how far a replica has come."""
@@ -161,7 +163,7 @@
     advance_commit(state)
 
 
-def append_refused(
+def on_append_refused(
     state: ReplicaState, peer: ReplicaId, message: AppendRefused
 ) -> None:
     """Go back to where the logs may agree, a whole term at a time."""
@@ -179,7 +181,7 @@
         return
     candidate = message.conflict_index
     if message.conflict_term:
-        common = state.log.last_index_of(message.conflict_term, refused - 1)
+        common = state.log.last_index_of_term(message.conflict_term, refused - 1)
         candidate = candidate if common is None else common + 1
     progress.probe_from(max(progress.match_index + 1, min(candidate, refused)))
 
@@ -205,9 +207,9 @@
         state.commit_up_to(index)
 
 
-def hand_over(state: ReplicaState) -> None:
+def try_transfer(state: ReplicaState) -> None:
     """Let the chosen successor stand for election once it holds the whole log."""
-    successor = state.leadership.transfer_to
+    successor = state.leadership.transfer_target
     progress = state.leadership.peers.get(successor)
     if progress is not None and progress.match_index == state.log.last_index:
         state.send(successor, TimeoutNow)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
@@ -12,7 +12,7 @@
 from cowslipshelf_core.internal.agreement.state import IncomingSnapshot, ReplicaState
 
 
-def snapshot_taken(state: ReplicaState, event: SnapshotTaken) -> None:
+def on_snapshot_taken(state: ReplicaState, event: SnapshotTaken) -> None:
     """Store the own snapshot and drop the entries that it stands for."""
     state.snapshot_wanted = False
     term = state.log.term_at(event.index)
@@ -37,7 +37,7 @@
     progress.snapshot = state.log.snapshot
     progress.snapshot_offset = 0
     progress.in_flight.clear()
-    progress.moved_at = state.now
+    progress.last_progress_at = state.now
     send_chunk(state, peer, progress)
 
 
@@ -59,7 +59,7 @@
     )
 
 
-def snapshot_received(
+def on_snapshot_received(
     state: ReplicaState, peer: ReplicaId, message: SnapshotReceived
 ) -> None:
     """Send the chunk that the replica misses next."""
@@ -72,11 +72,11 @@
     if message.next_offset == progress.snapshot_offset:
         return
     progress.snapshot_offset = message.next_offset
-    progress.moved_at = state.now
+    progress.last_progress_at = state.now
     send_chunk(state, peer, progress)
 
 
-def install_snapshot(
+def on_install_snapshot(
     state: ReplicaState, peer: ReplicaId, message: InstallSnapshot
 ) -> None:
     """Collect a chunk, and install the snapshot after the last one."""
@@ -90,7 +90,7 @@
     if message.offset == len(incoming.data):
         incoming.data += message.data
         if message.last:
-            install(state, message, bytes(incoming.data))
+            install_snapshot(state, message, bytes(incoming.data))
             confirm_match(state, peer, message.snapshot_index, message.read_round)
             return
     state.send(
@@ -102,7 +102,9 @@
     )
 
 
-def install(state: ReplicaState, message: InstallSnapshot, data: bytes) -> None:
+def install_snapshot(
+    state: ReplicaState, message: InstallSnapshot, data: bytes
+) -> None:
     """Replace log and state by a whole snapshot, or commit up to it."""
     state.incoming = None
     index = message.snapshot_index
@@ -112,7 +114,7 @@
     snapshot = Snapshot(
         index, message.snapshot_term, message.snapshot_at, message.membership, data
     )
-    state.log.adopt_snapshot(snapshot)
+    state.log.reset_to_snapshot(snapshot)
     state.commit_index = index
     state.snapshot_wanted = False
     state.effects.append(SaveSnapshot(snapshot, index + 1, discard_log=True))
--- a/packages/core/src/cowslipshelf_core/internal/agreement/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/state.py
@@ -29,9 +29,12 @@
     Membership,
     ReplicaId,
 )
-from cowslipshelf_core.internal.agreement.sync_times import MILLISECONDS, SyncTimes
+from cowslipshelf_core.internal.agreement.sync_times import (
+    MILLISECONDS_PER_SECOND,
+    SyncTimes,
+)
 
-SYNCS_AWAITED = 2
+MAX_SYNCS_PER_ANSWER = 2
 """Syncs for which an answer may have to wait: its own, and one under way before."""
 
 
@@ -58,7 +61,7 @@
 class ForwardedRead:
     """Be a read that the leader was asked to confirm."""
 
-    ends: float
+    deadline: float
     index: int | None = None
     """Least index to answer it from, once the leader has said so."""
 
@@ -75,7 +78,7 @@
     role: Role = Role.FOLLOWER
     leader: InstanceId | None = None
     failure: str = ""
-    reported: tuple[Role, int, InstanceId | None] | None = None
+    last_reported: tuple[Role, int, InstanceId | None] | None = None
     now: float = 0.0
     """Time that has passed since the first event, as far as the clock showed it."""
     clock: float | None = None
@@ -128,10 +131,10 @@
         slowest, so that one slow disk makes no other replica wait.
         """
         own = self.sync_times.expected(self.now)
-        told = self.sync_times.told
+        told = self.sync_times.peer_seconds
         times = sorted(max(own, told.get(v, 0.0)) for v in self.membership.voters)
         needed = times[self.membership.quorum - 1] if times else own
-        return SYNCS_AWAITED * needed
+        return MAX_SYNCS_PER_ANSWER * needed
 
     @property
     def lease_seconds(self) -> float:
@@ -141,7 +144,7 @@
     @property
     def sync_milliseconds(self) -> int:
         """Return what the own disk is expected to take, to be told to others."""
-        return round(self.sync_times.expected(self.now) * MILLISECONDS)
+        return round(self.sync_times.expected(self.now) * MILLISECONDS_PER_SECOND)
 
     def sync_ended(self, seconds: float, with_vote: bool) -> None:
         """Take in how long the last batch took to be durable.
@@ -149,14 +152,14 @@
         That time is not counted as the others' silence: what they said meanwhile
         waits to be handled. A longer one is: they have chosen another leader since.
         """
-        self.sync_times.took(seconds, with_vote, self.now)
+        self.sync_times.record(seconds, with_vote, self.now)
         if seconds > self.lease_seconds:
             return
         self.clock += seconds
         if with_vote:
-            self.await_vote_round()
+            self.extend_vote_round()
 
-    def await_vote_round(self) -> None:
+    def extend_vote_round(self) -> None:
         """Give the vote that was just written the time to bring a leader.
 
         A campaign that begins before the votes of the one before are written makes
@@ -171,13 +174,13 @@
         """Note what the batches before this one have made durable."""
         self.durable_index = self.log.last_index
         if self.leadership is not None:
-            self.leadership.durable = True
+            self.leadership.term_is_durable = True
 
     def send(self, peer: ReplicaId, kind: type[ReplicaMessage], **fields) -> None:
         """Send a message under the current term."""
-        self.send_at(self.term, peer, kind, **fields)
+        self.send_in_term(self.term, peer, kind, **fields)
 
-    def send_at(
+    def send_in_term(
         self,
         term: int,
         peer: ReplicaId,
@@ -200,7 +203,7 @@
         self.hard_state = self.hard_state._replace(**changes)
         self.effects.append(Persist(hard_state=self.hard_state))
 
-    def append_own(
+    def append_as_leader(
         self, kind: EntryKind, payload: bytes, proposal_id: str, at: float
     ) -> Entry:
         """Append an entry of the own term as its leader.
@@ -228,15 +231,15 @@
             entry = self.log.entry_at(committed)
             self.effects.append(Committed(committed, entry))
             self.commit_index = committed
-            self.settle_proposal(committed)
-        self.want_snapshot()
+            self.forget_proposal(committed)
+        self.request_snapshot_when_due()
 
-    def settle_proposal(self, index: int) -> None:
+    def forget_proposal(self, index: int) -> None:
         """Forget a proposal whose outcome is known by its commit."""
         if self.leadership is not None:
             self.leadership.proposals.pop(index, None)
 
-    def want_snapshot(self) -> None:
+    def request_snapshot_when_due(self) -> None:
         """Ask for a snapshot once enough entries follow the last one."""
         grown = self.commit_index - self.log.snapshot_index
         if self.snapshot_wanted or grown < self.config.snapshot_after_entries:
@@ -248,12 +251,12 @@
         """Refuse a proposal."""
         self.effects.append(ProposalRefused(proposal_id, reason, self.leader))
 
-    def become(self, role: Role, leader: InstanceId | None) -> None:
+    def set_role(self, role: Role, leader: InstanceId | None) -> None:
         """Take a role, and report it where anything about it is new."""
         self.role = role
         self.leader = leader
-        if self.reported != (role, self.term, leader):
-            self.reported = (role, self.term, leader)
+        if self.last_reported != (role, self.term, leader):
+            self.last_reported = (role, self.term, leader)
             self.effects.append(RoleChanged(role, self.term, leader))
 
     def become_follower(self, term: int, leader: InstanceId | None) -> None:
@@ -263,12 +266,12 @@
         leadership = self.leadership
         self.campaign = None
         self.leadership = None
-        self.become(Role.FOLLOWER, leader)
+        self.set_role(Role.FOLLOWER, leader)
         if leadership is not None:
-            self.give_up(leadership)
+            self.fail_pending(leadership)
             self.restart_election_timer()
 
-    def give_up(self, leadership: Leadership) -> None:
+    def fail_pending(self, leadership: Leadership) -> None:
         """Tell proposers and readers that this replica leads no more."""
         for proposal_id in leadership.proposals.values():
             self.refuse(proposal_id, ProposalRefusal.OUTCOME_UNKNOWN)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
@@ -6,11 +6,11 @@
 from cowslipshelf_core.internal.agreement.records import ReplicaId
 
 ENTRY_SAMPLES = 2
-SAMPLE_SECONDS = 30.0
+MAX_SAMPLE_AGE_SECONDS = 30.0
 """Age at which a sample says nothing more of the disk."""
-MOST_SECONDS = 10.0
+MAX_SYNC_SECONDS = 10.0
 """Bound on what is expected, so that no word of a peer stops elections for good."""
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class SyncSample(NamedTuple):
@@ -30,11 +30,11 @@
     votes: list[SyncSample] = field(default_factory=list)
     """The last batch with a vote or a term, if there was one."""
     entries: list[SyncSample] = field(default_factory=list)
-    told: dict[ReplicaId, float] = field(default_factory=dict)
+    peer_seconds: dict[ReplicaId, float] = field(default_factory=dict)
 
-    def took(self, seconds: float, with_vote: bool, now: float) -> None:
+    def record(self, seconds: float, with_vote: bool, now: float) -> None:
         """Take in how long a batch took to be durable here."""
-        sample = SyncSample(min(seconds, MOST_SECONDS), now)
+        sample = SyncSample(min(seconds, MAX_SYNC_SECONDS), now)
         if with_vote:
             self.votes = [sample]
         else:
@@ -45,14 +45,20 @@
         recent = [
             each.seconds
             for each in (*self.votes, *self.entries)
-            if now - each.at <= SAMPLE_SECONDS
+            if now - each.at <= MAX_SAMPLE_AGE_SECONDS
         ]
         return max(recent, default=0.0)
 
-    def hear(self, peer: ReplicaId, milliseconds: int) -> None:
+    def record_peer(self, peer: ReplicaId, milliseconds: int) -> None:
         """Take in what another replica expects of its disk."""
-        self.told[peer] = min(max(0, milliseconds) / MILLISECONDS, MOST_SECONDS)
+        self.peer_seconds[peer] = min(
+            max(0, milliseconds) / MILLISECONDS_PER_SECOND, MAX_SYNC_SECONDS
+        )
 
-    def forget_others(self, replicas: tuple[ReplicaId, ...]) -> None:
+    def retain_only(self, replicas: tuple[ReplicaId, ...]) -> None:
         """Forget replicas that are not among these."""
-        self.told = {peer: self.told[peer] for peer in replicas if peer in self.told}
+        self.peer_seconds = {
+            peer: self.peer_seconds[peer]
+            for peer in replicas
+            if peer in self.peer_seconds
+        }
