--- a/packages/core/src/cowslipshelf_core/agreement.py
+++ b/packages/core/src/cowslipshelf_core/agreement.py
@@ -1,4 +1,4 @@
-"""Agree on one log among the replicas, without input or output."""
+"""Replicate one log among replicas with Raft, without input or output."""
 
 from cowslipshelf_core.internal.agreement.config import ReplicaConfig
 from cowslipshelf_core.internal.agreement.effects import (
--- a/packages/core/src/cowslipshelf_core/internal/agreement/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the parts of the replicated log."""
+"""Implement Raft as a state machine from events to effects."""
--- a/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
@@ -1,4 +1,4 @@
-"""Found a cluster from empty data folders, or ask to join the one there is."""
+"""Start a cluster from empty data folders, or join an existing one."""
 
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.internal.agreement.effects import Persist, SendTo
@@ -18,10 +18,11 @@
 
 
 def is_empty(state: ReplicaState) -> bool:
-    """Tell whether this data folder belongs to no cluster yet.
+    """Return whether this data folder belongs to no cluster yet.
 
-    A founder whose process ended before its first entry was synced has noted the
-    cluster, but nobody has heard of it; taken as founded, it would wait for ever.
+    The replica that starts a cluster may crash after the cluster identity is written
+    and before the first entry is synced. It still counts as empty: no other replica
+    knows of that cluster, and it would otherwise wait for ever.
     """
     if state.hard_state.cluster == state.replica_id.folder:
         return state.log.last_index == 0
@@ -29,7 +30,7 @@
 
 
 def request_join_when_due(state: ReplicaState) -> None:
-    """Ask every replica of the settings, from time to time, to be taken in."""
+    """Send a join request to every known replica, once per retry interval."""
     waiting = state.join_due is not None and state.now < state.join_due
     if waiting or not may_request_join(state):
         return
@@ -45,18 +46,18 @@
 
 
 def may_request_join(state: ReplicaState) -> bool:
-    """Tell whether this replica is a newcomer rather than one that was removed.
+    """Return whether this replica is new, rather than removed by operators.
 
-    A newcomer may have been forgotten, with or without some entries, when the
-    leader that took it in was lost before the change was committed; it asks again.
-    One whose instance is in no membership that it knows was removed by operators.
+    A new replica may have received entries or not when the leader that added it was
+    lost before the change was committed; it has to ask again. A replica whose
+    instance is not in the last membership that it knows was removed by operators.
     """
     instances = {replica.instance for replica in state.membership.replicas}
     return not instances or state.replica_id.instance in instances
 
 
 def on_join_asked(state: ReplicaState, sender: InstanceId, message: JoinAsked) -> None:
-    """Take an empty replica in as the leader, or tell it that this one is empty."""
+    """Add the sender as the leader, or answer that this replica is empty too."""
     newcomer = ReplicaId(sender, message.sender_folder)
     if message.cluster not in ("", state.hard_state.cluster):
         return
@@ -70,25 +71,26 @@
 def on_join_answered(
     state: ReplicaState, sender: InstanceId, message: JoinAnswered
 ) -> None:
-    """Note that another replica is empty too; the answer must be to this folder.
+    """Record that another replica is empty too, if the answer is for this folder.
 
-    An answer to the folder that a wiped disk had before may be old: the others
-    have since founded a cluster, and counting it would found a second one.
+    An answer to the previous folder of a wiped disk may be outdated: the others may
+    have started a cluster since, and counting it would start a second one.
     """
     if not is_empty(state) or message.recipient_folder != state.replica_id.folder:
         return
     if state.config.open_membership:
-        # Those that answered need not be all: the one that is told to founds.
+        # The replicas that answered may not be all. Only the one that receives
+        # BootstrapCluster starts the cluster.
         return
     state.empty_peers[sender] = ReplicaId(sender, message.sender_folder)
     bootstrap_if_all_empty(state)
 
 
 def bootstrap_if_all_empty(state: ReplicaState) -> None:
-    """Found the cluster, at the first instance by name only.
+    """Start the cluster if this is the first instance by name and all are empty.
 
-    Every replica of the settings must have said that it is empty: one that was
-    wiped finds others that are not, and waits for them instead.
+    Every configured replica must have answered that it is empty: a wiped replica
+    finds others that are not, and waits to be added by them instead.
     """
     own = state.replica_id
     instances = sorted(state.replica_instances)
@@ -101,24 +103,24 @@
 
 
 def bootstrap_alone(state: ReplicaState) -> None:
-    """Found the cluster with one voter; those that ask are taken in after it."""
+    """Start the cluster with this replica as the only voter; others join later."""
     if is_empty(state):
         start_cluster(state, (state.replica_id,))
 
 
 def request_rejoin_when_due(state: ReplicaState) -> None:
-    """Ask to be taken in again, where the others may have removed this voter.
+    """Send join requests as a voter without a leader, with open membership.
 
-    With open membership a voter that was silent for long gives way to a new one. If
-    it returns all the same, the others never answer its campaigns, and it knows of
-    no removal; the leader takes it in again or ignores a voter that it still has.
+    The leader may have removed this voter while it was silent. The others then ignore
+    its campaigns, and it does not learn of the removal. The leader adds it again, or
+    ignores the request of a replica that is still a member.
     """
     if state.config.open_membership and not follows_active_leader(state):
         request_join_when_due(state)
 
 
 def start_cluster(state: ReplicaState, voters: tuple[ReplicaId, ...]) -> None:
-    """Write the first entry of a new cluster's log, and stand for election."""
+    """Append the first entry of a new cluster, and schedule an election at once."""
     own = state.replica_id
     entry = Entry(
         index=1,
--- a/packages/core/src/cowslipshelf_core/internal/agreement/config.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/config.py
@@ -1,4 +1,4 @@
-"""Define the settings of a replica."""
+"""Define the configuration of a replica."""
 
 from typing import NamedTuple
 
@@ -6,38 +6,45 @@
 
 
 class ReplicaConfig(NamedTuple):
-    """Set the pace and the bounds of a replica."""
+    """Configure the timing and the limits of a replica."""
 
     replica_instances: tuple[InstanceId, ...]
-    """Every instance that the settings give a data folder, this one included."""
+    """Instances that hold replicas, this one included."""
     heartbeat_seconds: float = 0.1
     election_seconds: float = 0.5
-    """Shortest silence before an election; the longest is twice as long.
+    """Minimum election timeout; the maximum is twice as long.
 
-    A quarter of it must outlast a round of votes, syncs included.
+    A quarter of it must be longer than a round of votes, including disk syncs.
     """
     lease_seconds: float = 0.5
-    """A leader that has heard from no quorum for so long steps down."""
+    """Time without answers from a quorum after which a leader steps down."""
     join_retry_seconds: float = 0.5
-    """Pause between two questions of an empty replica to be taken in."""
+    """Pause between two join requests of an empty replica."""
     snapshot_after_entries: int = 4096
+    """Committed entries after the last snapshot that trigger a new one."""
     entries_kept: int = 1024
-    """Entries kept before a snapshot for replicas that are a little behind."""
+    """Entries before a snapshot that stay in the log for slightly lagging replicas."""
     max_uncommitted_entries: int = 4096
     max_entries_per_message: int = 512
     max_bytes_per_message: int = 262_144
-    """Bound on payloads in one message; a larger single entry still travels."""
+    """Limit on the payloads of one message; a larger single entry is still sent."""
     max_messages_in_flight: int = 8
+    """Unacknowledged messages with entries per follower."""
     open_membership: bool = False
-    """Whether replicas find each other: any that asks is taken in, the cluster is
-    founded by the one that is told to, and a silent voter gives way to a new one."""
+    """Whether any replica may join, without a fixed list of instances.
+
+    Only the replica that receives `BootstrapCluster` starts a cluster, and the leader
+    removes a voter that stays silent once there are more voters than needed.
+    """
     max_failures: int = 0
-    """Replicas that may be lost at once; with open membership, commands wait until
-    there are enough voters for that."""
+    """Replicas that may be lost at once.
+
+    With open membership, commands are refused until there are enough voters for it.
+    """
     voter_removal_seconds: float = 6.0
-    """Silence of a voter after which a newer voter has taken its place."""
+    """Silence after which an open cluster removes a voter that it can do without."""
 
     @property
     def min_voters(self) -> int:
-        """Return how many voters can lose the most that may be lost."""
+        """Return how many voters tolerate `max_failures` losses."""
         return 2 * self.max_failures + 1
--- a/packages/core/src/cowslipshelf_core/internal/agreement/effects.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/effects.py
@@ -1,8 +1,8 @@
-"""Define the effects that a replica asks for.
+"""Define the effects that a replica requests from its caller.
 
-`Persist` and `SaveSnapshot` are written, in order, and synced before any other
-effect of the same batch is performed; the others follow in order. Only a
-`SendTo` that says so may go out while the sync is still under way.
+The caller writes `Persist` and `SaveSnapshot` in order and syncs them before it
+performs any other effect of the same batch; the others follow in order. Only a
+`SendTo` with `before_sync` may be sent while the sync is still running.
 """
 
 from dataclasses import dataclass
@@ -17,18 +17,18 @@
 
 
 class Role(StrEnum):
-    """Name what a replica does at the moment."""
+    """Define the current role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
     FAILED = "failed"
-    """Its disk has failed; only a restart ends this."""
+    """Its disk has failed; it stays in this role until a restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write the hard state, cut the log from an index on, then append entries."""
+    """Write the hard state, truncate the log from an index on, then append entries."""
 
     hard_state: HardState | None = None
     truncate_from: int | None = None
@@ -37,27 +37,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Write a snapshot, then drop entries before an index, or the whole log."""
+    """Write a snapshot, then drop the entries before an index, or the whole log."""
 
     snapshot: Snapshot
     keep_from: int
-    """First index that must stay in the log."""
+    """First index that stays in the log."""
     discard_log: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send a message to the replica on an instance; it may get lost."""
+    """Send a message to the replica on an instance; delivery is not guaranteed."""
 
     instance: InstanceId
     message: AgreementMessage
     before_sync: bool = False
-    """True where the batch's sync need not be waited for; waiting is safe too."""
+    """Whether the message may be sent before the batch is synced; later is safe too."""
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Apply an entry; indexes come in order, once each for every start."""
+    """Apply an entry; each index comes once per process start, in order."""
 
     index: int
     entry: Entry
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallState:
-    """Replace the state machine's state by a snapshot taken at an index."""
+    """Replace the state of the state machine by a snapshot taken at an index."""
 
     state: bytes
     index: int
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotWanted:
-    """Ask for `SnapshotTaken` at this index, which is the last one applied."""
+    """Request a `SnapshotTaken` event for this index, the last one applied."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalRefused:
-    """Say that a proposal gets no outcome here."""
+    """Report that a proposal gets no outcome from this replica."""
 
     proposal_id: str
     reason: ProposalRefusal
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConfirmed:
-    """Say that a read may be answered from the state at this index or a later one."""
+    """Report that a read may be answered from the state at this index or later."""
 
     read_id: str
     index: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """Say that a read can't be answered here."""
+    """Report that a read can't be answered by this replica."""
 
     read_id: str
     leader: InstanceId | None
--- a/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
@@ -1,4 +1,4 @@
-"""Elect one leader for each term."""
+"""Elect at most one leader per term."""
 
 from cowslipshelf_core.internal.agreement.effects import Role
 from cowslipshelf_core.internal.agreement.messages import VoteAnswered, VoteAsked
@@ -8,11 +8,11 @@
 
 
 def may_campaign(state: ReplicaState) -> bool:
-    """Tell whether this replica stands for election.
+    """Return whether this replica may stand for election.
 
-    A voter whose removal is not known to be committed still does, on behalf of
-    the voters that stay: it may be the only one that holds the removal. They would
-    get no vote from it, its log being longer, and without it no quorum.
+    A voter whose removal is not known to be committed may, too. It can be the only
+    replica that holds the removal; the remaining voters then need its vote for a
+    quorum and can't get it, since its log is longer than theirs.
     """
     if state.replica_id in state.membership.voters:
         return True
@@ -21,7 +21,7 @@
 
 
 def campaign_when_due(state: ReplicaState) -> None:
-    """Stand for election, as a voter, after too long a silence."""
+    """Start a pre-vote when the election timeout has passed."""
     if state.election_due is None:
         state.start_campaign_timer()
     if state.now >= state.election_due:
@@ -29,10 +29,10 @@
 
 
 def campaign(state: ReplicaState, pre_vote: bool, transfer: bool = False) -> None:
-    """Ask for votes; the pre-vote raises no term.
+    """Ask all other voters for their vote; a pre-vote does not raise the term.
 
-    Without it, a replica that was cut off would come back with a term grown by
-    its failed elections and depose a healthy leader.
+    Without the pre-vote, a replica that was partitioned would return with a term
+    raised by its failed elections and depose a healthy leader.
     """
     term = state.term + 1
     if not pre_vote:
@@ -59,7 +59,7 @@
 
 
 def count_votes(state: ReplicaState) -> bool:
-    """Go on to the election, or to lead, once a quorum is for it."""
+    """Move on from pre-vote to election, or to leader, once a quorum agrees."""
     if not state.membership.is_quorum(state.campaign.granted):
         return False
     if state.campaign.pre_vote:
@@ -70,7 +70,7 @@
 
 
 def become_leader(state: ReplicaState) -> None:
-    """Begin to lead, with a no-op that can commit the entries of older terms."""
+    """Become leader, and append a no-op that commits the entries of older terms."""
     state.campaign = None
     start_index = state.log.last_index + 1
     state.leadership = Leadership(
@@ -84,7 +84,7 @@
 
 
 def follows_active_leader(state: ReplicaState) -> bool:
-    """Tell whether a leader has been heard so lately that none else is wanted."""
+    """Return whether this replica leads or has heard a leader within the timeout."""
     if state.leadership is not None:
         return True
     heard = state.leader_heard_at
@@ -96,7 +96,10 @@
 def on_vote_asked(
     state: ReplicaState, candidate: ReplicaId, message: VoteAsked
 ) -> None:
-    """Answer a candidate whose term is not above the own one, or a pre-vote."""
+    """Grant or refuse a vote or pre-vote.
+
+    The caller has already adopted the term of a vote that is above its own.
+    """
     own = (state.log.last_term, state.log.last_index)
     up_to_date = (message.last_term, message.last_index) >= own
     if message.pre_vote:
@@ -116,7 +119,7 @@
 def answer_vote(
     state: ReplicaState, candidate: ReplicaId, message: VoteAsked, granted: bool
 ) -> None:
-    """Send the answer: a yes under the asked term, a no under the own one."""
+    """Send the answer: granted in the requested term, refused in the own term."""
     state.send_in_term(
         message.term if granted else state.term,
         candidate,
@@ -130,7 +133,7 @@
 def on_vote_answered(
     state: ReplicaState, voter: ReplicaId, message: VoteAnswered
 ) -> None:
-    """Count a vote for the campaign that is on."""
+    """Count a granted vote for the current campaign."""
     running = state.campaign
     if running is None or not message.granted:
         return
--- a/packages/core/src/cowslipshelf_core/internal/agreement/errors.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/errors.py
@@ -2,8 +2,8 @@
 
 
 class LogDivergedError(Exception):
-    """Say that a leader contradicts an entry that this replica has committed.
+    """Signal that a leader contradicts an entry that this replica has committed.
 
-    No order of messages, crashes and losses of unsynced bytes leads here; a disk
-    that lost synced bytes, or folders of two clusters mixed by hand, may.
+    No order of messages, crashes and losses of unsynced bytes causes this. A disk
+    that lost synced bytes, or data folders of two clusters mixed by hand, can.
     """
--- a/packages/core/src/cowslipshelf_core/internal/agreement/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/events.py
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TickElapsed:
-    """Let the replica look at the time."""
+    """Report that time has passed, so that due timers are handled."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageArrived:
-    """Bring a message from another instance."""
+    """Deliver a message from another instance."""
 
     sender: InstanceId
     message: AgreementMessage
@@ -22,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandProposed:
-    """Ask for a command to be committed; the replica removes no duplicates."""
+    """Ask for a command to be committed; the state machine removes duplicates."""
 
     proposal_id: str
     command: bytes
     at: float
-    """Seconds since 1970 on this instance's clock."""
+    """Seconds since 1970 by the clock of this instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddReplica:
-    """Take in a replica as a learner; it replaces an older folder of its instance."""
+    """Add a replica as a learner; it replaces an older folder of its instance."""
 
     replica_id: ReplicaId
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveReplica:
-    """Let a replica go."""
+    """Remove a replica."""
 
     replica_id: ReplicaId
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipProposed:
-    """Ask for a change by one replica."""
+    """Ask for a membership change of one replica."""
 
     proposal_id: str
     change: MembershipChange
@@ -58,14 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadAsked:
-    """Ask for an index that includes every change answered before this question."""
+    """Ask for a linearizable read.
+
+    The confirmed index covers every change that was acknowledged before this event.
+    """
 
     read_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """Bring the state machine's snapshot at the index that was asked for."""
+    """Deliver the snapshot of the state machine that `SnapshotWanted` requested."""
 
     index: int
     state: bytes
@@ -73,24 +76,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Ask the leader to hand over to the best other voter, before a shutdown."""
+    """Ask the leader to transfer leadership to the most caught-up voter.
+
+    Sent before a shutdown, so that no election timeout passes without a leader.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicasSeen:
-    """Tell which instances hold replicas now."""
+    """Report which instances hold replicas now."""
 
     replicas: tuple[InstanceId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapCluster:
-    """Ask an empty replica to found the cluster alone; the others join it."""
+    """Ask an empty replica to start a cluster as its only voter; others join it."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskFailed:
-    """Say that a write or sync failed, so that nothing after it is durable."""
+    """Report that a write or sync failed, so that nothing after it is durable."""
 
     reason: str
 
--- a/packages/core/src/cowslipshelf_core/internal/agreement/following.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/following.py
@@ -1,4 +1,4 @@
-"""Take entries from the leader."""
+"""Append the leader's entries as a follower."""
 
 from cowslipshelf_core.internal.agreement.effects import Persist
 from cowslipshelf_core.internal.agreement.errors import LogDivergedError
@@ -11,7 +11,7 @@
 def on_append_entries(
     state: ReplicaState, leader: ReplicaId, message: AppendEntries
 ) -> None:
-    """Append what follows a common entry, or say that the logs differ there."""
+    """Append the entries after the previous one, or refuse if the logs differ there."""
     previous = message.previous_index
     if not contains_entry(state, previous, message.previous_term):
         conflict_term, conflict_index = state.log.conflict_at(previous)
@@ -29,21 +29,21 @@
     commit_index = min(message.commit_index, match_index)
     if commit_index > state.commit_index:
         state.commit_up_to(commit_index)
-    # What is committed here stands in every later leader's log as well.
+    # Entries committed here are in the log of every later leader as well.
     match_index = max(match_index, state.commit_index)
     confirm_match(state, leader, match_index, message.read_round)
 
 
 def contains_entry(state: ReplicaState, index: int, term: int) -> bool:
-    """Tell whether the log has this entry; what is committed needs no check."""
+    """Return whether the log has this entry; committed entries always match."""
     return index <= state.commit_index or state.log.term_at(index) == term
 
 
 def append_new_entries(state: ReplicaState, entries: tuple[Entry, ...]) -> None:
-    """Append the entries that are new, after cutting off those that contradict.
+    """Append the entries that are missing, and truncate the log at a conflict.
 
-    Entries that are already there stay, and so does what follows them: a late
-    copy of an older message must not cut off entries that were confirmed since.
+    Entries that match are kept with all that follows them: a delayed copy of an
+    older message must not truncate entries that were confirmed since.
     """
     truncate_from = None
     for position, entry in enumerate(entries):
@@ -63,7 +63,7 @@
 
 
 def check_committed_term(state: ReplicaState, entry: Entry) -> None:
-    """Stop rather than go on beside a leader that has another history."""
+    """Raise an error if the leader has a different entry at a committed index."""
     term = state.log.term_at(entry.index)
     if term is not None and term != entry.term:
         raise LogDivergedError(
--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -1,4 +1,4 @@
-"""Lead: accept proposals, and step down without a quorum."""
+"""Accept proposals as the leader, and step down without a quorum."""
 
 from cowslipshelf_core.internal.agreement.events import CommandProposed
 from cowslipshelf_core.internal.agreement.membership import (
@@ -22,11 +22,11 @@
 
 
 def on_command_proposed(state: ReplicaState, event: CommandProposed) -> None:
-    """Append a command as the leader.
+    """Append a command as the leader, unless it is already waiting for its commit.
 
-    One that waits for its commit already is answered with it. A proposer repeats what
-    is not answered for a second; large ones took longer, and each repeat went to every
-    replica before whatever waited behind the first.
+    A proposer repeats a proposal that is not answered within a second. Large ones
+    took longer, and each copy was replicated before the proposals behind it. A repeat
+    is answered when the first copy is committed.
     """
     leadership = state.leadership
     if event.proposal_id in leadership.proposals.values():
@@ -41,14 +41,14 @@
 
 
 def refusal_reason(state: ReplicaState) -> ProposalRefusal | None:
-    """Return why this replica can't take a proposal, if so."""
+    """Return why this replica can't accept a proposal, or `None` if it can."""
     if state.failure:
         return ProposalRefusal.DISK_FAILED
     if state.leadership is not None:
         if state.leadership.transfer_target is not None:
             return ProposalRefusal.TRANSFERRING
-        # A cluster that was founded alone holds a command on one disk only, and
-        # would lose it with that disk after it was acknowledged.
+        # A cluster that still has one voter keeps a command on one disk only, and
+        # would lose an acknowledged command with that disk.
         if lacks_voters(state):
             return ProposalRefusal.NO_QUORUM
         return None
@@ -58,7 +58,7 @@
 
 
 def lacks_voters(state: ReplicaState) -> bool:
-    """Tell whether replicas that found each other are still too few."""
+    """Return whether an open cluster has too few voters to accept commands."""
     config = state.config
     if not config.open_membership:
         return False
@@ -67,7 +67,7 @@
 
 
 def finish_batch(state: ReplicaState) -> None:
-    """Send what the events of a batch made necessary, once for all of them."""
+    """Advance commits, reads and replication once for all events of a batch."""
     leadership = state.leadership
     advance_commit(state)
     if step_down_if_removed(state):
@@ -82,7 +82,7 @@
 
 
 def step_down_if_removed(state: ReplicaState) -> bool:
-    """Step down once the membership without this replica is committed."""
+    """Step down once the removal of this replica is committed."""
     if state.replica_id in state.membership.voters:
         return False
     if state.commit_index < state.log.membership_index:
@@ -93,12 +93,12 @@
 
 
 def step_down_without_quorum(state: ReplicaState) -> None:
-    """Stop leading when no quorum has answered within the lease.
+    """Step down when no quorum has answered within the lease.
 
-    A leader behind a partition would otherwise go on for as long as that lasts:
-    its proposers wait for commits that can't come, and operators see a leader
-    that isn't one. Checked at every event, since a process that was frozen wakes
-    up with proposals in its queue and a lease that ended long ago.
+    A partitioned leader would otherwise lead until the partition ends: its proposers
+    would wait for commits that can't happen, and operators would see a second
+    leader. Checked at every event, since a process that was frozen can resume with
+    proposals in its queue and a lease that expired long ago.
     """
     leadership = state.leadership
     if state.now - leadership.began_at <= state.lease_seconds:
@@ -114,7 +114,7 @@
 
 
 def transfer_leadership(state: ReplicaState) -> None:
-    """Choose the voter that is furthest, and take no proposals meanwhile."""
+    """Choose the most caught-up voter as successor; refuse proposals until it leads."""
     leadership = state.leadership
     candidates = [
         voter
@@ -132,7 +132,7 @@
 
 
 def on_tick(state: ReplicaState) -> None:
-    """Do what is due at a tick."""
+    """Send due heartbeats, and continue a transfer or a voter removal."""
     leadership = state.leadership
     if leadership.transfer_target is not None:
         if state.now >= leadership.transfer_deadline:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/log.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/log.py
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True)
 class ReplicaLog:
-    """Hold the entries after a base point, and the memberships they carry.
+    """Hold the entries after a base entry, and the memberships in them.
 
-    The base is the entry just before the first one held; its term is known, so
-    that the first one can still be checked against a leader's log.
+    The base is the entry just before the first one held. Its term is kept, so that
+    the first entry held can still be compared with a leader's log.
     """
 
     base_index: int = 0
@@ -28,7 +28,7 @@
 
     @classmethod
     def from_stored(cls, stored: StoredState) -> "ReplicaLog":
-        """Build the log from what a data folder held."""
+        """Build the log from the content of a data folder."""
         log = cls()
         entries = stored.entries
         if stored.snapshot is not None:
@@ -39,7 +39,7 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Return the last index that the snapshot stands for."""
+        """Return the last index that the snapshot covers, or zero without one."""
         return self.snapshot.index if self.snapshot else 0
 
     @property
@@ -54,30 +54,30 @@
 
     @property
     def last_at(self) -> float:
-        """Return the leader's time in the last entry."""
+        """Return the timestamp of the last entry."""
         if self.entries:
             return self.entries[-1].at
         return self.snapshot.at if self.snapshot else 0.0
 
     @property
     def membership(self) -> Membership:
-        """Return the membership in force: the last one appended, committed or not."""
+        """Return the current membership: the last appended, committed or not."""
         return self.memberships[-1][1] if self.memberships else Membership()
 
     @property
     def previous_membership(self) -> Membership:
-        """Return the membership that the one in force has changed."""
+        """Return the membership before the current one."""
         return self.memberships[-2][1] if len(self.memberships) > 1 else Membership()
 
     @property
     def membership_index(self) -> int:
-        """Return the index of the membership in force."""
+        """Return the index of the entry with the current membership."""
         return self.memberships[-1][0] if self.memberships else 0
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or nothing where it isn't held.
+        """Return the term of an entry, or `None` if it isn't held.
 
-        Before the first entry stands index zero of term zero, in every log.
+        Every log starts after index zero, which has term zero.
         """
         if index == 0:
             return 0
@@ -88,11 +88,11 @@
         return None
 
     def entry_at(self, index: int) -> Entry:
-        """Return an entry that is held."""
+        """Return the entry at an index, which must be held."""
         return self.entries[index - self.base_index - 1]
 
     def slice_from(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
-        """Return entries from an index on, at least one, within the bounds."""
+        """Return entries from an index on, at least one, within the limits."""
         start = index - self.base_index - 1
         chosen = []
         size = 0
@@ -104,24 +104,24 @@
         return chosen
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Append entries; a membership among them is in force from now on."""
+        """Append entries; a membership among them takes effect at once."""
         for entry in entries:
             self.entries.append(entry)
             if entry.kind is EntryKind.MEMBERSHIP:
                 self.memberships.append((entry.index, decode_membership(entry.payload)))
 
     def truncate_from(self, index: int) -> None:
-        """Drop an entry and all after it; a membership among them is rolled back."""
+        """Drop an entry and all after it, and roll back memberships among them."""
         del self.entries[index - self.base_index - 1 :]
         self.memberships = [m for m in self.memberships if m[0] < index]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership that was in force at an index."""
+        """Return the membership that was current at an index."""
         known = [m for at, m in self.memberships if at <= index]
         return known[-1] if known else Membership()
 
     def compact(self, snapshot: Snapshot, keep_from: int) -> None:
-        """Let a snapshot of the own state stand for the entries before an index."""
+        """Set a snapshot of the own state, and drop the entries before an index."""
         self.snapshot = snapshot
         base = max(keep_from - 1, self.base_index)
         base_term = self.term_at(base)
@@ -132,7 +132,7 @@
         self.memberships = [(snapshot.index, snapshot.membership), *later]
 
     def reset_to_snapshot(self, snapshot: Snapshot) -> None:
-        """Begin anew after a snapshot from elsewhere, without any entry."""
+        """Replace the whole log by a snapshot."""
         self.snapshot = snapshot
         self.entries = []
         self.base_index = snapshot.index
@@ -150,7 +150,7 @@
         return term, first
 
     def last_index_of_term(self, term: int, max_index: int) -> int | None:
-        """Return the last index, up to a bound, whose entry has a term."""
+        """Return the last index up to `max_index` with a term, or `None`."""
         for index in range(min(max_index, self.last_index), self.base_index - 1, -1):
             found = self.term_at(index)
             if found == term:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -1,4 +1,4 @@
-"""Change the membership one replica at a time."""
+"""Change the membership of the cluster by one replica at a time."""
 
 from cowslipshelf_core.internal.agreement.events import (
     AddReplica,
@@ -18,7 +18,7 @@
 
 
 def on_membership_proposed(state: ReplicaState, event: MembershipProposed) -> None:
-    """Put a change into the log, or refuse it with the reason."""
+    """Append a membership change, or refuse it with a reason."""
     proposed = change_membership(state.membership, event.change)
     if proposed is None:
         state.refuse(event.proposal_id, ProposalRefusal.BAD_MEMBERSHIP)
@@ -31,7 +31,7 @@
 def change_membership(
     current: Membership, change: MembershipChange
 ) -> Membership | None:
-    """Return the membership after a change, or nothing where it makes no sense."""
+    """Return the membership after a change, or `None` if the change is invalid."""
     match change:
         case AddReplica(replica_id):
             if replica_id in current.replicas:
@@ -46,7 +46,7 @@
 
 
 def without_instance(membership: Membership, instance: str) -> Membership:
-    """Leave out the replica of an instance, whatever its folder."""
+    """Return a membership without the replica of an instance, whatever its folder."""
     return Membership(
         tuple(r for r in membership.voters if r.instance != instance),
         tuple(r for r in membership.learners if r.instance != instance),
@@ -54,11 +54,11 @@
 
 
 def can_change_to(state: ReplicaState, proposed: Membership) -> bool:
-    """Tell whether the change before is whole and the next one can commit.
+    """Return whether the previous change is complete and the next one can commit.
 
-    Two changes under way at once could each be committed by a quorum that shares
-    no voter with the other's. And a voter removed while too few of the others
-    have caught up would leave the committed entries on less than a quorum.
+    Two changes at once could be committed by two quorums that share no voter. And
+    removing a voter while too few of the others have caught up would leave committed
+    entries on less than a quorum.
     """
     waiting = set(state.membership.learners) & set(proposed.learners)
     if waiting or not is_membership_committed(state):
@@ -72,18 +72,18 @@
 
 
 def is_membership_committed(state: ReplicaState) -> bool:
-    """Tell whether this term and the membership in force are both committed."""
+    """Return whether the term's no-op and the current membership are committed."""
     needed = max(state.leadership.start_index, state.log.membership_index)
     return state.commit_index >= needed
 
 
 def heard_within_lease(state: ReplicaState, progress: PeerProgress) -> bool:
-    """Tell whether a replica has answered within the lease."""
+    """Return whether a replica has answered within the lease."""
     return heard_within(state, progress, state.lease_seconds)
 
 
 def heard_within(state: ReplicaState, progress: PeerProgress, seconds: float) -> bool:
-    """Tell whether a replica has answered within a time."""
+    """Return whether a replica has answered within some seconds."""
     heard = progress.heard_at
     return heard is not None and state.now - heard <= seconds
 
@@ -91,7 +91,7 @@
 def append_membership(
     state: ReplicaState, membership: Membership, proposal_id: str, at: float
 ) -> None:
-    """Append a membership, which counts from here on, committed or not."""
+    """Append a membership, which takes effect at once, committed or not."""
     entry = state.append_as_leader(
         EntryKind.MEMBERSHIP, encode_membership(membership), proposal_id, at
     )
@@ -106,7 +106,7 @@
 
 
 def promote_learner(state: ReplicaState) -> None:
-    """Give a learner its vote once it holds everything committed, synced."""
+    """Make a learner a voter once it has synced every committed entry."""
     if not state.membership.learners or not is_membership_committed(state):
         return
     for learner in state.membership.learners:
@@ -120,16 +120,16 @@
 
 
 def with_promoted(membership: Membership, learner: ReplicaId) -> Membership:
-    """Move a learner to the voters."""
+    """Return a membership with a learner moved to the voters."""
     learners = tuple(r for r in membership.learners if r != learner)
     return Membership((*membership.voters, learner), learners)
 
 
 def admit_learner(state: ReplicaState, newcomer: ReplicaId) -> None:
-    """Take in an empty replica that the settings know, when its turn comes.
+    """Add an empty replica as a learner, if its instance may join.
 
-    It asks again and again, so a request that comes while another change is
-    under way is let go; the next one finds the way free.
+    A request that arrives during another change is ignored, since the replica
+    repeats it.
     """
     known = newcomer.instance in state.replica_instances
     if not known and not state.config.open_membership:
@@ -140,11 +140,11 @@
 
 
 def remove_silent_voter(state: ReplicaState) -> None:
-    """Remove a voter that stays silent although there are enough others.
+    """Remove the one silent voter of an open cluster that has more than needed.
 
-    An instance that is gone for good would count in every quorum until an operator
-    removed it, and the next loss would stop all changes. Only where open membership
-    has brought more voters than needed, and all the others are heard.
+    A lost instance would otherwise count in every quorum until an operator removed
+    it, and the next loss could stop all changes. Nothing is removed while more than
+    one voter is silent.
     """
     config = state.config
     voters = state.membership.voters
--- a/packages/core/src/cowslipshelf_core/internal/agreement/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between replicas and towards them."""
+"""Define the messages between replicas, and from their clients."""
 
 from enum import StrEnum
 
@@ -8,31 +8,32 @@
 
 
 class ProposalRefusal(StrEnum):
-    """Say why a proposal got no outcome, and whether it may still take effect."""
+    """Define why a proposal got no outcome, and whether it may still take effect."""
 
     NOT_LEADER = "not_leader"
-    """It never entered the log; another replica leads."""
+    """Not appended: another replica leads."""
     NO_QUORUM = "no_quorum"
-    """It never entered the log; no leader with a quorum is known."""
+    """Not appended: no leader with a quorum is known."""
     OVERLOADED = "overloaded"
-    """It never entered the log; too many proposals wait for their commit."""
+    """Not appended: too many proposals wait for their commit."""
     TRANSFERRING = "transferring"
-    """It never entered the log; the leader is handing over."""
+    """Not appended: the leader is transferring its leadership."""
     MEMBERSHIP_BUSY = "membership_busy"
-    """It never entered the log; the membership change before it is not whole."""
+    """Not appended: the previous membership change is not complete."""
     BAD_MEMBERSHIP = "bad_membership"
-    """It never entered the log; the change makes no sense for this membership."""
+    """Not appended: the change is invalid for the current membership."""
     DISK_FAILED = "disk_failed"
-    """It never entered the log; the replica's disk has failed."""
+    """Not appended: the disk of the replica has failed."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It entered a log and may be committed or lost."""
+    """Appended to a log, and may still be committed or lost."""
 
 
 class ReplicaMessage(Message, frozen=True):
-    """Begin every message between replicas.
+    """Hold the fields that all messages between members of a cluster share.
 
-    Both ends are named by their data folders, so that nothing meant for a disk
-    that was wiped reaches its successor, and nothing that it sent is counted.
+    Sender and recipient are identified by their data folders. So a message for a
+    disk that was wiped is not taken by the new disk, and late messages of the old
+    disk are not counted.
     """
 
     sender_folder: str
@@ -42,19 +43,19 @@
 
 
 class VoteAsked(ReplicaMessage, frozen=True):
-    """Ask for a vote, or, as a pre-vote, whether one would be given."""
+    """Ask for a vote, or, as a pre-vote, whether it would be granted."""
 
     last_index: int
     last_term: int
     pre_vote: bool
     transfer: bool = False
-    """True where the leader itself asked for this election."""
+    """Whether the leader itself asked for this election."""
     sync_ms: int = 0
-    """Time that the sender's disk takes to make a vote durable."""
+    """Time that the sender expects its disk to take for a sync."""
 
 
 class VoteAnswered(ReplicaMessage, frozen=True):
-    """Answer a vote or pre-vote."""
+    """Answer a request for a vote or pre-vote."""
 
     granted: bool
     pre_vote: bool
@@ -62,7 +63,7 @@
 
 
 class AppendEntries(ReplicaMessage, frozen=True):
-    """Carry entries that follow a known one; without entries, be a heartbeat."""
+    """Send entries that follow a previous one; without entries, a heartbeat."""
 
     previous_index: int
     previous_term: int
@@ -73,7 +74,7 @@
 
 
 class EntriesAppended(ReplicaMessage, frozen=True):
-    """Say up to which index the sender's synced log equals the leader's."""
+    """Confirm up to which index the sender's synced log equals the leader's."""
 
     match_index: int
     read_round: int
@@ -81,18 +82,18 @@
 
 
 class AppendRefused(ReplicaMessage, frozen=True):
-    """Say that the log differs at the previous entry, and where to go back to."""
+    """Report that the log differs at the previous entry, and where to retry."""
 
     previous_index: int
     read_round: int
     conflict_term: int
-    """Term at the previous index; zero where the log is shorter."""
+    """Term at the previous index; zero if the log is shorter."""
     conflict_index: int
     """First index of that term, or one past the end of the log."""
 
 
 class InstallSnapshot(ReplicaMessage, frozen=True):
-    """Carry one chunk of a snapshot."""
+    """Send one chunk of a snapshot."""
 
     snapshot_index: int
     snapshot_term: int
@@ -105,7 +106,7 @@
 
 
 class SnapshotReceived(ReplicaMessage, frozen=True):
-    """Say from which offset on the snapshot is still missing."""
+    """Report the offset of the next chunk of a snapshot."""
 
     snapshot_index: int
     next_offset: int
@@ -113,39 +114,39 @@
 
 
 class ReadIndexAsked(ReplicaMessage, frozen=True):
-    """Ask the leader from which index on a read may be answered."""
+    """Ask the leader for the lowest index at which a read may be answered."""
 
     read_id: str
 
 
 class ReadIndexAnswered(ReplicaMessage, frozen=True):
-    """Say that a quorum has confirmed the leader after the question."""
+    """Return the read index, after a quorum has confirmed the leader."""
 
     read_id: str
     index: int
 
 
 class TimeoutNow(ReplicaMessage, frozen=True):
-    """Ask the recipient to stand for election at once."""
+    """Ask the recipient to start an election at once."""
 
 
 class JoinAsked(Message, frozen=True):
-    """Ask to be taken in."""
+    """Ask to be added to the cluster."""
 
     sender_folder: str
     cluster: str
-    """Empty where the sender's data folder is."""
+    """Empty if the sender's data folder is empty."""
 
 
 class JoinAnswered(Message, frozen=True):
-    """Say that the answering data folder is empty as well."""
+    """Answer that the data folder of the sender is empty as well."""
 
     sender_folder: str
     recipient_folder: str
 
 
 class Propose(Message, frozen=True):
-    """Ask a replica to put a command into the log; safe commands only are resent."""
+    """Ask a replica to append a command; the command must be safe to repeat."""
 
     proposal_id: str
     command: bytes
@@ -156,7 +157,7 @@
 
     proposal_id: str
     index: int
-    """Index at which the command was applied; zero where it was refused."""
+    """Index at which the command was applied; zero if it was refused."""
     outcome: bytes
     refusal: ProposalRefusal | None = None
     leader: InstanceId | None = None
--- a/packages/core/src/cowslipshelf_core/internal/agreement/progress.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/progress.py
@@ -1,4 +1,4 @@
-"""Hold what a leader knows of the other replicas and of what waits for them."""
+"""Track the progress of followers, and the reads and proposals that wait for them."""
 
 from dataclasses import dataclass, field
 
@@ -7,33 +7,33 @@
 
 @dataclass(slots=True)
 class PeerProgress:
-    """Follow how far one replica's log has come."""
+    """Track how much of the log one replica has."""
 
     next_index: int
     heard_at: float | None = None
     match_index: int = 0
     read_round: int = 0
     probing: bool = True
-    """True until the replica has confirmed a common entry."""
+    """Whether the last common entry is still unknown."""
     in_flight: list[int] = field(default_factory=list)
-    """Last index of each message with entries that is not answered yet."""
+    """Last index of each unanswered message with entries."""
     last_progress_at: float = 0.0
-    """When entries or chunks were last sent or confirmed."""
+    """When entries or chunks were last sent or confirmed, in replica time."""
     sent_commit_index: int = 0
-    """Commit index in the last message to the replica."""
+    """Commit index that the last message let the replica apply."""
     snapshot: Snapshot | None = None
     """The snapshot that is being sent in chunks."""
     snapshot_offset: int = 0
-    """Offset of the chunk that is not answered yet."""
+    """Offset of the unanswered chunk, in bytes."""
 
     def probe_from(self, next_index: int) -> None:
-        """Find the common entry anew, one message at a time."""
+        """Search for the last common entry again, with one message at a time."""
         self.next_index = next_index
         self.probing = True
         self.in_flight.clear()
 
     def confirm(self, match_index: int, now: float) -> None:
-        """Note that the replica's synced log equals the leader's up to an index."""
+        """Record that the replica's synced log equals the leader's up to an index."""
         if match_index > self.match_index:
             self.match_index = match_index
             self.last_progress_at = now
@@ -43,28 +43,30 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """Be a read that waits until a quorum has confirmed the leader."""
+    """Hold a read that waits until a quorum has confirmed the leader."""
 
     read_id: str
     read_round: int
     index: int
     asked_by: ReplicaId | None = None
-    """The replica that forwarded the read; nothing where it was asked here."""
+    """Replica that forwarded the read; `None` if it was requested here."""
 
 
 @dataclass(slots=True)
 class Leadership:
-    """Be what a replica keeps only while it leads."""
+    """Hold the state that a replica has only while it leads."""
 
     start_index: int
-    """Index of the no-op that began the term."""
+    """Index of the no-op at the start of the term."""
     began_at: float
     heartbeat_due: float
     term_is_durable: bool = False
-    """Whether the term was synced by an earlier batch than the present one."""
+    """Whether a batch before the current one has synced the term."""
     peers: dict[ReplicaId, PeerProgress] = field(default_factory=dict)
     proposals: dict[int, str] = field(default_factory=dict)
+    """Ids of uncommitted proposals, by index."""
     reads: list[PendingRead] = field(default_factory=list)
     read_round: int = 0
+    """Number of the last round of heartbeats that confirms reads."""
     transfer_target: ReplicaId | None = None
     transfer_deadline: float = 0.0
--- a/packages/core/src/cowslipshelf_core/internal/agreement/proposal_client.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/proposal_client.py
@@ -1,4 +1,4 @@
-"""Bring commands from any entry instance to the leader."""
+"""Send commands from any instance to the leader."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -15,21 +15,23 @@
 
 
 class ProposalClientConfig(NamedTuple):
-    """Set where proposals go and how patient the client is."""
+    """Configure the replicas, timeouts and backoff of a proposal client."""
 
     replicas: tuple[InstanceId, ...]
     answer_timeout_seconds: float = 1.0
-    """Silence after which a proposal is sent to another replica."""
+    """Time without an answer after which another replica is tried."""
     min_bytes_per_second: float = 200_000
-    """Pace at which a large proposal travels at least; its answer may take so much
-    longer. A sixth of a link of 10 Mbit/s: one of 100 kB is given 0.5 s more."""
+    """Minimum transfer rate by which the timeout of a large proposal is extended.
+
+    A sixth of a 10 Mbit/s link: 100 kB extend the timeout by 0.5 s.
+    """
     initial_backoff_seconds: float = 0.02
     max_backoff_seconds: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class CommandSubmitted:
-    """Ask for a command to be committed before a time (monotonic seconds)."""
+    """Ask for a command to be committed before a deadline in monotonic seconds."""
 
     proposal_id: str
     command: bytes
@@ -38,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalResultArrived:
-    """Bring a replica's answer."""
+    """Deliver the answer of a replica."""
 
     sender: InstanceId
     result: ProposalResult
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderSeen:
-    """Tell who leads, as a replica of this process reports it."""
+    """Report the leader, as the replica in this process knows it."""
 
     leader: InstanceId | None
 
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalAnswered:
-    """Bring the outcome of a command that was applied."""
+    """Return the outcome of a command that was applied."""
 
     proposal_id: str
     index: int
@@ -67,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalFailed:
-    """Give up a proposal at its deadline.
+    """Report that a proposal has no outcome at its deadline.
 
-    With `may_take_effect`, nobody can say whether the command was, or will be,
-    applied; without it, every replica that was asked has refused it.
+    With `may_take_effect`, the command may have been or may still be applied.
+    Without it, every replica that was asked has refused it.
     """
 
     proposal_id: str
@@ -78,9 +80,9 @@
     last_refusal: ProposalRefusal | None
     last_asked: InstanceId | None
     attempts: int = 0
-    """How often it was sent."""
+    """How many times it was sent."""
     leader: InstanceId | None = None
-    """Who was believed to lead at the end."""
+    """Instance assumed to be the leader at the deadline."""
 
 
 ProposalClientEffect = SendTo | ProposalAnswered | ProposalFailed
@@ -88,16 +90,16 @@
 
 @dataclass(slots=True)
 class Submission:
-    """Be one command on its way."""
+    """Track one command until it is answered or its deadline passes."""
 
     proposal_id: str
     command: bytes
     deadline: float
     due: float
-    """When to send next."""
+    """When to send it again, in monotonic seconds."""
     attempts: int = 0
     awaiting: InstanceId | None = None
-    """The replica whose answer is waited for."""
+    """Replica whose answer is outstanding."""
     last_asked: InstanceId | None = None
     last_refusal: ProposalRefusal | None = None
     may_take_effect: bool = False
@@ -105,11 +107,11 @@
 
 @dataclass(slots=True)
 class ProposalClient:
-    """Send commands to the believed leader until one answers or time is up.
+    """Send commands to the assumed leader until they are answered or expire.
 
-    A command may be sent, and so committed, more than once: replicas remove no
-    duplicates. Whoever proposes gives each command an id by which the state that
-    it is applied to recognises a copy and answers it as it did the first.
+    A command may be sent, and so committed, more than once, since replicas don't
+    remove duplicates. Each command must have an id by which the state machine
+    recognises a copy and returns the outcome of the first.
     """
 
     config: ProposalClientConfig
@@ -119,7 +121,7 @@
 
     @classmethod
     def from_config(cls, config: ProposalClientConfig) -> "ProposalClient":
-        """Create a client that knows no leader yet."""
+        """Create a client without a known leader."""
         return cls(config, config.replicas)
 
     def handle(
@@ -142,7 +144,7 @@
                 return self.tick(now, random)
 
     def tick(self, now: float, random: Random) -> list[ProposalClientEffect]:
-        """Send what is due again, and give up what is late."""
+        """Resend commands that are due, and fail those past their deadline."""
         effects = []
         for submission in list(self.submissions.values()):
             if now >= submission.deadline:
@@ -158,7 +160,7 @@
         return effects
 
     def describe_failure(self, submission: Submission) -> ProposalFailed:
-        """Describe how a submission ended without an outcome."""
+        """Return the failure of a submission that has no outcome."""
         unanswered = submission.awaiting is not None
         return ProposalFailed(
             submission.proposal_id,
@@ -172,7 +174,7 @@
     def send(
         self, submission: Submission, now: float, random: Random
     ) -> list[ProposalClientEffect]:
-        """Send a submission to the leader or, where none is known, to anybody."""
+        """Send a submission to the leader, or to any replica if none is known."""
         if submission.awaiting is not None:
             submission.may_take_effect = True
         target = self.leader or self.choose_replica(submission, random)
@@ -181,8 +183,8 @@
             return []
         submission.attempts += 1
         submission.awaiting = submission.last_asked = target
-        travels = len(submission.command) / self.config.min_bytes_per_second
-        submission.due = now + self.config.answer_timeout_seconds + travels
+        transfer_seconds = len(submission.command) / self.config.min_bytes_per_second
+        submission.due = now + self.config.answer_timeout_seconds + transfer_seconds
         return [SendTo(target, Propose(submission.proposal_id, submission.command))]
 
     def choose_replica(
@@ -193,14 +195,14 @@
         return random.choice(others or [*self.replicas]) if self.replicas else None
 
     def backoff(self, submission: Submission, random: Random) -> float:
-        """Return a growing pause with jitter, in seconds."""
-        grown = self.config.initial_backoff_seconds * 2 ** min(submission.attempts, 16)
-        return random.uniform(0.5, 1.0) * min(grown, self.config.max_backoff_seconds)
+        """Return an exponential backoff with jitter, in seconds."""
+        delay = self.config.initial_backoff_seconds * 2 ** min(submission.attempts, 16)
+        return random.uniform(0.5, 1.0) * min(delay, self.config.max_backoff_seconds)
 
     def handle_result(
         self, sender: InstanceId, result: ProposalResult, now: float, random: Random
     ) -> list[ProposalClientEffect]:
-        """Finish a submission by its outcome, or send it elsewhere after a refusal."""
+        """Finish a submission with its outcome, or retry it after a refusal."""
         submission = self.submissions.get(result.proposal_id)
         if submission is None:
             return []
@@ -211,9 +213,9 @@
         submission.last_refusal = result.refusal
         if result.refusal is ProposalRefusal.OUTCOME_UNKNOWN:
             submission.may_take_effect = True
-        # A late refusal, by a replica asked earlier, says nothing of the one that
-        # is asked now; taken for its answer, an overloaded leader would be sent one
-        # copy more for each of them.
+        # A late refusal by a replica asked earlier is not the answer of the one asked
+        # now. Retrying after it would send an overloaded leader one more copy each
+        # time.
         if submission.awaiting != sender:
             return []
         submission.awaiting = None
@@ -228,10 +230,10 @@
     def handle_leader_change(
         self, leader: InstanceId | None, now: float, random: Random
     ) -> list[ProposalClientEffect]:
-        """Send at once what the new leader has not been asked for.
+        """Send the new leader all submissions that it was not sent yet.
 
-        What was sent to the former one may never be answered: it is dead, or cut off.
-        Waiting for its answer would add the whole patience to every fail-over.
+        The former leader may be dead or partitioned and never answer. Waiting for it
+        would add the whole answer timeout to every failover.
         """
         self.leader = leader
         if leader is None:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
@@ -1,4 +1,4 @@
-"""Confirm reads: at the leader by a round of heartbeats, elsewhere by the leader."""
+"""Confirm linearizable reads with a round of heartbeats (Raft's read index)."""
 
 from cowslipshelf_core.internal.agreement.effects import ReadConfirmed, ReadFailed
 from cowslipshelf_core.internal.agreement.events import ReadAsked
@@ -12,7 +12,7 @@
 
 
 def on_read_asked(state: ReplicaState, event: ReadAsked) -> None:
-    """Have a read confirmed here, or by the leader that this replica follows."""
+    """Queue a read as the leader, or forward it to the leader."""
     if state.leadership is not None:
         queue_read(state, event.read_id, asked_by=None)
         return
@@ -26,17 +26,17 @@
 
 
 def leader_replica(state: ReplicaState) -> ReplicaId | None:
-    """Return the replica that leads, where this one knows it."""
+    """Return the identity of the leader, or `None` if it is not known."""
     replicas = state.membership.replicas
     return next((r for r in replicas if r.instance == state.leader), None)
 
 
 def queue_read(state: ReplicaState, read_id: str, asked_by: ReplicaId | None) -> None:
-    """Remember a read for the next round of heartbeats.
+    """Queue a read for the next round of heartbeats.
 
-    The round must begin after the question: an earlier one proves only that the
-    leader was still in charge before it. Earlier leaders may have committed up to
-    just before the own no-op, so no read is answered from below that.
+    The round must start after the request: an earlier one proves only that the
+    leader was in office before it. Earlier leaders may have committed entries up to
+    the own no-op, so the read index is at least that of the no-op.
     """
     leadership = state.leadership
     index = max(state.commit_index, leadership.start_index)
@@ -45,7 +45,7 @@
 
 
 def answer_read(state: ReplicaState, read: PendingRead) -> None:
-    """Confirm a read here, or tell the replica that asked from where it may read."""
+    """Confirm a read here, or send the read index to the replica that asked."""
     if read.asked_by is None:
         state.effects.append(ReadConfirmed(read.read_id, read.index))
         return
@@ -53,16 +53,16 @@
 
 
 def on_read_index_answered(state: ReplicaState, message: ReadIndexAnswered) -> None:
-    """Note the index from which on a forwarded read may be answered."""
+    """Record the read index of a forwarded read."""
     read = state.forwarded_reads.get(message.read_id)
     if read is not None:
         read.index = message.index
 
 
 def resolve_forwarded_reads(state: ReplicaState) -> None:
-    """Confirm what is applied up to its index, and fail what waited too long.
+    """Confirm forwarded reads whose index is committed, and fail expired ones.
 
-    The question or the answer may be lost, or the leader may have stepped down.
+    The request or the answer may be lost, or the leader may have stepped down.
     """
     for read_id, read in list(state.forwarded_reads.items()):
         if read.index is not None and read.index <= state.commit_index:
@@ -74,14 +74,14 @@
 
 
 def needs_new_round(state: ReplicaState) -> bool:
-    """Tell whether reads wait and no round is under way for others."""
+    """Return whether reads wait for a round that has not started, and none runs."""
     leadership = state.leadership
     rounds = {read.read_round for read in leadership.reads}
     return bool(rounds) and min(rounds) > leadership.read_round
 
 
 def confirm_reads(state: ReplicaState) -> None:
-    """Answer the reads whose round a quorum has answered."""
+    """Answer the reads whose round was confirmed by a quorum."""
     leadership = state.leadership
     if not leadership.reads:
         return
@@ -94,8 +94,8 @@
         }
         if leadership.read_round >= read.read_round:
             confirmed_by.add(state.replica_id)
-        whole = state.membership.is_quorum(confirmed_by)
-        if whole and state.commit_index >= read.index:
+        confirmed = state.membership.is_quorum(confirmed_by)
+        if confirmed and state.commit_index >= read.index:
             answer_read(state, read)
         else:
             waiting.append(read)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/records.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/records.py
@@ -1,4 +1,4 @@
-"""Define what replicas store and agree on."""
+"""Define the records of the replicated log and of the data folder."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -9,10 +9,11 @@
 
 
 class ReplicaId(NamedTuple):
-    """Name a replica by its instance and by the data folder that it writes to.
+    """Identify a replica by its instance and its data folder.
 
-    A wiped disk gets a new folder identity and so is another replica: it can
-    neither vote nor be counted for what the old folder had promised.
+    A wiped disk gets a new folder identity and so is another replica: it can't vote
+    in place of the old one, and the old one's votes and acknowledgements don't count
+    for it.
     """
 
     instance: InstanceId
@@ -20,28 +21,28 @@
 
 
 class Membership(NamedTuple):
-    """List the replicas: voters count for a quorum, learners only catch up."""
+    """List the replicas: voters count for a quorum, learners only replicate."""
 
     voters: tuple[ReplicaId, ...] = ()
     learners: tuple[ReplicaId, ...] = ()
 
     @property
     def replicas(self) -> tuple[ReplicaId, ...]:
-        """Return voters and learners."""
+        """Return the voters and the learners."""
         return self.voters + self.learners
 
     @property
     def quorum(self) -> int:
-        """Return how many voters decide."""
+        """Return how many voters are a majority."""
         return len(self.voters) // 2 + 1
 
     def is_quorum(self, replicas: set[ReplicaId]) -> bool:
-        """Tell whether enough of the given replicas are voters."""
+        """Return whether the given replicas include a majority of the voters."""
         return bool(self.voters) and len(replicas & set(self.voters)) >= self.quorum
 
 
 class EntryKind(IntEnum):
-    """Tell what an entry of the log is for."""
+    """Define the kinds of log entries."""
 
     NO_OP = 0
     COMMAND = 1
@@ -49,28 +50,28 @@
 
 
 class Entry(NamedTuple):
-    """Be one entry of the replicated log."""
+    """Hold one entry of the replicated log."""
 
     index: int
     term: int
     at: float
-    """Seconds since 1970 by the leader's clock; it never falls along the log."""
+    """Seconds since 1970 by the leader's clock; never decreases along the log."""
     kind: EntryKind
     payload: bytes = b""
     proposal_id: str = ""
 
 
 class HardState(NamedTuple):
-    """Be what a replica must not forget between two votes."""
+    """Hold what must survive a restart besides the log: term, vote and cluster."""
 
     term: int = 0
     voted_for: ReplicaId | None = None
     cluster: str = ""
-    """Identity of the cluster joined for good; empty before that."""
+    """Identity of the cluster, set once when joined; empty before that."""
 
 
 class Snapshot(NamedTuple):
-    """Stand for all entries up to an index."""
+    """Hold the state that results from all entries up to an index."""
 
     index: int
     term: int
@@ -80,7 +81,7 @@
 
 
 class StoredState(NamedTuple):
-    """Be everything that a data folder holds when a replica starts."""
+    """Hold the content of a data folder when a replica starts."""
 
     replica_id: ReplicaId
     hard_state: HardState = HardState()
@@ -89,10 +90,10 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """Return the payload of a membership entry."""
+    """Encode the payload of a membership entry."""
     return msgspec.msgpack.encode(membership)
 
 
 def decode_membership(payload: bytes) -> Membership:
-    """Read the payload of a membership entry."""
+    """Decode the payload of a membership entry."""
     return msgspec.msgpack.decode(payload, type=Membership)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/recovery.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/recovery.py
@@ -1,4 +1,4 @@
-"""Let operators go on after the loss of a quorum for good."""
+"""Let operators recover a cluster after the permanent loss of a quorum."""
 
 from typing import NamedTuple
 
@@ -14,28 +14,28 @@
 )
 
 FORCED_TERM_STEP = 1000
-"""More than any election that the lost replicas may have held meanwhile."""
+"""Exceeds the terms of all elections that the lost replicas may have held since."""
 
 FORCED_PROPOSAL_PREFIX = "forced-members:"
 
 FORCED_MEMBERS_WARNING = (
-    "This replica becomes the only member of a new cluster that goes on from its "
-    "log. Every change that it had not received is lost, even where a caller or "
+    "This replica becomes the only member of a new cluster that continues from its "
+    "log. Every change that it had not received is lost, even if a caller or "
     "operator was told that it was accepted. Entries that were never accepted may "
-    "come into force. Stop all other replicas first and wipe their data folders; "
-    "they are refused until then, and join again as new ones."
+    "take effect. Stop all other replicas first and wipe their data folders; they "
+    "are refused until then, and join again as new replicas."
 )
 
 
 class ForcedMembership(NamedTuple):
-    """Be what to write into the data folder, and what the operator must know."""
+    """Hold what to write to the data folder, and a warning for the operator."""
 
     persist: Persist
     warning: str
 
 
 def forced_by(entry: Entry) -> OperatorName | None:
-    """Name the operator who forced the membership that an entry carries, if so."""
+    """Return the operator who forced the membership in an entry, or `None`."""
     forced = entry.kind is EntryKind.MEMBERSHIP and entry.proposal_id.startswith(
         FORCED_PROPOSAL_PREFIX
     )
@@ -49,10 +49,9 @@
 ) -> ForcedMembership:
     """Make a stopped replica the only member of a new cluster.
 
-    `cluster` is a fresh identity: the replicas that were thought lost still carry
-    the old one, so that they can't take part again with their other history. The
-    change stands in the log with the operator's name, for the audit trail. `at`
-    is in seconds since 1970.
+    `cluster` is a new identity. Replicas that were wrongly assumed lost still have
+    the old one, so they can't take part with a diverged log. The entry names the
+    operator, for the audit trail. `at` is in seconds since 1970.
     """
     log = ReplicaLog.from_stored(stored)
     term = max(stored.hard_state.term, log.last_term) + FORCED_TERM_STEP
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -1,4 +1,4 @@
-"""Take part in the agreement on one log."""
+"""Dispatch events and messages to the parts of a replica."""
 
 from collections.abc import Iterable
 from random import Random
@@ -55,7 +55,7 @@
 
 
 class ReplicaStatus(NamedTuple):
-    """Describe a replica to operators."""
+    """Describe the state of a replica to operators."""
 
     replica_id: ReplicaId
     role: Role
@@ -65,24 +65,25 @@
     last_index: int
     membership: Membership
     follower_lag: tuple[tuple[ReplicaId, int], ...]
-    """Entries that each follower has yet to confirm, as its leader sees it."""
+    """Entries that each follower has not confirmed yet, if this replica leads."""
     failure: str
+    """Why the disk failed; empty if it did not."""
     sync_seconds: float
-    """Time that its disk is expected to take for a batch."""
+    """Expected time to make a batch durable."""
 
 
 class Replica:
-    """Decide, without input or output, what one replica does."""
+    """Turn events into effects for one replica, without input or output."""
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
 
     @classmethod
     def from_config(cls, config: ReplicaConfig, stored: StoredState) -> "Replica":
-        """Start a replica from its settings and what its folder holds.
+        """Create a replica from its configuration and the content of its data folder.
 
-        The caller puts the state of the stored snapshot in force by itself; the
-        first entry committed here is the one after it.
+        The caller restores the state machine from the stored snapshot; the first
+        `Committed` effect is for the entry after it.
         """
         log = ReplicaLog.from_stored(stored)
         return cls(
@@ -97,7 +98,7 @@
         )
 
     def status(self) -> ReplicaStatus:
-        """Return what operators may want to see."""
+        """Return the status of this replica."""
         state = self.state
         peers = state.leadership.peers if state.leadership else {}
         return ReplicaStatus(
@@ -123,7 +124,7 @@
     def handle_batch(
         self, events: Iterable[Event], now: float, random: Random
     ) -> list[Effect]:
-        """Handle the events that wait, with one message per follower for them all."""
+        """Handle a batch of events, and send followers messages once for all."""
         state = self.state
         state.advance_clock(now)
         state.random = random
@@ -141,11 +142,11 @@
         return effects
 
     def sync_ended(self, seconds: float, with_vote: bool) -> None:
-        """Take in how long the effects of the last batch took to be durable."""
+        """Record how long the last batch took to become durable."""
         self.state.sync_ended(seconds, with_vote)
 
     def dispatch(self, event: Event) -> None:
-        """Handle one event; a replica whose disk has failed only refuses."""
+        """Handle one event; with a failed disk, only refuse proposals and reads."""
         state = self.state
         match event:
             case CommandProposed() | MembershipProposed():
@@ -171,7 +172,7 @@
                 self.fail(reason)
 
     def propose(self, event: CommandProposed | MembershipProposed) -> None:
-        """Take a proposal as the leader, or refuse it."""
+        """Accept a proposal as the leader, or refuse it."""
         state = self.state
         refusal = leading.refusal_reason(state)
         if refusal is not None:
@@ -182,7 +183,7 @@
             membership.on_membership_proposed(state, event)
 
     def tick(self) -> None:
-        """Do what the time demands."""
+        """Handle the timers that are due."""
         state = self.state
         if state.leadership is not None:
             leading.on_tick(state)
@@ -193,7 +194,7 @@
             bootstrap.request_join_when_due(state)
 
     def fail(self, reason: str) -> None:
-        """Take no further part: what was handled since the last sync may be lost."""
+        """Stop taking part, since everything after the last sync may be lost."""
         state = self.state
         state.become_follower(state.term, None)
         state.failure = reason
@@ -212,11 +213,11 @@
                     self.receive_from_peer(peer, message)
 
     def accept(self, message: ReplicaMessage) -> bool:
-        """Tell whether a message is for this folder and from this cluster.
+        """Return whether a message is for this folder and from its cluster.
 
-        An empty folder joins the cluster that first asks something binding of it,
-        for good: a message of another cluster can then do no harm here. A pre-vote
-        binds nobody, and an empty folder answers it without a cluster.
+        An empty folder joins the cluster of the first message that would change its
+        state, permanently, so that messages of other clusters are rejected from then
+        on. A pre-vote changes no state and is answered without joining.
         """
         state = self.state
         if message.recipient_folder != state.replica_id.folder:
@@ -234,12 +235,12 @@
         return False
 
     def receive_from_peer(self, peer: ReplicaId, message: ReplicaMessage) -> None:
-        """Bring the own term up to the message's, then handle it."""
+        """Adopt the term of a message if it is newer, then handle the message."""
         state = self.state
         self.record_sync_time(peer, message)
         if isinstance(message, VoteAsked):
-            # A replica that lost touch must not depose a leader that the others
-            # still hear; its wish is ignored, term and all.
+            # A replica that lost contact must not depose a leader that others still
+            # hear; its request is ignored, including its term.
             if elections.follows_active_leader(state) and not message.transfer:
                 return
             if message.term > state.term and not message.pre_vote:
@@ -268,7 +269,7 @@
                 self.on_follower_answer(peer, message)
 
     def record_sync_time(self, peer: ReplicaId, message: ReplicaMessage) -> None:
-        """Note how slow another replica's disk is."""
+        """Record the sync time that another replica reports of its disk."""
         match message:
             case VoteAsked() | VoteAnswered() | AppendEntries() | EntriesAppended():
                 times = self.state.sync_times
@@ -279,7 +280,7 @@
     def on_leader_message(
         self, leader: ReplicaId, message: AppendEntries | InstallSnapshot
     ):
-        """Follow the leader of this term; tell an older one that it is deposed."""
+        """Follow the leader of the message; refuse it if its term is outdated."""
         state = self.state
         if message.term < state.term:
             state.send(
@@ -304,7 +305,7 @@
         peer: ReplicaId,
         message: EntriesAppended | AppendRefused | SnapshotReceived,
     ) -> None:
-        """Take in a follower's answer, unless it is no member any more."""
+        """Handle the answer of a follower, unless it is no longer a member."""
         leadership = self.state.leadership
         if leadership is None or peer not in leadership.peers:
             return
@@ -319,7 +320,7 @@
                 replication.on_append_refused(self.state, peer, message)
             case SnapshotReceived():
                 snapshots.on_snapshot_received(self.state, peer, message)
-        # What was sent while the replica was away is lost; without this, it would
-        # wait for the next retry, which may have gone out just before its return.
+        # Messages sent while the replica was away are lost. Without this, it would
+        # wait for the next retry, though the last one may be just before its return.
         if returned:
             replication.resend(self.state, peer, progress)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replication.py
@@ -1,4 +1,4 @@
-"""Bring the followers' logs up to the leader's, and commit what a quorum holds."""
+"""Replicate the leader's log to followers, and commit what a quorum has."""
 
 from cowslipshelf_core.internal.agreement.messages import (
     AppendEntries,
@@ -12,10 +12,11 @@
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 MAX_MISSED_HEARTBEATS = 3
+"""Heartbeat intervals without an answer after which a follower counts as silent."""
 
 
 def send_pending(state: ReplicaState) -> None:
-    """Send every replica what its window allows; one call serves a whole batch."""
+    """Send every follower the entries that its window allows, and the commit index."""
     for peer, progress in state.leadership.peers.items():
         fill_window(state, peer, progress)
         send_commit_index(state, peer, progress)
@@ -24,10 +25,10 @@
 def send_commit_index(
     state: ReplicaState, peer: ReplicaId, progress: PeerProgress
 ) -> None:
-    """Let a replica that is up to date apply at once what was committed.
+    """Send a new commit index to a follower that has nothing else to receive.
 
-    It would otherwise learn of it by the next heartbeat. Under load the next
-    entries are under way already and bring the news, so this sends nothing then.
+    It would otherwise apply the entries only after the next heartbeat. Under load,
+    the next messages with entries carry the commit index, and nothing is sent here.
     """
     committed = min(state.commit_index, state.durable_index, progress.match_index)
     if progress.probing or progress.in_flight or progress.snapshot is not None:
@@ -37,7 +38,7 @@
 
 
 def fill_window(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
-    """Send entries until the window is full or the replica has them all."""
+    """Send entries until the window is full or the follower has them all."""
     window = 1 if progress.probing else state.config.max_messages_in_flight
     while progress.next_index <= state.log.last_index:
         if progress.snapshot is not None or len(progress.in_flight) >= window:
@@ -51,7 +52,7 @@
 
 
 def send_entries(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
-    """Send the next entries."""
+    """Send one message with the next entries."""
     entries = state.log.slice_from(
         progress.next_index,
         state.config.max_entries_per_message,
@@ -68,19 +69,19 @@
 def send_append(
     state: ReplicaState, peer: ReplicaId, previous: int, entries: tuple = ()
 ) -> None:
-    """Send entries after a known index, or a heartbeat, beside the own sync.
-
-    The followers' syncs and the leader's then run at the same time. A crash may
-    take the entries from the leader and leave them at the followers, which is as
-    good as any other uncommitted entry, under two conditions: the term is durable,
-    or the leader could use it again for other entries; and the commit index tells
-    only of entries that the leader has synced, which a leader that is a quorum by
-    itself may have run ahead of.
+    """Send entries after a known index, or a heartbeat, during the leader's own sync.
+
+    The leader and the followers then sync at the same time. After a crash, entries
+    may be missing on the leader and present on followers, like any other uncommitted
+    entries. This is safe under two conditions. The term must be durable, since the
+    leader could otherwise reuse it for other entries. And the commit index must not
+    exceed what the leader has synced; a leader that is a quorum by itself may have
+    committed more.
     """
     leadership = state.leadership
     commit_index = min(state.commit_index, state.durable_index)
-    told = min(commit_index, previous + len(entries))
-    leadership.peers[peer].sent_commit_index = told
+    sent = min(commit_index, previous + len(entries))
+    leadership.peers[peer].sent_commit_index = sent
     state.send_in_term(
         state.term,
         peer,
@@ -96,7 +97,7 @@
 
 
 def send_heartbeats(state: ReplicaState) -> None:
-    """Tell every replica that the leader is there, and resend what got lost."""
+    """Send a heartbeat to every follower, and retry what is unanswered for long."""
     state.leadership.heartbeat_due = state.now + state.config.heartbeat_seconds
     for peer, progress in state.leadership.peers.items():
         retry_if_stalled(state, peer, progress)
@@ -104,11 +105,11 @@
 
 
 def heartbeat_index(state: ReplicaState, progress: PeerProgress) -> int:
-    """Return the previous index that a heartbeat names.
+    """Return the previous index of a heartbeat.
 
-    It is the last one sent, so that the heartbeat is refused where entries before
-    it got lost. While a snapshot is sent, it is the last one confirmed; index zero
-    is accepted always and stands in where that is compacted away.
+    It is the last index sent, so that the follower refuses the heartbeat if entries
+    before it were lost. While a snapshot is sent, it is the last one confirmed. If
+    that is compacted, it is zero, which is always accepted.
     """
     candidate = progress.next_index - 1
     if progress.snapshot is not None:
@@ -117,7 +118,7 @@
 
 
 def was_silent(state: ReplicaState, progress: PeerProgress) -> bool:
-    """Tell whether a replica has left several heartbeats without an answer."""
+    """Return whether a replica has not answered several heartbeats."""
     if progress.heard_at is None:
         return False
     silence = state.now - progress.heard_at
@@ -127,14 +128,14 @@
 def retry_if_stalled(
     state: ReplicaState, peer: ReplicaId, progress: PeerProgress
 ) -> None:
-    """Send again what has not been answered for an election timeout."""
-    patience = state.config.election_seconds + state.sync_allowance
-    if state.now - progress.last_progress_at >= patience:
+    """Resend what has not been answered for an election timeout."""
+    timeout = state.config.election_seconds + state.sync_allowance
+    if state.now - progress.last_progress_at >= timeout:
         resend(state, peer, progress)
 
 
 def resend(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
-    """Send again what has not been answered."""
+    """Resend the chunk or the entries that are not answered."""
     if progress.snapshot is None and not progress.in_flight:
         return
     progress.last_progress_at = state.now
@@ -149,7 +150,7 @@
 def on_entries_appended(
     state: ReplicaState, peer: ReplicaId, message: EntriesAppended
 ) -> None:
-    """Take in how far a replica has come."""
+    """Record the progress of a follower, and commit what a quorum has."""
     progress = state.leadership.peers[peer]
     progress.confirm(message.match_index, state.now)
     if progress.snapshot is not None:
@@ -166,15 +167,15 @@
 def on_append_refused(
     state: ReplicaState, peer: ReplicaId, message: AppendRefused
 ) -> None:
-    """Go back to where the logs may agree, a whole term at a time."""
+    """Step back to where the logs may match, a whole term at a time."""
     progress = state.leadership.peers[peer]
     refused = message.previous_index
     if progress.snapshot is not None or refused <= progress.match_index:
         return
     if not progress.probing:
-        # Messages behind a lost one are all refused. Going back by one and
-        # probing means that the refusals still on their way name another index
-        # and are ignored; answering each would send the window many times over.
+        # All messages after a lost one are refused. Once this probes from the last
+        # match, the other refusals have a different index and are ignored; answering
+        # each of them would resend the window many times.
         progress.probe_from(progress.match_index + 1)
         return
     if refused != progress.next_index - 1:
@@ -189,9 +190,9 @@
 def advance_commit(state: ReplicaState) -> None:
     """Commit what a quorum of voters has synced.
 
-    Only an entry of the own term is committed by counting: an older one that a
-    quorum holds can still be overwritten by a leader elected without it. It is
-    committed by the first own entry after it, which rules that leader out.
+    Only an entry of the own term is committed by counting. An older entry on a quorum
+    can still be overwritten by a leader that was elected without it. It is committed
+    together with the first own entry after it, which prevents such an election.
     """
     leadership = state.leadership
     if leadership is None or not state.membership.voters:
@@ -208,7 +209,7 @@
 
 
 def try_transfer(state: ReplicaState) -> None:
-    """Let the chosen successor stand for election once it holds the whole log."""
+    """Ask the chosen successor to start an election once it has the whole log."""
     successor = state.leadership.transfer_target
     progress = state.leadership.peers.get(successor)
     if progress is not None and progress.match_index == state.log.last_index:
--- a/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/snapshots.py
@@ -13,7 +13,7 @@
 
 
 def on_snapshot_taken(state: ReplicaState, event: SnapshotTaken) -> None:
-    """Store the own snapshot and drop the entries that it stands for."""
+    """Save a snapshot of the own state, and compact the log."""
     state.snapshot_wanted = False
     term = state.log.term_at(event.index)
     if event.index <= state.log.snapshot_index or term is None:
@@ -33,7 +33,7 @@
 def start_snapshot(
     state: ReplicaState, peer: ReplicaId, progress: PeerProgress
 ) -> None:
-    """Begin to send the latest snapshot to a replica that is far behind."""
+    """Start sending the latest snapshot to a follower that misses dropped entries."""
     progress.snapshot = state.log.snapshot
     progress.snapshot_offset = 0
     progress.in_flight.clear()
@@ -42,7 +42,7 @@
 
 
 def send_chunk(state: ReplicaState, peer: ReplicaId, progress: PeerProgress) -> None:
-    """Send the chunk that is not answered yet."""
+    """Send the chunk at the current offset."""
     snapshot = progress.snapshot
     end = progress.snapshot_offset + state.config.max_bytes_per_message
     state.send(
@@ -62,13 +62,13 @@
 def on_snapshot_received(
     state: ReplicaState, peer: ReplicaId, message: SnapshotReceived
 ) -> None:
-    """Send the chunk that the replica misses next."""
+    """Send the chunk that the follower asks for next."""
     progress = state.leadership.peers[peer]
     snapshot = progress.snapshot
     if snapshot is None or snapshot.index != message.snapshot_index:
         return
-    # A doubled answer names the chunk that is already on its way; sending that
-    # again would double the whole rest of the transfer.
+    # A duplicate answer asks for the chunk that was already sent. Sending it again
+    # would double the rest of the transfer.
     if message.next_offset == progress.snapshot_offset:
         return
     progress.snapshot_offset = message.next_offset
@@ -79,7 +79,7 @@
 def on_install_snapshot(
     state: ReplicaState, peer: ReplicaId, message: InstallSnapshot
 ) -> None:
-    """Collect a chunk, and install the snapshot after the last one."""
+    """Append a chunk, and install the snapshot after the last one."""
     if message.snapshot_index <= state.commit_index:
         confirm_match(state, peer, state.commit_index, message.read_round)
         return
@@ -105,7 +105,10 @@
 def install_snapshot(
     state: ReplicaState, message: InstallSnapshot, data: bytes
 ) -> None:
-    """Replace log and state by a whole snapshot, or commit up to it."""
+    """Replace log and state by a complete snapshot.
+
+    If the log has the snapshot's last entry, commit up to it instead.
+    """
     state.incoming = None
     index = message.snapshot_index
     if state.log.term_at(index) == message.snapshot_term:
@@ -124,7 +127,7 @@
 def confirm_match(
     state: ReplicaState, peer: ReplicaId, match_index: int, read_round: int
 ) -> None:
-    """Tell the leader up to where the logs are equal."""
+    """Send the leader the index up to which the logs are equal."""
     state.send(
         peer,
         EntriesAppended,
--- a/packages/core/src/cowslipshelf_core/internal/agreement/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/state.py
@@ -1,4 +1,4 @@
-"""Hold the state that the parts of a replica share, and their common steps."""
+"""Hold the state that the parts of a replica share, and operations on it."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -35,12 +35,12 @@
 )
 
 MAX_SYNCS_PER_ANSWER = 2
-"""Syncs for which an answer may have to wait: its own, and one under way before."""
+"""Syncs that an answer may wait for: its own, and one that is already running."""
 
 
 @dataclass(slots=True)
 class Campaign:
-    """Count the votes of one election or pre-vote."""
+    """Collect the votes of one election or pre-vote."""
 
     pre_vote: bool
     term: int
@@ -59,16 +59,16 @@
 
 @dataclass(slots=True)
 class ForwardedRead:
-    """Be a read that the leader was asked to confirm."""
+    """Hold a read that was forwarded to the leader for confirmation."""
 
     deadline: float
     index: int | None = None
-    """Least index to answer it from, once the leader has said so."""
+    """Read index, once the leader has confirmed it."""
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """Be the whole state of a replica."""
+    """Hold the whole state of a replica."""
 
     config: ReplicaConfig
     replica_id: ReplicaId
@@ -80,14 +80,14 @@
     failure: str = ""
     last_reported: tuple[Role, int, InstanceId | None] | None = None
     now: float = 0.0
-    """Time that has passed since the first event, as far as the clock showed it."""
+    """Replica time: seconds since the first event, without backward clock jumps."""
     clock: float | None = None
     random: Random | None = None
     effects: list[Effect] = field(default_factory=list)
     election_due: float | None = None
     leader_heard_at: float | None = None
     vote_round_ends: float = 0.0
-    """Until when the vote that this replica gave last may still bring a leader."""
+    """Until when the last vote that this replica gave may still elect a leader."""
     sync_times: SyncTimes = field(default_factory=SyncTimes)
     campaign: Campaign | None = None
     leadership: Leadership | None = None
@@ -95,12 +95,12 @@
     forwarded_reads: dict[str, ForwardedRead] = field(default_factory=dict)
     snapshot_wanted: bool = False
     durable_index: int = 0
-    """Last index that earlier batches have written, and so synced."""
+    """Last index that batches before the current one have synced."""
     join_due: float | None = None
     empty_peers: dict[InstanceId, ReplicaId] = field(default_factory=dict)
-    """Replicas that told this start of this empty folder that theirs is empty."""
+    """Replicas that reported since the start that their folders are empty as well."""
     replica_instances: tuple[InstanceId, ...] = ()
-    """Instances that are known to hold replicas, this one included."""
+    """Instances known to hold replicas, this one included."""
 
     @property
     def term(self) -> int:
@@ -109,14 +109,14 @@
 
     @property
     def membership(self) -> Membership:
-        """Return the membership in force."""
+        """Return the current membership."""
         return self.log.membership
 
     def advance_clock(self, clock: float) -> None:
-        """Let time pass, but never backwards.
+        """Advance the replica time by the progress of the clock, never backwards.
 
-        A clock that jumped backwards would leave timers and leases far in the
-        future: no election, and a cut-off leader that keeps believing in itself.
+        After a backward jump, timers and leases would end far in the future: no
+        election would start, and a partitioned leader would not step down.
         """
         if self.clock is not None:
             self.now += max(0.0, clock - self.clock)
@@ -124,33 +124,36 @@
 
     @property
     def sync_allowance(self) -> float:
-        """Return how much longer an answer of a quorum takes than without syncs.
+        """Return how many seconds disk syncs add to the answer of a quorum.
 
-        Others are taken to be as slow as the own disk at least: what they have told
-        may be from before all disks turned slow. A quorum needs no answer of the
-        slowest, so that one slow disk makes no other replica wait.
+        Other disks are assumed to be at least as slow as the own: their last reports
+        may be from before all disks became slow. A quorum doesn't need the slowest
+        replicas, so one slow disk doesn't extend the timeouts of the others.
         """
         own = self.sync_times.expected(self.now)
-        told = self.sync_times.peer_seconds
-        times = sorted(max(own, told.get(v, 0.0)) for v in self.membership.voters)
+        peer_seconds = self.sync_times.peer_seconds
+        times = sorted(
+            max(own, peer_seconds.get(v, 0.0)) for v in self.membership.voters
+        )
         needed = times[self.membership.quorum - 1] if times else own
         return MAX_SYNCS_PER_ANSWER * needed
 
     @property
     def lease_seconds(self) -> float:
-        """Return the silence after which a follower is not counted as there."""
+        """Return the silence after which a follower doesn't count for the lease."""
         return self.config.lease_seconds + self.sync_allowance
 
     @property
     def sync_milliseconds(self) -> int:
-        """Return what the own disk is expected to take, to be told to others."""
+        """Return the expected sync time of the own disk, to be sent to others."""
         return round(self.sync_times.expected(self.now) * MILLISECONDS_PER_SECOND)
 
     def sync_ended(self, seconds: float, with_vote: bool) -> None:
-        """Take in how long the last batch took to be durable.
+        """Record how long the last batch took to become durable.
 
-        That time is not counted as the others' silence: what they said meanwhile
-        waits to be handled. A longer one is: they have chosen another leader since.
+        This time doesn't count as silence of others, since their messages wait to be
+        handled. It does count if it exceeds the lease, since the others may have
+        elected another leader.
         """
         self.sync_times.record(seconds, with_vote, self.now)
         if seconds > self.lease_seconds:
@@ -160,10 +163,10 @@
             self.extend_vote_round()
 
     def extend_vote_round(self) -> None:
-        """Give the vote that was just written the time to bring a leader.
+        """Allow the vote round that was just written the time to elect a leader.
 
-        A campaign that begins before the votes of the one before are written makes
-        those votes void, and is overtaken by the next one in turn.
+        A campaign that starts before the votes of the previous one are written makes
+        those votes void, and the next campaign does the same to it.
         """
         shortest = self.config.election_seconds / 4
         self.vote_round_ends = self.now + shortest + self.sync_allowance
@@ -171,13 +174,13 @@
             self.restart_campaign_timer()
 
     def begin_batch(self) -> None:
-        """Note what the batches before this one have made durable."""
+        """Record what the batches before this one have made durable."""
         self.durable_index = self.log.last_index
         if self.leadership is not None:
             self.leadership.term_is_durable = True
 
     def send(self, peer: ReplicaId, kind: type[ReplicaMessage], **fields) -> None:
-        """Send a message under the current term."""
+        """Send a message in the current term."""
         self.send_in_term(self.term, peer, kind, **fields)
 
     def send_in_term(
@@ -188,7 +191,7 @@
         before_sync: bool = False,
         **fields,
     ) -> None:
-        """Send a message under a given term."""
+        """Send a message in a given term."""
         message = kind(
             sender_folder=self.replica_id.folder,
             recipient_folder=peer.folder,
@@ -199,18 +202,18 @@
         self.effects.append(SendTo(peer.instance, message, before_sync))
 
     def save_hard_state(self, **changes) -> None:
-        """Change the hard state, durably before anything is answered."""
+        """Change the hard state, and persist it before any answer is sent."""
         self.hard_state = self.hard_state._replace(**changes)
         self.effects.append(Persist(hard_state=self.hard_state))
 
     def append_as_leader(
         self, kind: EntryKind, payload: bytes, proposal_id: str, at: float
     ) -> Entry:
-        """Append an entry of the own term as its leader.
+        """Append an entry of the own term as the leader.
 
-        The leader's clock may be behind that of an earlier leader; states that
-        count time by the entries would then see it run backwards, so the time of
-        the entry before is the least that an entry can carry.
+        The timestamp is at least that of the previous entry. The leader's clock may be
+        behind that of an earlier leader, and state machines that derive time from the
+        entries would see it run backwards.
         """
         entry = Entry(
             self.log.last_index + 1,
@@ -225,7 +228,7 @@
         return entry
 
     def commit_up_to(self, index: int) -> None:
-        """Commit entries in order, up to an index that is held."""
+        """Commit entries in order, up to an index in the log."""
         first = self.commit_index + 1
         for committed in range(first, index + 1):
             entry = self.log.entry_at(committed)
@@ -235,24 +238,24 @@
         self.request_snapshot_when_due()
 
     def forget_proposal(self, index: int) -> None:
-        """Forget a proposal whose outcome is known by its commit."""
+        """Remove a proposal that is committed from those that wait."""
         if self.leadership is not None:
             self.leadership.proposals.pop(index, None)
 
     def request_snapshot_when_due(self) -> None:
-        """Ask for a snapshot once enough entries follow the last one."""
-        grown = self.commit_index - self.log.snapshot_index
-        if self.snapshot_wanted or grown < self.config.snapshot_after_entries:
+        """Request a snapshot once enough committed entries follow the last one."""
+        entries_since = self.commit_index - self.log.snapshot_index
+        if self.snapshot_wanted or entries_since < self.config.snapshot_after_entries:
             return
         self.snapshot_wanted = True
         self.effects.append(SnapshotWanted(self.commit_index))
 
     def refuse(self, proposal_id: str, reason: ProposalRefusal) -> None:
-        """Refuse a proposal."""
+        """Refuse a proposal with a reason and the known leader."""
         self.effects.append(ProposalRefused(proposal_id, reason, self.leader))
 
     def set_role(self, role: Role, leader: InstanceId | None) -> None:
-        """Take a role, and report it where anything about it is new."""
+        """Set role and leader, and report a change of role, term or leader."""
         self.role = role
         self.leader = leader
         if self.last_reported != (role, self.term, leader):
@@ -260,7 +263,7 @@
             self.effects.append(RoleChanged(role, self.term, leader))
 
     def become_follower(self, term: int, leader: InstanceId | None) -> None:
-        """Follow in a term that is the current one or a later one."""
+        """Become a follower in the current term or a later one."""
         if term > self.term:
             self.save_hard_state(term=term, voted_for=None)
         leadership = self.leadership
@@ -272,7 +275,7 @@
             self.restart_election_timer()
 
     def fail_pending(self, leadership: Leadership) -> None:
-        """Tell proposers and readers that this replica leads no more."""
+        """Fail the pending proposals and local reads when leadership ends."""
         for proposal_id in leadership.proposals.values():
             self.refuse(proposal_id, ProposalRefusal.OUTCOME_UNKNOWN)
         for read in leadership.reads:
@@ -281,27 +284,26 @@
             self.effects.append(ReadFailed(read.read_id, self.leader))
 
     def restart_campaign_timer(self) -> None:
-        """Wait for a shorter random time before standing again.
+        """Schedule the next campaign after a random time below the election timeout.
 
-        A campaign fails where candidates split the votes. Nobody leads then, so
-        the wait only has to outlast a round of votes and to tell them apart.
+        A campaign fails if candidates split the votes. There is no leader then, so the
+        wait only has to be longer than a round of votes and differ between candidates.
         """
         longest = self.config.election_seconds
         wait = self.random.uniform(longest / 4, longest)
         self.election_due = self.now + wait + self.sync_allowance
 
     def start_campaign_timer(self) -> None:
-        """Wait for the shortest random time before standing after a start.
+        """Schedule the first campaign after a start, with the shortest random time.
 
-        Where all replicas were killed at once, nobody leads and nobody is served
-        until one does. Where there is a leader, it keeps its place, since those who
-        hear it give no pre-vote.
+        If all replicas were killed at once, requests fail until one leads. If there is
+        a leader, it is not deposed, since replicas that hear it grant no pre-vote.
         """
         longest = self.config.election_seconds
         self.election_due = self.now + self.random.uniform(longest / 10, longest / 3)
 
     def restart_election_timer(self) -> None:
-        """Wait for a random time before standing for election."""
+        """Schedule the next campaign after a random election timeout."""
         shortest = self.config.election_seconds
         wait = self.random.uniform(shortest, 2 * shortest)
         self.election_due = self.now + wait + self.sync_allowance
--- a/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
@@ -1,4 +1,4 @@
-"""Estimate how long a replica's disk takes to make a batch durable."""
+"""Estimate how long the disks of replicas take to make a batch durable."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 ENTRY_SAMPLES = 2
 MAX_SAMPLE_AGE_SECONDS = 30.0
-"""Age at which a sample says nothing more of the disk."""
+"""Age after which a sample is ignored."""
 MAX_SYNC_SECONDS = 10.0
-"""Bound on what is expected, so that no word of a peer stops elections for good."""
+"""Limit on each estimate, so that the report of a peer can't block elections."""
 MILLISECONDS_PER_SECOND = 1000
 
 
 class SyncSample(NamedTuple):
-    """Be one batch that became durable."""
+    """Hold how long one batch took to become durable, and when."""
 
     seconds: float
     at: float
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class SyncTimes:
-    """Know what syncs cost here, and at the other replicas by their own word.
+    """Track sync times of the own disk, and those that other replicas report.
 
-    Votes and terms are in files of their own and take more syncs than entries do.
+    Votes and terms are stored in separate files and take more syncs than entries.
     """
 
     votes: list[SyncSample] = field(default_factory=list)
-    """The last batch with a vote or a term, if there was one."""
+    """Last batch with a vote or a term, if any."""
     entries: list[SyncSample] = field(default_factory=list)
     peer_seconds: dict[ReplicaId, float] = field(default_factory=dict)
 
     def record(self, seconds: float, with_vote: bool, now: float) -> None:
-        """Take in how long a batch took to be durable here."""
+        """Record how long a batch took to become durable here."""
         sample = SyncSample(min(seconds, MAX_SYNC_SECONDS), now)
         if with_vote:
             self.votes = [sample]
@@ -41,7 +41,7 @@
             self.entries = [*self.entries[1 - ENTRY_SAMPLES :], sample]
 
     def expected(self, now: float) -> float:
-        """Return the time to expect here, in seconds: the longest of the last ones."""
+        """Return the longest of the recent sync times here, in seconds."""
         recent = [
             each.seconds
             for each in (*self.votes, *self.entries)
@@ -50,13 +50,13 @@
         return max(recent, default=0.0)
 
     def record_peer(self, peer: ReplicaId, milliseconds: int) -> None:
-        """Take in what another replica expects of its disk."""
+        """Record the sync time that another replica reports, in milliseconds."""
         self.peer_seconds[peer] = min(
             max(0, milliseconds) / MILLISECONDS_PER_SECOND, MAX_SYNC_SECONDS
         )
 
     def retain_only(self, replicas: tuple[ReplicaId, ...]) -> None:
-        """Forget replicas that are not among these."""
+        """Remove the times of replicas that are not among the given ones."""
         self.peer_seconds = {
             peer: self.peer_seconds[peer]
             for peer in replicas
