--- a/packages/core/src/cowslipshelf_core/configuration_view.py
+++ b/packages/core/src/cowslipshelf_core/configuration_view.py
@@ -1,12 +1,12 @@
 """Decide which configuration is in force in a process, and whether it may serve."""
 
 from cowslipshelf_core.internal.configuration_view.events import (
+    ApplyConfiguration,
     AskForConfiguration,
     BecameServable,
     ConfigurationConflict,
     ConfigurationViewEffect,
     ConfigurationViewEvent,
-    PutInForce,
     SnapshotArrived,
     TickElapsed,
     VersionSeen,
@@ -24,7 +24,7 @@
     "ConfigurationViewConfig",
     "ConfigurationViewEffect",
     "ConfigurationViewEvent",
-    "PutInForce",
+    "ApplyConfiguration",
     "SnapshotArrived",
     "TickElapsed",
     "VersionSeen",
--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/events.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PutInForce:
+class ApplyConfiguration:
     """Apply a configuration, newer than any before, in the whole process."""
 
     configuration: FleetConfiguration
@@ -60,5 +60,5 @@
 
 
 ConfigurationViewEffect = (
-    AskForConfiguration | PutInForce | BecameServable | ConfigurationConflict
+    AskForConfiguration | ApplyConfiguration | BecameServable | ConfigurationConflict
 )
--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
@@ -10,12 +10,12 @@
     Epoch,
 )
 from cowslipshelf_core.internal.configuration_view.events import (
+    ApplyConfiguration,
     AskForConfiguration,
     BecameServable,
     ConfigurationConflict,
     ConfigurationViewEffect,
     ConfigurationViewEvent,
-    PutInForce,
     SnapshotArrived,
     TickElapsed,
     VersionSeen,
@@ -120,7 +120,7 @@
         effects: list[ConfigurationViewEffect] = []
         if progressed:
             self.in_force = offered
-            effects.append(PutInForce(offered))
+            effects.append(ApplyConfiguration(offered))
         self._settle_question(event, progressed)
         # An answer to a question of an earlier start of this process may still be
         # under way when a new start listens at the same address, and the quorum's
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -6,12 +6,12 @@
 from pykka import ActorRef
 
 from cowslipshelf_core.configuration_view import (
+    ApplyConfiguration,
     AskForConfiguration,
     BecameServable,
     ConfigurationConflict,
     ConfigurationView,
     ConfigurationViewEvent,
-    PutInForce,
     SnapshotArrived,
     TickElapsed,
     VersionSeen,
@@ -68,7 +68,7 @@
             match effect:
                 case AskForConfiguration(address, question):
                     self.post.send(address, question)
-                case PutInForce(configuration):
+                case ApplyConfiguration(configuration):
                     self.in_force.replace(configuration)
                     self.routing.tell(configuration)
                     LOG.info("in force", version=configuration.version)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -11,12 +11,12 @@
     EntryPlace,
 )
 from cowslipshelf_core.configuration_view import (
+    ApplyConfiguration,
     AskForConfiguration,
     BecameServable,
     ConfigurationConflict,
     ConfigurationView,
     ConfigurationViewEvent,
-    PutInForce,
     SnapshotArrived,
     VersionSeen,
 )
@@ -338,7 +338,7 @@
             match effect:
                 case AskForConfiguration(address, question):
                     self.mailbox.send(address, question)
-                case PutInForce(configuration):
+                case ApplyConfiguration(configuration):
                     LOG.info("configuration in force", version=configuration.version)
                     self.decide(ConfigurationApplied(configuration), now)
                 case BecameServable():
--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -21,10 +21,10 @@
 )
 from cowslipshelf_core.configuration import Model
 from cowslipshelf_core.configuration_view import (
+    ApplyConfiguration,
     AskForConfiguration,
     ConfigurationView,
     ConfigurationViewConfig,
-    PutInForce,
     SnapshotArrived,
     VersionSeen,
 )
@@ -260,7 +260,7 @@
                         address,
                         lambda a=address, q=question: self.tell(a, name, q),
                     )
-                case PutInForce(configuration):
+                case ApplyConfiguration(configuration):
                     viewer.versions.append(configuration.version)
                     if any(m.name == "wanted" for m in configuration.models):
                         self.marks.add("in force")
--- a/tests/cover/configuration_view/test_versions.py
+++ b/tests/cover/configuration_view/test_versions.py
@@ -13,12 +13,12 @@
 from common.sidecars import configuration
 from cowslipshelf_core.configuration import FleetConfiguration
 from cowslipshelf_core.configuration_view import (
+    ApplyConfiguration,
     AskForConfiguration,
     BecameServable,
     ConfigurationConflict,
     ConfigurationView,
     ConfigurationViewConfig,
-    PutInForce,
     SnapshotArrived,
     TickElapsed,
     VersionSeen,
@@ -89,7 +89,7 @@
         effects = self.view.handle(event, self.now)
         for effect in effects:
             match effect:
-                case PutInForce(changed):
+                case ApplyConfiguration(changed):
                     assert changed.version > self.in_force
                     self.in_force = changed.version
                 case BecameServable():
