--- a/packages/core/src/cowslipshelf_core/internal/control/route_register.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/route_register.py
@@ -14,7 +14,7 @@
 class RouteRegister:
     """Keep the document with the highest version."""
 
-    held: RoutesDocument = NO_ROUTES
+    document: RoutesDocument = NO_ROUTES
 
     def put(self, command: PutRoutes) -> RoutesHeld | RoutesConflict:
         """Hold a newer document; an older one is answered and changes nothing.
@@ -23,9 +23,9 @@
         log keeps it, and the other is told, since it would wait for its change.
         """
         document = command.document
-        if document.version > self.held.version:
-            self.held = document
-        same_version = document.version == self.held.version
-        if same_version and document.digest != self.held.digest:
+        if document.version > self.document.version:
+            self.document = document
+        same_version = document.version == self.document.version
+        if same_version and document.digest != self.document.digest:
             return RoutesConflict(document.version)
-        return RoutesHeld(self.held.version)
+        return RoutesHeld(self.document.version)
--- a/packages/core/src/cowslipshelf_core/internal/control/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/state.py
@@ -214,9 +214,9 @@
 
     def put_routes(self, command: PutRoutes) -> ControlOutcome:
         """Hold a routed configuration, if it is the newest."""
-        before = self.routes.held.version
+        before = self.routes.document.version
         outcome = self.routes.put(command)
-        held = self.routes.held.version
+        held = self.routes.document.version
         if held != before:
             detail = f"routed configuration {before} to {held}"
             self.audit_change(ROUTES_OPERATOR, "put_routes", None, detail)
@@ -291,7 +291,7 @@
             grant_tokens=self.grants.tokens,
             grants_filled_at=self.grants.filled_at,
             audit=tuple(self.trail.records),
-            routes=self.routes.held,
+            routes=self.routes.document,
         )
         return msgspec.msgpack.encode(snapshot)
 
@@ -312,5 +312,5 @@
         state.grants.tokens = snapshot.grant_tokens
         state.grants.filled_at = snapshot.grants_filled_at
         state.trail.restore(snapshot.audit)
-        state.routes.held = snapshot.routes
+        state.routes.document = snapshot.routes
         return state
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -144,7 +144,7 @@
             case FetchRoutes(question=question) if question:
                 self.ask_read(delivered)
             case FetchRoutes(have_version=have):
-                if self.state.routes.held.version > have:
+                if self.state.routes.document.version > have:
                     self.answer_routes(delivered, confirmed=False)
             case FencingAsked():
                 self.ask_read(delivered)
@@ -193,12 +193,12 @@
         failure = self.make_durable(effects)
         if failure is not None:
             effects = self.give_up_disk(effects, failure)
-        routes_before = self.state.routes.held.version
+        routes_before = self.state.routes.document.version
         for effect in effects:
             self.perform(effect)
         # Once for a batch: a replica that starts applies its whole log at once, and
         # each configuration in it would be decoded in vain.
-        if self.state.routes.held.version != routes_before:
+        if self.state.routes.document.version != routes_before:
             self.publish_routes()
         if failure is not None:
             self.answer_what_is_left()
@@ -359,7 +359,7 @@
         An asker that has it gets its version and digest alone: whole, it takes a slow
         link longer than a read may take, and could then be read nowhere.
         """
-        document = self.state.routes.held
+        document = self.state.routes.document
         if confirmed and asked.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
         snapshot = RoutesSnapshot(document, confirmed, asked.message.question)
@@ -367,7 +367,7 @@
 
     def publish_routes(self) -> None:
         """Put the applied routed configuration before this process's view."""
-        snapshot = RoutesSnapshot(self.state.routes.held, confirmed_by_quorum=False)
+        snapshot = RoutesSnapshot(self.state.routes.document, confirmed_by_quorum=False)
         self.configuration.tell(
             Delivered(self.post.instance, self.post.address, snapshot)
         )
