--- a/packages/core/src/cowslipshelf_core/internal/control/claims.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claims.py
@@ -63,7 +63,7 @@
     late_finishes: int = 0
     """Finishes that were refused because their attempt was no longer the open one."""
 
-    def ask(
+    def acquire(
         self, asked: ClaimAsked, at: float
     ) -> ClaimGranted | ClaimHeld | ClaimRefused:
         """Grant the right to run to the first asker of a key, and to nobody after."""
--- a/packages/core/src/cowslipshelf_core/internal/control/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/state.py
@@ -105,7 +105,7 @@
         self.clock = max(self.clock, at)
         match command:
             case ClaimAsked():
-                return self.claims.ask(command, self.clock)
+                return self.claims.acquire(command, self.clock)
             case ClaimMoved():
                 return self.claims.move(command, self.clock)
             case ClaimFinished():
--- a/tests/common/requests_harness.py
+++ b/tests/common/requests_harness.py
@@ -235,7 +235,7 @@
             return ClaimUnavailable(NO_QUORUM)
         match question:
             case AskClaim(claim):
-                answer = claims.ask(claim, self.now)
+                answer = claims.acquire(claim, self.now)
             case MoveClaim(claim):
                 answer = claims.move(claim, self.now)
             case LookUpClaim(claim):
--- a/tests/common/requests_world.py
+++ b/tests/common/requests_world.py
@@ -137,7 +137,7 @@
 class ClaimStore(Protocol):
     """Be the replicated state as far as requests use it."""
 
-    def ask(self, asked: ClaimAsked, at: float):
+    def acquire(self, asked: ClaimAsked, at: float):
         """Grant the key to the first, and tell the others who has it."""
 
     def look_up(self, asked: ClaimLookedUp, at: float):
@@ -158,7 +158,7 @@
     asked_at: float = 0.0
     finished: ClaimFinished | None = None
 
-    def ask(self, asked: ClaimAsked, at: float):
+    def acquire(self, asked: ClaimAsked, at: float):
         """Grant the key to the first, and tell the others who has it."""
         if self.holder is None:
             self.holder = asked
--- a/tests/cover/requests/test_request_stories.py
+++ b/tests/cover/requests/test_request_stories.py
@@ -141,7 +141,7 @@
     asked = left.question
     assert isinstance(asked, AskClaim)
     harness.caller_goes(left)
-    granted = harness.world.claims.ask(asked.claim, harness.now)
+    granted = harness.world.claims.acquire(asked.claim, harness.now)
     harness.feed(left, ClaimAnswered(granted))
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
