--- a/benchmarks/slopes/budget.py
+++ b/benchmarks/slopes/budget.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from cowslipshelf_core.internal.control.limits import MOST_CLAIMS
+from cowslipshelf_core.internal.control.limits import MAX_CLAIMS
 from slopes.fitting import Line
 from slopes.letter import Assumptions, Size
 from slopes.reporting import RESULTS
@@ -180,7 +180,7 @@
     group_bounds = {
         "processor": a.usable_core_percent / leading,
         "memory": in_memory / a.claim_kept_seconds,
-        "today's limit of claims kept": MOST_CLAIMS / a.claim_kept_seconds,
+        "today's limit of claims kept": MAX_CLAIMS / a.claim_kept_seconds,
     }
     for bound, most in group_bounds.items():
         yield BudgetLine("replica", f"one group, by {bound}", most, "1/s", None)
--- a/packages/core/src/cowslipshelf_core/internal/control/audit.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/audit.py
@@ -11,8 +11,8 @@
     OperatorName,
 )
 from cowslipshelf_core.internal.control.limits import (
-    MOST_AUDIT_DETAIL,
-    MOST_AUDIT_RECORDS,
+    MAX_AUDIT_DETAIL_CHARACTERS,
+    MAX_AUDIT_RECORDS,
 )
 
 
@@ -35,12 +35,12 @@
     """Keep the newest records; one log entry leaves one at most."""
 
     records: deque[AuditRecord] = field(
-        default_factory=lambda: deque(maxlen=MOST_AUDIT_RECORDS)
+        default_factory=lambda: deque(maxlen=MAX_AUDIT_RECORDS)
     )
 
     def add(self, record: AuditRecord) -> None:
         """Keep a record; the oldest goes where there are too many."""
-        detail = record.detail[:MOST_AUDIT_DETAIL]
+        detail = record.detail[:MAX_AUDIT_DETAIL_CHARACTERS]
         self.records.append(record._replace(detail=detail))
 
     def since(self, index: int, limit: int) -> tuple[AuditRecord, ...]:
--- a/packages/core/src/cowslipshelf_core/internal/control/changes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/changes.py
@@ -17,10 +17,10 @@
 from cowslipshelf_core.internal.control.codec import decode_outcome, encode_outcome
 from cowslipshelf_core.internal.control.commands import ConfirmPlan, RecordPlan
 from cowslipshelf_core.internal.control.limits import (
-    MOST_CHANGE_BYTES,
-    MOST_CHANGE_IDS,
-    MOST_PENDING_PLAN_BYTES,
-    MOST_PENDING_PLANS,
+    MAX_CHANGE_BYTES,
+    MAX_CHANGE_IDS,
+    MAX_PENDING_PLAN_BYTES,
+    MAX_PENDING_PLANS,
 )
 from cowslipshelf_core.internal.control.orders import OrderBook
 from cowslipshelf_core.internal.control.outcomes import (
@@ -66,15 +66,15 @@
 
     configuration: FleetConfiguration = FleetConfiguration()
     changes: BoundedRecords = field(
-        default_factory=lambda: BoundedRecords(MOST_CHANGE_IDS, MOST_CHANGE_BYTES)
+        default_factory=lambda: BoundedRecords(MAX_CHANGE_IDS, MAX_CHANGE_BYTES)
     )
     pending: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(
-            MOST_PENDING_PLANS, MOST_PENDING_PLAN_BYTES
+            MAX_PENDING_PLANS, MAX_PENDING_PLAN_BYTES
         )
     )
     confirmations: BoundedRecords = field(
-        default_factory=lambda: BoundedRecords(MOST_CHANGE_IDS, MOST_CHANGE_BYTES)
+        default_factory=lambda: BoundedRecords(MAX_CHANGE_IDS, MAX_CHANGE_BYTES)
     )
 
     def record(
--- a/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
@@ -18,9 +18,9 @@
 from cowslipshelf_core.internal.control.limits import (
     CLAIM_GRACE_SECONDS,
     CLAIM_RETENTION_SECONDS,
-    MOST_CLAIM_DEADLINE_SECONDS,
-    MOST_RETIRED_ATTEMPTS,
-    MOST_STORED_ANSWER_BYTES,
+    MAX_CLAIM_DEADLINE_SECONDS,
+    MAX_RETIRED_ATTEMPTS,
+    MAX_STORED_ANSWER_BYTES,
 )
 from cowslipshelf_core.messages import ClaimMoved, StoredAnswer
 
@@ -100,10 +100,10 @@
     deadline_at = record.deadline_at
     if record.request_id != moved.request_id:
         # Written so that NaN falls out as well: it would make the claim immortal.
-        asked_sanely = 0 < moved.deadline_seconds <= MOST_CLAIM_DEADLINE_SECONDS
+        asked_sanely = 0 < moved.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS
         seconds = moved.deadline_seconds if asked_sanely else DEFAULT_DEADLINE_SECONDS
         deadline_at = max(deadline_at, at + seconds)
-    retired = (*record.retired, record.attempt_id)[-MOST_RETIRED_ATTEMPTS:]
+    retired = (*record.retired, record.attempt_id)[-MAX_RETIRED_ATTEMPTS:]
     return record._replace(
         request_id=moved.request_id,
         attempt_id=moved.to_attempt,
@@ -127,6 +127,6 @@
 
 def trim_answer(answer: StoredAnswer) -> StoredAnswer:
     """Leave out a body that is too large to be stored; entries trim before sending."""
-    if len(answer.body) <= MOST_STORED_ANSWER_BYTES // 2:
+    if len(answer.body) <= MAX_STORED_ANSWER_BYTES // 2:
         return answer
     return msgspec.structs.replace(answer, body=b"", whole=False)
--- a/packages/core/src/cowslipshelf_core/internal/control/claims.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claims.py
@@ -24,13 +24,13 @@
     was_moved,
 )
 from cowslipshelf_core.internal.control.limits import (
-    MOST_CLAIM_DEADLINE_SECONDS,
-    MOST_CLAIM_KEY_BYTES,
-    MOST_CLAIM_RECORD_BYTES,
-    MOST_CLAIMS,
-    MOST_CLAIMS_PER_CUSTOMER,
-    MOST_STORED_ANSWER_BYTES,
-    MOST_STORED_ANSWERS_BYTES,
+    MAX_CLAIM_DEADLINE_SECONDS,
+    MAX_CLAIM_KEY_BYTES,
+    MAX_CLAIM_RECORD_BYTES,
+    MAX_CLAIMS,
+    MAX_CLAIMS_PER_CUSTOMER,
+    MAX_STORED_ANSWER_BYTES,
+    MAX_TOTAL_ANSWER_BYTES,
 )
 from cowslipshelf_core.messages import (
     ClaimAbsent,
@@ -55,7 +55,7 @@
 
     records: dict[str, bytes] = field(default_factory=dict)
     answers: BoundedRecords = field(
-        default_factory=lambda: BoundedRecords(MOST_CLAIMS, MOST_STORED_ANSWERS_BYTES)
+        default_factory=lambda: BoundedRecords(MAX_CLAIMS, MAX_TOTAL_ANSWER_BYTES)
     )
     expiring: dict[int, list[str]] = field(default_factory=dict)
     """Claims by the minute in which they are forgotten."""
@@ -122,13 +122,13 @@
 
     def reason_against(self, asked: ClaimAsked) -> str:
         """Find what stands against a new claim."""
-        if len(asked.key.encode()) > MOST_CLAIM_KEY_BYTES:
+        if len(asked.key.encode()) > MAX_CLAIM_KEY_BYTES:
             return "key_too_long"
-        if not 0 < asked.deadline_seconds <= MOST_CLAIM_DEADLINE_SECONDS:
+        if not 0 < asked.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS:
             return "bad_deadline"
-        if self.counts[asked.customer] >= MOST_CLAIMS_PER_CUSTOMER:
+        if self.counts[asked.customer] >= MAX_CLAIMS_PER_CUSTOMER:
             return "customer_claims_full"
-        if len(self.records) >= MOST_CLAIMS:
+        if len(self.records) >= MAX_CLAIMS:
             # Making room by forgetting a key would let its resend run again.
             return "claims_full"
         return ""
@@ -183,7 +183,7 @@
     def store_answer(self, key: str, answer: StoredAnswer) -> None:
         """Store an answer, without what is too large of it."""
         data = msgspec.msgpack.encode(trim_answer(answer))
-        if len(data) <= MOST_STORED_ANSWER_BYTES:
+        if len(data) <= MAX_STORED_ANSWER_BYTES:
             self.answers.put(key, data)
 
     def held(self, key: str, record: ClaimRecord, at: float) -> ClaimHeld:
@@ -216,7 +216,7 @@
     def keep(self, key: str, record: ClaimRecord) -> bool:
         """Write a claim, unless it is too large to be kept."""
         data = msgspec.msgpack.encode(record)
-        if len(data) > MOST_CLAIM_RECORD_BYTES:
+        if len(data) > MAX_CLAIM_RECORD_BYTES:
             return False
         self.records[key] = data
         return True
--- a/packages/core/src/cowslipshelf_core/internal/control/documents.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/documents.py
@@ -24,8 +24,8 @@
 from cowslipshelf_core.internal.control.plans import Change, WantedState
 from cowslipshelf_core.upstream import UpstreamDescription
 
-MOST_CHANGE_ID_CHARACTERS = 128
-LEAST_KEY_CHARACTERS = 16
+MAX_CHANGE_ID_CHARACTERS = 128
+MIN_KEY_CHARACTERS = 16
 """Keys are stored as plain SHA-256, which protects only keys that can't be guessed."""
 
 
@@ -42,8 +42,8 @@
     def __post_init__(self) -> None:
         if self.key is not None and self.key_hash is not None:
             raise ValueError("give `key` or `key_hash`, not both")
-        if self.key is not None and len(self.key) < LEAST_KEY_CHARACTERS:
-            raise ValueError(f"`key` needs at least {LEAST_KEY_CHARACTERS} characters")
+        if self.key is not None and len(self.key) < MIN_KEY_CHARACTERS:
+            raise ValueError(f"`key` needs at least {MIN_KEY_CHARACTERS} characters")
 
     def __repr__(self) -> str:
         """Leave the key out, so that no log or traceback ever shows it."""
@@ -110,9 +110,9 @@
     def __post_init__(self) -> None:
         if (self.wanted is None) == (self.change is None):
             raise ValueError("give `wanted` or `change`, and not both")
-        if not 1 <= len(self.change_id) <= MOST_CHANGE_ID_CHARACTERS:
+        if not 1 <= len(self.change_id) <= MAX_CHANGE_ID_CHARACTERS:
             raise ValueError(
-                f"`change_id` has 1 to {MOST_CHANGE_ID_CHARACTERS} characters"
+                f"`change_id` has 1 to {MAX_CHANGE_ID_CHARACTERS} characters"
             )
         if self.based_on < 0:
             raise ValueError("`based_on` is a version, 0 where there is none yet")
--- a/packages/core/src/cowslipshelf_core/internal/control/grants.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/grants.py
@@ -7,14 +7,14 @@
 from cowslipshelf_core.configuration import WeightStoreLimits
 from cowslipshelf_core.identifiers import GrantId, InstanceId, UpstreamId
 from cowslipshelf_core.internal.control.commands import AskLoadGrant, ReturnLoadGrant
-from cowslipshelf_core.internal.control.limits import MOST_GRANT_SECONDS
+from cowslipshelf_core.internal.control.limits import MAX_GRANT_SECONDS
 from cowslipshelf_core.internal.control.outcomes import (
     LoadGranted,
     LoadGrantRefused,
     LoadGrantReturned,
 )
 
-NEVER_SECONDS = MOST_GRANT_SECONDS
+NEVER_SECONDS = MAX_GRANT_SECONDS
 
 
 class OpenGrant(NamedTuple):
@@ -52,7 +52,7 @@
         if refused is not None:
             return refused
         self.tokens -= asked.tokens
-        expires_at = at + min(asked.seconds, MOST_GRANT_SECONDS)
+        expires_at = at + min(asked.seconds, MAX_GRANT_SECONDS)
         grant = OpenGrant(asked.grant_id, asked.holder, asked.upstream_id, expires_at)
         self.grants[asked.grant_id] = grant
         return LoadGranted(asked.grant_id, expires_at)
--- a/packages/core/src/cowslipshelf_core/internal/control/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/orders.py
@@ -7,9 +7,9 @@
 from cowslipshelf_core.identifiers import FencingNumber, OrderId, UpstreamId
 from cowslipshelf_core.internal.control.commands import CloseOrder, RequestOrder
 from cowslipshelf_core.internal.control.limits import (
-    MOST_ORDER_SLOTS,
-    MOST_REMEMBERED_ORDERS,
-    MOST_WAITING_ORDERS,
+    MAX_ORDER_SLOTS,
+    MAX_REMEMBERED_ORDERS,
+    MAX_WAITING_ORDERS,
 )
 from cowslipshelf_core.internal.control.outcomes import (
     OrderClosed,
@@ -142,7 +142,7 @@
         Its number lives on in `dropped_fencing`: were it forgotten, an upstream
         would be told that a number below its last one is current.
         """
-        if upstream_id in self.slots or len(self.slots) < MOST_ORDER_SLOTS:
+        if upstream_id in self.slots or len(self.slots) < MAX_ORDER_SLOTS:
             return True
         idle = (
             slot
@@ -172,7 +172,7 @@
         if model_of(entry.argument) != model_of(order.argument)
     )
     waiting = (*others, order)
-    return slot._replace(waiting=waiting[-MOST_WAITING_ORDERS:])
+    return slot._replace(waiting=waiting[-MAX_WAITING_ORDERS:])
 
 
 def model_of(argument: str) -> str:
@@ -182,7 +182,7 @@
 
 def ended(slot: OrderSlot) -> OrderSlot:
     """End the open order of a slot, and remember its id for a while."""
-    remembered = (*slot.ended, slot.open_order.order_id)[-MOST_REMEMBERED_ORDERS:]
+    remembered = (*slot.ended, slot.open_order.order_id)[-MAX_REMEMBERED_ORDERS:]
     return slot._replace(open_order=None, ended=remembered)
 
 
--- a/packages/core/src/cowslipshelf_core/internal/control/validation.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/validation.py
@@ -11,7 +11,7 @@
     Service,
     WeightStoreLimits,
 )
-from cowslipshelf_core.internal.control.limits import MOST_NAME_CHARACTERS
+from cowslipshelf_core.internal.control.limits import MAX_NAME_CHARACTERS
 from cowslipshelf_core.internal.control.names import (
     Named,
     differences,
@@ -20,9 +20,9 @@
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/-]*")
 KEY_HASH_PATTERN = re.compile(r"[0-9a-f]{64}")
-MOST_COUNT = 2**31 - 1
-MOST_SECONDS = 7 * 24 * 3600.0
-MOST_WEIGHT = 1_000_000
+MAX_COUNT = 2**31 - 1
+MAX_DEADLINE_SECONDS = 7 * 24 * 3600.0
+MAX_WEIGHT = 1_000_000
 
 
 def configuration_problems(
@@ -87,10 +87,10 @@
     yield from number_problems(
         f"{where}: default_deadline_seconds",
         service.default_deadline_seconds,
-        MOST_SECONDS,
+        MAX_DEADLINE_SECONDS,
     )
     yield from number_problems(
-        f"{where}: long_prompt_weight", service.long_prompt_weight, MOST_WEIGHT
+        f"{where}: long_prompt_weight", service.long_prompt_weight, MAX_WEIGHT
     )
 
 
@@ -106,7 +106,7 @@
     for service in customer.services:
         if service not in services:
             yield f"{where}: there is no service {service!r}"
-    yield from count_problems(f"{where}: weight", customer.weight, MOST_WEIGHT)
+    yield from count_problems(f"{where}: weight", customer.weight, MAX_WEIGHT)
     yield from count_problems(f"{where}: most_concurrent", customer.most_concurrent)
 
 
@@ -123,7 +123,7 @@
     """Check the limits of the weight store."""
     where = "weight_store"
     yield from number_problems(
-        f"{where}: tokens_per_second", limits.tokens_per_second, MOST_COUNT
+        f"{where}: tokens_per_second", limits.tokens_per_second, MAX_COUNT
     )
     yield from count_problems(f"{where}: burst_tokens", limits.burst_tokens)
     yield from count_problems(f"{where}: most_open_grants", limits.most_open_grants)
@@ -131,14 +131,14 @@
 
 def name_problems(where: str, name: str) -> Iterable[str]:
     """Check a name."""
-    if len(name) > MOST_NAME_CHARACTERS or not NAME_PATTERN.fullmatch(name):
+    if len(name) > MAX_NAME_CHARACTERS or not NAME_PATTERN.fullmatch(name):
         yield (
-            f"{where}: a name has 1 to {MOST_NAME_CHARACTERS} letters, digits and"
+            f"{where}: a name has 1 to {MAX_NAME_CHARACTERS} letters, digits and"
             f" ._:/- and begins with a letter or digit, found {name[:40]!r}"
         )
 
 
-def count_problems(where: str, value: int, most: int = MOST_COUNT) -> Iterable[str]:
+def count_problems(where: str, value: int, most: int = MAX_COUNT) -> Iterable[str]:
     """Check a whole number."""
     if not 1 <= value <= most:
         yield f"{where}: must be from 1 to {most}, found {value}"
--- a/tests/cover/control/test_bounds.py
+++ b/tests/cover/control/test_bounds.py
@@ -25,8 +25,8 @@
 from cowslipshelf_core.internal.control.bounded import BoundedRecords
 from cowslipshelf_core.internal.control.limits import (
     CLAIM_RETENTION_SECONDS,
-    MOST_CLAIM_KEY_BYTES,
-    MOST_STORED_ANSWER_BYTES,
+    MAX_CLAIM_KEY_BYTES,
+    MAX_STORED_ANSWER_BYTES,
 )
 from cowslipshelf_core.messages import (
     ClaimAsked,
@@ -78,8 +78,8 @@
 
     Were the oldest key dropped to make room, its resend would run a second time.
     """
-    monkeypatch.setattr(claims_module, "MOST_CLAIMS", 4)
-    monkeypatch.setattr(claims_module, "MOST_CLAIMS_PER_CUSTOMER", 3)
+    monkeypatch.setattr(claims_module, "MAX_CLAIMS", 4)
+    monkeypatch.setattr(claims_module, "MAX_CLAIMS_PER_CUSTOMER", 3)
     state = ControlState()
     for key in ("a", "b", "c"):
         assert isinstance(claim(state, key), ClaimGranted)
@@ -108,9 +108,9 @@
         assert held.answer == StoredAnswer(201, (), b"", whole=False)
         assert claim(replica, "c").answer.body == b"x" * 1_000
     claim(state, "large")
-    held = finish(state, "large", b"x" * (MOST_STORED_ANSWER_BYTES + 1))
+    held = finish(state, "large", b"x" * (MAX_STORED_ANSWER_BYTES + 1))
     assert held.answer == StoredAnswer(201, (), b"", whole=False)
-    long_key = "k" * (MOST_CLAIM_KEY_BYTES + 1)
+    long_key = "k" * (MAX_CLAIM_KEY_BYTES + 1)
     assert claim(state, long_key) == ClaimRefused("key_too_long")
 
 
@@ -161,7 +161,7 @@
     Its sidecar restarts and asks for the current number: were it told one below its
     last order's, an isolated control instance's order would be let through.
     """
-    monkeypatch.setattr(orders_module, "MOST_ORDER_SLOTS", 2)
+    monkeypatch.setattr(orders_module, "MAX_ORDER_SLOTS", 2)
     state = ControlState()
     for index, upstream in enumerate(("up-1", "up-2"), start=1):
         order = RequestOrder(upstream, "rita", upstream, "change_role", "decode")
