--- a/packages/core/src/cowslipshelf_core/control.py
+++ b/packages/core/src/cowslipshelf_core/control.py
@@ -51,18 +51,18 @@
     RoutesHeld,
 )
 from cowslipshelf_core.internal.control.planning import (
-    Draft,
+    PlanDraft,
     draft_plan,
     relevant_upstreams,
 )
 from cowslipshelf_core.internal.control.plans import (
+    AffectedSubject,
     Change,
     FieldChange,
     NotDone,
     OrderKind,
     Plan,
     PlannedOrder,
-    Touched,
     WantedState,
 )
 from cowslipshelf_core.internal.control.route_register import RouteRegister
@@ -84,7 +84,7 @@
     "ControlOutcome",
     "ControlState",
     "CustomerDocument",
-    "Draft",
+    "PlanDraft",
     "FieldChange",
     "LoadGrantRefused",
     "LoadGrantReturned",
@@ -112,7 +112,7 @@
     "RouteRegister",
     "RoutesConflict",
     "RoutesHeld",
-    "Touched",
+    "AffectedSubject",
     "WantedDocument",
     "WantedState",
     "decode_command",
--- a/packages/core/src/cowslipshelf_core/internal/control/changes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/changes.py
@@ -30,7 +30,7 @@
     PlanRefused,
     PlanUnknown,
 )
-from cowslipshelf_core.internal.control.planning import Draft, draft_plan
+from cowslipshelf_core.internal.control.planning import PlanDraft, draft_plan
 from cowslipshelf_core.internal.control.plans import Plan
 
 
@@ -49,7 +49,7 @@
     first: bool
     """False where this repeats an earlier answer."""
     change_id: ChangeId | None = None
-    draft: Draft | None = None
+    draft: PlanDraft | None = None
 
 
 CHANGE_DECODER = msgspec.msgpack.Decoder(ChangeRecord)
--- a/packages/core/src/cowslipshelf_core/internal/control/planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/planning.py
@@ -12,12 +12,12 @@
 from cowslipshelf_core.internal.control.merging import merge
 from cowslipshelf_core.internal.control.names import Named, differences
 from cowslipshelf_core.internal.control.plans import (
+    AffectedSubject,
     Change,
     FieldChange,
     NotDone,
     PlannedOrder,
     SubjectKind,
-    Touched,
     WantedState,
 )
 from cowslipshelf_core.internal.control.validation import configuration_problems
@@ -26,14 +26,14 @@
 SHOWN_HASH_DIGITS = 8
 
 
-class Draft(NamedTuple):
+class PlanDraft(NamedTuple):
     """Be a plan's content before it has an id, or the reasons against it."""
 
     configuration: FleetConfiguration
     problems: tuple[str, ...]
     changes: tuple[FieldChange, ...] = ()
     orders: tuple[PlannedOrder, ...] = ()
-    touches: tuple[Touched, ...] = ()
+    touches: tuple[AffectedSubject, ...] = ()
     not_done: tuple[NotDone, ...] = ()
 
 
@@ -41,21 +41,21 @@
     present: FleetConfiguration,
     change: Change | WantedState,
     upstreams: tuple[UpstreamDescription, ...],
-) -> Draft:
+) -> PlanDraft:
     """Work out what a change would do to the present configuration."""
     merged = merge(present, change)
     problems = merged.problems or configuration_problems(present, merged.configuration)
     if problems:
-        return Draft(present, problems)
+        return PlanDraft(present, problems)
     after = merged.configuration
     changed_services = services_with_changed_models(present, after)
     orders = tuple(load_orders(present, after, changed_services, upstreams))
-    return Draft(
+    return PlanDraft(
         configuration=after,
         problems=(),
         changes=tuple(field_changes(present, after)),
         orders=orders,
-        touches=tuple(touched(present, after, orders, upstreams)),
+        touches=tuple(affected_subjects(present, after, orders, upstreams)),
         not_done=(
             *merged.not_done,
             *left_undone(present, after, changed_services, upstreams),
@@ -194,49 +194,55 @@
                 yield PlannedOrder(upstream.upstream_id, "load_version", argument)
 
 
-def touched(
+def affected_subjects(
     before: FleetConfiguration,
     after: FleetConfiguration,
     orders: Iterable[PlannedOrder],
     upstreams: Iterable[UpstreamDescription],
-) -> Iterable[Touched]:
+) -> Iterable[AffectedSubject]:
     """List whose requests a plan touches."""
-    yield from touched_customers(before, after)
+    yield from affected_customers(before, after)
     for name in sorted(removed_services(before, after)):
-        yield Touched("service", name, "new requests are refused, running ones finish")
+        yield AffectedSubject(
+            "service", name, "new requests are refused, running ones finish"
+        )
     for upstream in sorted(set(after.draining) - set(before.draining)):
-        yield Touched("upstream", upstream, "gets no new work, running work finishes")
+        yield AffectedSubject(
+            "upstream", upstream, "gets no new work, running work finishes"
+        )
     for upstream in sorted(set(before.draining) - set(after.draining)):
-        yield Touched("upstream", upstream, "gets work again")
+        yield AffectedSubject("upstream", upstream, "gets work again")
     services = {entry.upstream_id: entry.service for entry in upstreams}
     loading: dict[UpstreamId, int] = {}
     for order in orders:
         loading[order.upstream_id] = loading.get(order.upstream_id, 0) + 1
     for upstream, count in loading.items():
-        yield Touched(
+        yield AffectedSubject(
             "upstream",
             upstream,
             f"loads {count} for service {services[upstream]}; requests may wait",
         )
 
 
-def touched_customers(
+def affected_customers(
     before: FleetConfiguration, after: FleetConfiguration
-) -> Iterable[Touched]:
+) -> Iterable[AffectedSubject]:
     """List customers whose requests are let in, refused or served otherwise."""
     for name, old, new in differences(before.customers, after.customers):
         match old, new:
             case None, _:
-                yield Touched("customer", name, "its requests are let in")
+                yield AffectedSubject("customer", name, "its requests are let in")
             case _, None:
-                yield Touched("customer", name, "its new requests are refused")
+                yield AffectedSubject("customer", name, "its new requests are refused")
             case was, becomes if was.key_hash != becomes.key_hash:
-                yield Touched("customer", name, "its old key is refused")
+                yield AffectedSubject("customer", name, "its old key is refused")
             case was, becomes if set(was.services) - set(becomes.services):
                 gone = ", ".join(sorted(set(was.services) - set(becomes.services)))
-                yield Touched("customer", name, f"new requests for {gone} are refused")
+                yield AffectedSubject(
+                    "customer", name, f"new requests for {gone} are refused"
+                )
             case _:
-                yield Touched("customer", name, "its share or limits change")
+                yield AffectedSubject("customer", name, "its share or limits change")
 
 
 def left_undone(
--- a/packages/core/src/cowslipshelf_core/internal/control/plans.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/plans.py
@@ -69,7 +69,7 @@
     """Model and version as `name@version` for loads, a role for `change_role`."""
 
 
-class Touched(Document, frozen=True):
+class AffectedSubject(Document, frozen=True):
     """Tell whose requests a plan touches, and how."""
 
     kind: SubjectKind
@@ -93,5 +93,5 @@
     based_on: ConfigurationVersion
     changes: tuple[FieldChange, ...]
     orders: tuple[PlannedOrder, ...]
-    touches: tuple[Touched, ...]
+    touches: tuple[AffectedSubject, ...]
     not_done: tuple[NotDone, ...]
