--- a/packages/core/src/cowslipshelf_core/internal/control/audit.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/audit.py
@@ -48,7 +48,7 @@
         newer = (record for record in self.records if record.index > index)
         return tuple(record for record, _ in zip(newer, range(limit), strict=False))
 
-    def of_change(self, change_id: ChangeId) -> tuple[AuditRecord, ...]:
+    def for_change(self, change_id: ChangeId) -> tuple[AuditRecord, ...]:
         """Read the records of one change."""
         return tuple(record for record in self.records if record.change_id == change_id)
 
--- a/packages/core/src/cowslipshelf_core/internal/control/changes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/changes.py
@@ -13,7 +13,7 @@
     OperatorName,
     PlanId,
 )
-from cowslipshelf_core.internal.control.bounded import BoundedRecords
+from cowslipshelf_core.internal.control.bounded_records import BoundedRecords
 from cowslipshelf_core.internal.control.codec import decode_outcome, encode_outcome
 from cowslipshelf_core.internal.control.commands import ConfirmPlan, RecordPlan
 from cowslipshelf_core.internal.control.limits import (
@@ -22,7 +22,7 @@
     MAX_PENDING_PLAN_BYTES,
     MAX_PENDING_PLANS,
 )
-from cowslipshelf_core.internal.control.orders import OrderBook
+from cowslipshelf_core.internal.control.orders import OrderTable
 from cowslipshelf_core.internal.control.outcomes import (
     PlanConfirmed,
     PlanOutdated,
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class ChangeBook:
+class ChangeTable:
     """Keep the configuration in force, the pending plans and the first answers.
 
     Answers are found by change id and by plan id, and travel in snapshots: so a
@@ -65,10 +65,10 @@
     """
 
     configuration: FleetConfiguration = FleetConfiguration()
-    changes: BoundedRecords = field(
+    change_records: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(MAX_CHANGE_IDS, MAX_CHANGE_BYTES)
     )
-    pending: BoundedRecords = field(
+    pending_plans: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(
             MAX_PENDING_PLANS, MAX_PENDING_PLAN_BYTES
         )
@@ -82,9 +82,11 @@
     ) -> tuple[PlanRecorded | PlanRefused | PlanOutdated, bool]:
         """Answer a change with a plan; tell whether this is the first answer."""
         digest = change_digest(command)
-        known = self.changes.get(command.change_id)
+        known = self.change_records.get(command.change_id)
         if known is not None:
-            return self.repeated(command, CHANGE_DECODER.decode(known), digest), False
+            return self.repeat_answer(
+                command, CHANGE_DECODER.decode(known), digest
+            ), False
         if command.based_on > self.configuration.version:
             reason = (
                 f"based_on is {command.based_on}, but the newest version is"
@@ -96,10 +98,10 @@
             # Not kept: the operator mends the change and may keep its id.
             return outcome, False
         answer = ChangeRecord(command.operator, digest, encode_outcome(outcome))
-        self.changes.put(command.change_id, msgspec.msgpack.encode(answer))
+        self.change_records.put(command.change_id, msgspec.msgpack.encode(answer))
         return outcome, True
 
-    def repeated(
+    def repeat_answer(
         self, command: RecordPlan, known: ChangeRecord, digest: bytes
     ) -> PlanRecorded | PlanOutdated | PlanRefused:
         """Give the first answer again, to the same change only."""
@@ -114,38 +116,38 @@
     def draft_answer(
         self, pending: RecordPlan, index: int
     ) -> PlanRecorded | PlanRefused | PlanOutdated:
-        """Draft a plan on the present version, and keep it until it is confirmed."""
-        present = self.configuration.version
+        """Draft a plan on the current version, and keep it until it is confirmed."""
+        current = self.configuration.version
         draft = draft_plan(self.configuration, pending.change, pending.upstreams)
         if draft.problems:
-            if pending.based_on == present:
+            if pending.based_on == current:
                 return PlanRefused(pending.change_id, draft.problems)
-            return PlanOutdated(present, None, draft.problems)
+            return PlanOutdated(current, None, draft.problems)
         plan_id = PlanId(f"plan-{index}")
-        fresh = msgspec.structs.replace(pending, based_on=present)
-        self.pending.put(plan_id, msgspec.msgpack.encode(fresh))
+        fresh = msgspec.structs.replace(pending, based_on=current)
+        self.pending_plans.put(plan_id, msgspec.msgpack.encode(fresh))
         plan = Plan(
             plan_id=plan_id,
             change_id=pending.change_id,
             operator=pending.operator,
-            based_on=present,
+            based_on=current,
             changes=draft.changes,
             orders=draft.orders,
             touches=draft.touches,
             not_done=draft.not_done,
         )
-        if pending.based_on == present:
+        if pending.based_on == current:
             return PlanRecorded(plan)
-        return PlanOutdated(present, plan)
+        return PlanOutdated(current, plan)
 
     def confirm(
-        self, command: ConfirmPlan, orders: OrderBook, index: int
+        self, command: ConfirmPlan, orders: OrderTable, index: int
     ) -> Confirmation:
         """Put a plan in force if no other change came first."""
         answered = self.confirmations.get(command.plan_id)
         if answered is not None:
             return Confirmation(decode_outcome(answered), first=False)
-        data = self.pending.get(command.plan_id)
+        data = self.pending_plans.get(command.plan_id)
         if data is None:
             return Confirmation(PlanUnknown(command.plan_id), first=False)
         pending = PENDING_DECODER.decode(data)
@@ -153,22 +155,22 @@
             reason = f"{command.plan_id} belongs to change id {pending.change_id!r}"
             refused = PlanRefused(command.change_id, (reason,))
             return Confirmation(refused, first=False)
-        self.pending.drop(command.plan_id)
-        confirmation = self.decide(command.plan_id, pending, orders, index)
+        self.pending_plans.remove(command.plan_id)
+        confirmation = self.apply_if_current(command.plan_id, pending, orders, index)
         self.confirmations.put(command.plan_id, encode_outcome(confirmation.outcome))
         return confirmation
 
-    def decide(
-        self, plan_id: PlanId, pending: RecordPlan, orders: OrderBook, index: int
+    def apply_if_current(
+        self, plan_id: PlanId, pending: RecordPlan, orders: OrderTable, index: int
     ) -> Confirmation:
         """Compare and set the version: of two plans on one version, one wins."""
-        present = self.configuration
-        if pending.based_on != present.version:
+        current = self.configuration
+        if pending.based_on != current.version:
             outdated = self.draft_answer(pending, index)
             return Confirmation(outdated, True, pending.change_id)
-        draft = draft_plan(present, pending.change, pending.upstreams)
-        if draft.configuration != present:
-            version = ConfigurationVersion(present.version + 1)
+        draft = draft_plan(current, pending.change, pending.upstreams)
+        if draft.configuration != current:
+            version = ConfigurationVersion(current.version + 1)
             self.configuration = msgspec.structs.replace(
                 draft.configuration, version=version
             )
--- a/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
@@ -48,7 +48,7 @@
     refusal: Refusal | None = None
 
 
-RECORD_DECODER = msgspec.msgpack.Decoder(ClaimRecord)
+CLAIM_DECODER = msgspec.msgpack.Decoder(ClaimRecord)
 ANSWER_DECODER = msgspec.msgpack.Decoder(StoredAnswer)
 
 
@@ -63,7 +63,7 @@
     return hashlib.blake2b(data, digest_size=CLAIM_DIGEST_BYTES).digest()
 
 
-def is_past(record: ClaimRecord, at: float) -> bool:
+def grace_expired(record: ClaimRecord, at: float) -> bool:
     """Tell whether nobody works on a claim any more, whatever became of it."""
     return at > record.deadline_at + CLAIM_GRACE_SECONDS
 
@@ -74,17 +74,17 @@
     return int(expires_at // EXPIRY_BUCKET_SECONDS) + 1
 
 
-def reason_against_move(record: ClaimRecord, moved: ClaimMoved, at: float) -> str:
+def move_refusal_reason(record: ClaimRecord, command: ClaimMoved, at: float) -> str:
     """Find what stands against moving a claim."""
-    if was_moved(record, moved):
+    if is_repeated_move(record, command):
         return "finished" if record.finished else ""
     if record.finished and not never_ran(record):
         return "finished"
-    if record.attempt_id != moved.from_attempt:
+    if record.attempt_id != command.from_attempt:
         return "attempt_not_open"
-    if record.request_id == moved.request_id and is_past(record, at):
+    if record.request_id == command.request_id and grace_expired(record, at):
         return "deadline_passed"
-    if moved.to_attempt in (*record.retired, record.attempt_id):
+    if command.to_attempt in (*record.retired, record.attempt_id):
         # A retired attempt was promised never to run, and is refused for good.
         return "attempt_retired"
     return ""
@@ -95,21 +95,23 @@
     return record.refusal is not None and record.refusal.code is RefusalCode.NOT_RUN
 
 
-def moved_record(record: ClaimRecord, moved: ClaimMoved, at: float) -> ClaimRecord:
+def moved_record(record: ClaimRecord, command: ClaimMoved, at: float) -> ClaimRecord:
     """Give a claim to its new attempt, and perhaps to its new holder."""
     deadline_at = record.deadline_at
-    if record.request_id != moved.request_id:
+    if record.request_id != command.request_id:
         # Written so that NaN falls out as well: it would make the claim immortal.
-        asked_sanely = 0 < moved.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS
-        seconds = moved.deadline_seconds if asked_sanely else DEFAULT_DEADLINE_SECONDS
+        has_valid_deadline = 0 < command.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS
+        seconds = (
+            command.deadline_seconds if has_valid_deadline else DEFAULT_DEADLINE_SECONDS
+        )
         deadline_at = max(deadline_at, at + seconds)
     retired = (*record.retired, record.attempt_id)[-MAX_RETIRED_ATTEMPTS:]
     return record._replace(
-        request_id=moved.request_id,
-        attempt_id=moved.to_attempt,
-        upstream_id=moved.upstream_id,
-        sidecar_epoch=moved.sidecar_epoch,
-        owner=moved.owner,
+        request_id=command.request_id,
+        attempt_id=command.to_attempt,
+        upstream_id=command.upstream_id,
+        sidecar_epoch=command.sidecar_epoch,
+        owner=command.owner,
         deadline_at=deadline_at,
         retired=retired,
         finished=False,
@@ -117,12 +119,15 @@
     )
 
 
-def was_moved(record: ClaimRecord, moved: ClaimMoved) -> bool:
+def is_repeated_move(record: ClaimRecord, command: ClaimMoved) -> bool:
     """Tell whether this is a resend of the last move, whose answer was lost."""
-    if record.request_id != moved.request_id:
+    if record.request_id != command.request_id:
         return False
     last_retired = record.retired[-1:]
-    return (*last_retired, record.attempt_id) == (moved.from_attempt, moved.to_attempt)
+    return (*last_retired, record.attempt_id) == (
+        command.from_attempt,
+        command.to_attempt,
+    )
 
 
 def trim_answer(answer: StoredAnswer) -> StoredAnswer:
--- a/packages/core/src/cowslipshelf_core/internal/control/grants.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/grants.py
@@ -14,7 +14,7 @@
     LoadGrantReturned,
 )
 
-NEVER_SECONDS = MAX_GRANT_SECONDS
+PERMANENT_REFUSAL_RETRY_SECONDS = MAX_GRANT_SECONDS
 
 
 class OpenGrant(NamedTuple):
@@ -39,56 +39,62 @@
     filled_at: float = 0.0
     grants: dict[GrantId, OpenGrant] = field(default_factory=dict)
 
-    def ask(
-        self, asked: AskLoadGrant, limits: WeightStoreLimits, at: float
+    def request(
+        self, command: AskLoadGrant, limits: WeightStoreLimits, at: float
     ) -> LoadGranted | LoadGrantRefused:
         """Grant a load, or tell when to ask again."""
-        self.fill(limits, at)
+        self.refill(limits, at)
         self.expire(at)
-        known = self.grants.get(asked.grant_id)
-        if known is not None and known.holder == asked.holder:
+        known = self.grants.get(command.grant_id)
+        if known is not None and known.holder == command.holder:
             return LoadGranted(known.grant_id, known.expires_at)
-        refused = self.refusal(asked, limits, at)
+        refused = self.refusal(command, limits, at)
         if refused is not None:
             return refused
-        self.tokens -= asked.tokens
-        expires_at = at + min(asked.seconds, MAX_GRANT_SECONDS)
-        grant = OpenGrant(asked.grant_id, asked.holder, asked.upstream_id, expires_at)
-        self.grants[asked.grant_id] = grant
-        return LoadGranted(asked.grant_id, expires_at)
+        self.tokens -= command.tokens
+        expires_at = at + min(command.seconds, MAX_GRANT_SECONDS)
+        grant = OpenGrant(
+            command.grant_id, command.holder, command.upstream_id, expires_at
+        )
+        self.grants[command.grant_id] = grant
+        return LoadGranted(command.grant_id, expires_at)
 
     def refusal(
-        self, asked: AskLoadGrant, limits: WeightStoreLimits, at: float
+        self, command: AskLoadGrant, limits: WeightStoreLimits, at: float
     ) -> LoadGrantRefused | None:
         """Find what stands against a grant."""
-        if asked.grant_id in self.grants:
+        if command.grant_id in self.grants:
             reason = "another instance holds this grant id"
-            return LoadGrantRefused(asked.grant_id, reason, NEVER_SECONDS)
-        if not 1 <= asked.tokens <= limits.burst_tokens or not asked.seconds > 0:
+            return LoadGrantRefused(
+                command.grant_id, reason, PERMANENT_REFUSAL_RETRY_SECONDS
+            )
+        if not 1 <= command.tokens <= limits.burst_tokens or not command.seconds > 0:
             reason = (
                 f"tokens must be from 1 to {limits.burst_tokens}, and seconds above 0"
             )
-            return LoadGrantRefused(asked.grant_id, reason, NEVER_SECONDS)
+            return LoadGrantRefused(
+                command.grant_id, reason, PERMANENT_REFUSAL_RETRY_SECONDS
+            )
         if len(self.grants) >= limits.most_open_grants:
             soonest = min(grant.expires_at for grant in self.grants.values())
             reason = f"{len(self.grants)} loads are running"
-            return LoadGrantRefused(asked.grant_id, reason, max(soonest - at, 0.0))
-        missing = asked.tokens - self.tokens
+            return LoadGrantRefused(command.grant_id, reason, max(soonest - at, 0.0))
+        missing = command.tokens - self.tokens
         if missing > 0:
             reason = "the fleet's rate is used up"
             wait = missing / limits.tokens_per_second
-            return LoadGrantRefused(asked.grant_id, reason, wait)
+            return LoadGrantRefused(command.grant_id, reason, wait)
         return None
 
-    def give_back(self, returned: ReturnLoadGrant) -> LoadGrantReturned:
+    def release(self, command: ReturnLoadGrant) -> LoadGrantReturned:
         """End a grant; its tokens are spent, the store has served the load."""
-        grant = self.grants.get(returned.grant_id)
-        if grant is None or grant.holder != returned.holder:
-            return LoadGrantReturned(returned.grant_id, was_open=False)
-        del self.grants[returned.grant_id]
-        return LoadGrantReturned(returned.grant_id, was_open=True)
+        grant = self.grants.get(command.grant_id)
+        if grant is None or grant.holder != command.holder:
+            return LoadGrantReturned(command.grant_id, was_open=False)
+        del self.grants[command.grant_id]
+        return LoadGrantReturned(command.grant_id, was_open=True)
 
-    def fill(self, limits: WeightStoreLimits, at: float) -> None:
+    def refill(self, limits: WeightStoreLimits, at: float) -> None:
         """Add the tokens of the time since the last question."""
         burst = float(limits.burst_tokens)
         if self.tokens is None:
--- a/packages/core/src/cowslipshelf_core/internal/control/merging.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/merging.py
@@ -9,11 +9,14 @@
     Customer,
     FleetConfiguration,
 )
-from cowslipshelf_core.internal.control.names import Named, repeated_names
+from cowslipshelf_core.internal.control.named_items import (
+    Named,
+    duplicate_name_problems,
+)
 from cowslipshelf_core.internal.control.plans import Change, NotDone, WantedState
 
 
-class Merged(NamedTuple):
+class MergeResult(NamedTuple):
     """Be the configuration that a change leads to, still under the old version."""
 
     configuration: FleetConfiguration
@@ -21,42 +24,42 @@
     not_done: tuple[NotDone, ...] = ()
 
 
-def merge(present: FleetConfiguration, change: Change | WantedState) -> Merged:
-    """Apply a change to the present configuration, without judging the result."""
+def merge(current: FleetConfiguration, change: Change | WantedState) -> MergeResult:
+    """Apply a change to the current configuration, without judging the result."""
     match change:
         case Change():
-            return merge_change(present, change)
+            return merge_change(current, change)
         case WantedState():
-            return merge_wanted(present, change)
+            return merge_wanted(current, change)
 
 
-def merge_wanted(present: FleetConfiguration, wanted: WantedState) -> Merged:
-    """Replace the present configuration as a whole."""
+def merge_wanted(current: FleetConfiguration, wanted: WantedState) -> MergeResult:
+    """Replace the current configuration as a whole."""
     problems = [
-        *repeated_names("customers", (entry.name for entry in wanted.customers)),
-        *repeated_names("services", (entry.name for entry in wanted.services)),
-        *repeated_names("models", (entry.name for entry in wanted.models)),
-        *repeated_names("draining", wanted.draining),
+        *duplicate_name_problems("customers", (item.name for item in wanted.customers)),
+        *duplicate_name_problems("services", (item.name for item in wanted.services)),
+        *duplicate_name_problems("models", (item.name for item in wanted.models)),
+        *duplicate_name_problems("draining", wanted.draining),
     ]
     configuration = FleetConfiguration(
-        version=present.version,
-        customers=by_name(keep_hashes(present, wanted.customers)),
-        services=by_name(wanted.services),
-        models=by_name(wanted.models),
+        version=current.version,
+        customers=sorted_by_name(fill_key_hashes(current, wanted.customers)),
+        services=sorted_by_name(wanted.services),
+        models=sorted_by_name(wanted.models),
         draining=tuple(sorted(set(wanted.draining))),
         weight_store=wanted.weight_store,
     )
-    return Merged(configuration, tuple(problems))
+    return MergeResult(configuration, tuple(problems))
 
 
-def merge_change(present: FleetConfiguration, change: Change) -> Merged:
+def merge_change(current: FleetConfiguration, change: Change) -> MergeResult:
     """Put and remove what a change names."""
-    customers = keep_hashes(present, change.put_customers)
-    draining = set(present.draining)
+    customers = fill_key_hashes(current, change.put_customers)
+    draining = set(current.draining)
     problems = [
-        *naming_problems("customers", present.customers, customers, change),
-        *naming_problems("services", present.services, change.put_services, change),
-        *naming_problems("models", present.models, change.put_models, change),
+        *naming_problems("customers", current.customers, customers, change),
+        *naming_problems("services", current.services, change.put_services, change),
+        *naming_problems("models", current.models, change.put_models, change),
         *drain_problems(change),
     ]
     not_done = [
@@ -65,58 +68,58 @@
         if upstream not in draining
     ]
     configuration = FleetConfiguration(
-        version=present.version,
+        version=current.version,
         customers=put_and_remove(
-            present.customers, customers, frozenset(change.remove_customers)
+            current.customers, customers, frozenset(change.remove_customers)
         ),
         services=put_and_remove(
-            present.services, change.put_services, frozenset(change.remove_services)
+            current.services, change.put_services, frozenset(change.remove_services)
         ),
         models=put_and_remove(
-            present.models, change.put_models, frozenset(change.remove_models)
+            current.models, change.put_models, frozenset(change.remove_models)
         ),
         draining=tuple(sorted((draining | set(change.drain)) - set(change.undrain))),
-        weight_store=change.weight_store or present.weight_store,
+        weight_store=change.weight_store or current.weight_store,
     )
-    return Merged(configuration, tuple(problems), tuple(not_done))
+    return MergeResult(configuration, tuple(problems), tuple(not_done))
 
 
-def keep_hashes(
-    present: FleetConfiguration, customers: Iterable[Customer]
+def fill_key_hashes(
+    current: FleetConfiguration, customers: Iterable[Customer]
 ) -> tuple[Customer, ...]:
     """Fill empty key hashes with those that the customers have now."""
-    known = {entry.name: entry.key_hash for entry in present.customers}
+    known = {item.name: item.key_hash for item in current.customers}
     return tuple(
-        entry
-        if entry.key_hash
-        else msgspec.structs.replace(entry, key_hash=known.get(entry.name, ""))
-        for entry in customers
+        item
+        if item.key_hash
+        else msgspec.structs.replace(item, key_hash=known.get(item.name, ""))
+        for item in customers
     )
 
 
 def put_and_remove(
-    present: Iterable[Named], put: Iterable[Named], removed: frozenset[str]
+    current: Iterable[Named], put: Iterable[Named], removed: frozenset[str]
 ) -> tuple[Named, ...]:
-    """Replace entries by name, add new ones and leave out removed ones."""
-    entries = {entry.name: entry for entry in present}
-    entries.update({entry.name: entry for entry in put})
-    return by_name(entry for entry in entries.values() if entry.name not in removed)
+    """Replace items by name, add new ones and leave out removed ones."""
+    items = {item.name: item for item in current}
+    items.update({item.name: item for item in put})
+    return sorted_by_name(item for item in items.values() if item.name not in removed)
 
 
-def by_name(entries: Iterable[Named]) -> tuple[Named, ...]:
-    """Sort entries, so that equal configurations are equal whatever their history."""
-    return tuple(sorted(entries, key=lambda entry: entry.name))
+def sorted_by_name(items: Iterable[Named]) -> tuple[Named, ...]:
+    """Sort items, so that equal configurations are equal whatever their history."""
+    return tuple(sorted(items, key=lambda item: item.name))
 
 
 def naming_problems(
-    part: str, present: Iterable[Named], put: Iterable[Named], change: Change
+    part: str, current: Iterable[Named], put: Iterable[Named], change: Change
 ) -> Iterable[str]:
     """Find names that a change uses twice, or removes though nobody has them."""
     removed: tuple[str, ...] = getattr(change, f"remove_{part}")
-    put_names = tuple(entry.name for entry in put)
-    known = {entry.name for entry in present}
-    yield from repeated_names(f"put_{part}", put_names)
-    yield from repeated_names(f"remove_{part}", removed)
+    put_names = tuple(item.name for item in put)
+    known = {item.name for item in current}
+    yield from duplicate_name_problems(f"put_{part}", put_names)
+    yield from duplicate_name_problems(f"remove_{part}", removed)
     for name in removed:
         if name in put_names:
             yield f"{part}: {name!r} is both put and removed"
@@ -126,7 +129,7 @@
 
 def drain_problems(change: Change) -> Iterable[str]:
     """Find upstreams that a change names twice."""
-    yield from repeated_names("drain", change.drain)
-    yield from repeated_names("undrain", change.undrain)
+    yield from duplicate_name_problems("drain", change.drain)
+    yield from duplicate_name_problems("undrain", change.undrain)
     for upstream in sorted(set(change.drain) & set(change.undrain)):
         yield f"drain: {upstream!r} is both drained and undrained"
--- a/packages/core/src/cowslipshelf_core/internal/control/names.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/named_items.py
@@ -1,4 +1,4 @@
-"""Compare lists of named entries, and find names that stand twice."""
+"""Compare lists of named items, and find names that stand twice."""
 
 from collections.abc import Iterable
 from typing import Generic, NamedTuple, TypeVar
@@ -9,20 +9,20 @@
 
 
 class Difference(NamedTuple, Generic[Named]):
-    """Be an entry that was added, removed or replaced."""
+    """Be an item that was added, removed or replaced."""
 
     name: str
     before: Named | None
     after: Named | None
 
 
-def differences(
+def diff_by_name(
     before: Iterable[Named], after: Iterable[Named]
 ) -> tuple[Difference[Named], ...]:
     """List what differs, by name."""
-    old = {entry.name: entry for entry in before}
-    new = {entry.name: entry for entry in after}
-    changed = [name for name, entry in new.items() if old.get(name) != entry]
+    old = {item.name: item for item in before}
+    new = {item.name: item for item in after}
+    changed = [name for name, item in new.items() if old.get(name) != item]
     removed = [name for name in old if name not in new]
     return tuple(
         Difference(name, old.get(name), new.get(name))
@@ -30,7 +30,7 @@
     )
 
 
-def repeated_names(where: str, names: Iterable[str]) -> Iterable[str]:
+def duplicate_name_problems(where: str, names: Iterable[str]) -> Iterable[str]:
     """List a problem for each repetition."""
     seen: set[str] = set()
     for name in names:
--- a/packages/core/src/cowslipshelf_core/internal/control/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/orders.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class OrderBook:
+class OrderTable:
     """Grant one order at a time to each upstream; its log index is the number.
 
     The index grows with every order, whoever is the leader. So a control instance
@@ -52,18 +52,18 @@
     dropped_fencing: FencingNumber = FencingNumber(0)
     """Highest number among idle slots that were dropped to stay within bounds."""
 
-    def request(self, asked: RequestOrder, index: int) -> OrderGranted | OrderRefused:
+    def request(self, command: RequestOrder, index: int) -> OrderGranted | OrderRefused:
         """Open an order; it supersedes the open one."""
-        slot = self.slot(asked.upstream_id)
-        if slot.open_order is not None and slot.open_order.order_id == asked.order_id:
-            return repeated_answer(slot.open_order, asked)
-        if asked.order_id in slot.ended:
+        slot = self.slot(command.upstream_id)
+        if slot.open_order is not None and slot.open_order.order_id == command.order_id:
+            return repeat_answer(slot.open_order, command)
+        if command.order_id in slot.ended:
             # A late copy of an ended order must not supersede its successor.
-            return OrderRefused(asked.order_id, "this order has ended")
-        if not self.make_room(asked.upstream_id):
-            return OrderRefused(asked.order_id, "too many upstreams have open orders")
-        order = WaitingOrder(asked.order_id, asked.kind, asked.argument)
-        return self.open_in(slot, order, index)
+            return OrderRefused(command.order_id, "this order has ended")
+        if not self.ensure_capacity(command.upstream_id):
+            return OrderRefused(command.order_id, "too many upstreams have open orders")
+        order = WaitingOrder(command.order_id, command.kind, command.argument)
+        return self.open_in_slot(slot, order, index)
 
     def open_planned(
         self, planned: Iterable[PlannedOrder], plan_id: str, index: int
@@ -78,31 +78,31 @@
             waiting = WaitingOrder(order_id, order.kind, order.argument)
             slot = self.slot(order.upstream_id)
             if slot.open_order is None:
-                self.make_room(order.upstream_id)
-                opened.append(self.open_in(slot, waiting, index))
+                self.ensure_capacity(order.upstream_id)
+                opened.append(self.open_in_slot(slot, waiting, index))
             else:
-                self.keep(queued(slot, waiting))
+                self.store(enqueue(slot, waiting))
         return tuple(opened)
 
-    def close(self, closing: CloseOrder, index: int) -> OrderClosed | OrderRefused:
+    def close(self, command: CloseOrder, index: int) -> OrderClosed | OrderRefused:
         """End the open order, and open the next one that waits."""
-        slot = self.slot(closing.upstream_id)
-        if closing.order_id in slot.ended:
-            return OrderClosed(closing.order_id, slot.open_order)
+        slot = self.slot(command.upstream_id)
+        if command.order_id in slot.ended:
+            return OrderClosed(command.order_id, slot.open_order)
         order = slot.open_order
-        if order is None or order.order_id != closing.order_id:
-            return OrderRefused(closing.order_id, "this order is not open")
-        if order.fencing != closing.fencing:
+        if order is None or order.order_id != command.order_id:
+            return OrderRefused(command.order_id, "this order is not open")
+        if order.fencing != command.fencing:
             return OrderRefused(
-                closing.order_id, f"its fencing number is {order.fencing}"
+                command.order_id, f"its fencing number is {order.fencing}"
             )
-        slot = ended(slot)
-        self.keep(slot)
+        slot = end_open_order(slot)
+        self.store(slot)
         if not slot.waiting:
-            return OrderClosed(closing.order_id, None)
+            return OrderClosed(command.order_id, None)
         following = slot._replace(waiting=slot.waiting[1:])
         return OrderClosed(
-            closing.order_id, self.open_in(following, slot.waiting[0], index)
+            command.order_id, self.open_in_slot(following, slot.waiting[0], index)
         )
 
     def current_fencing(self, upstream_id: UpstreamId) -> FencingNumber:
@@ -120,23 +120,25 @@
         empty = OrderSlot(upstream_id, self.dropped_fencing)
         return self.slots.get(upstream_id, empty)
 
-    def keep(self, slot: OrderSlot) -> None:
+    def store(self, slot: OrderSlot) -> None:
         """Write a slot back, as the newest."""
         self.slots.pop(slot.upstream_id, None)
         self.slots[slot.upstream_id] = slot
 
-    def open_in(self, slot: OrderSlot, order: WaitingOrder, index: int) -> OrderGranted:
+    def open_in_slot(
+        self, slot: OrderSlot, order: WaitingOrder, index: int
+    ) -> OrderGranted:
         """Put an order in force in a slot."""
         fencing = FencingNumber(index)
         granted = OrderGranted(
             order.order_id, slot.upstream_id, order.kind, order.argument, fencing
         )
         if slot.open_order is not None:
-            slot = ended(slot)
-        self.keep(slot._replace(open_order=granted, fencing=fencing))
+            slot = end_open_order(slot)
+        self.store(slot._replace(open_order=granted, fencing=fencing))
         return granted
 
-    def make_room(self, upstream_id: UpstreamId) -> bool:
+    def ensure_capacity(self, upstream_id: UpstreamId) -> bool:
         """Make room for a slot by dropping the idle one that was used longest ago.
 
         Its number lives on in `dropped_fencing`: were it forgotten, an upstream
@@ -161,7 +163,7 @@
         self.slots = {slot.upstream_id: slot for slot in slots}
 
 
-def queued(slot: OrderSlot, order: WaitingOrder) -> OrderSlot:
+def enqueue(slot: OrderSlot, order: WaitingOrder) -> OrderSlot:
     """Queue an order; one for the same thing is replaced, the oldest go beyond a bound.
 
     What a model's version should be is said by the newest plan alone.
@@ -180,16 +182,16 @@
     return argument.partition("@")[0]
 
 
-def ended(slot: OrderSlot) -> OrderSlot:
+def end_open_order(slot: OrderSlot) -> OrderSlot:
     """End the open order of a slot, and remember its id for a while."""
     remembered = (*slot.ended, slot.open_order.order_id)[-MAX_REMEMBERED_ORDERS:]
     return slot._replace(open_order=None, ended=remembered)
 
 
-def repeated_answer(
-    granted: OrderGranted, asked: RequestOrder
+def repeat_answer(
+    granted: OrderGranted, command: RequestOrder
 ) -> OrderGranted | OrderRefused:
     """Answer a resend, unless it asks for something else under the same id."""
-    if (granted.kind, granted.argument) == (asked.kind, asked.argument):
+    if (granted.kind, granted.argument) == (command.kind, command.argument):
         return granted
-    return OrderRefused(asked.order_id, "this order id was used for another order")
+    return OrderRefused(command.order_id, "this order id was used for another order")
--- a/packages/core/src/cowslipshelf_core/internal/control/planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/planning.py
@@ -10,7 +10,7 @@
 )
 from cowslipshelf_core.identifiers import ModelName, ServiceName, UpstreamId
 from cowslipshelf_core.internal.control.merging import merge
-from cowslipshelf_core.internal.control.names import Named, differences
+from cowslipshelf_core.internal.control.named_items import Named, diff_by_name
 from cowslipshelf_core.internal.control.plans import (
     AffectedSubject,
     Change,
@@ -38,27 +38,27 @@
 
 
 def draft_plan(
-    present: FleetConfiguration,
+    current: FleetConfiguration,
     change: Change | WantedState,
     upstreams: tuple[UpstreamDescription, ...],
 ) -> PlanDraft:
-    """Work out what a change would do to the present configuration."""
-    merged = merge(present, change)
-    problems = merged.problems or configuration_problems(present, merged.configuration)
+    """Work out what a change would do to the current configuration."""
+    merged = merge(current, change)
+    problems = merged.problems or configuration_problems(current, merged.configuration)
     if problems:
-        return PlanDraft(present, problems)
+        return PlanDraft(current, problems)
     after = merged.configuration
-    changed_services = services_with_changed_models(present, after)
-    orders = tuple(load_orders(present, after, changed_services, upstreams))
+    changed_services = services_with_changed_models(current, after)
+    orders = tuple(load_orders(current, after, changed_services, upstreams))
     return PlanDraft(
         configuration=after,
         problems=(),
-        changes=tuple(field_changes(present, after)),
+        changes=tuple(field_changes(current, after)),
         orders=orders,
-        touches=tuple(affected_subjects(present, after, orders, upstreams)),
+        touches=tuple(affected_subjects(current, after, orders, upstreams)),
         not_done=(
             *merged.not_done,
-            *left_undone(present, after, changed_services, upstreams),
+            *list_not_done(current, after, changed_services, upstreams),
         ),
     )
 
@@ -72,7 +72,7 @@
     """
     if isinstance(change, WantedState) or change.put_models:
         return tuple(sorted(upstreams))
-    services = {entry.name for entry in change.put_services}
+    services = {item.name for item in change.put_services}
     named = {*change.drain, *change.undrain}
     return tuple(
         sorted(
@@ -87,9 +87,9 @@
     before: FleetConfiguration, after: FleetConfiguration
 ) -> Iterable[FieldChange]:
     """List every field that differs."""
-    yield from part_changes("customer", before.customers, after.customers)
-    yield from part_changes("service", before.services, after.services)
-    yield from part_changes("model", before.models, after.models)
+    yield from changes_by_name("customer", before.customers, after.customers)
+    yield from changes_by_name("service", before.services, after.services)
+    yield from changes_by_name("model", before.models, after.models)
     for upstream in sorted(set(before.draining) ^ set(after.draining)):
         was, becomes = ("no", "yes") if upstream in after.draining else ("yes", "no")
         yield FieldChange("upstream", upstream, "draining", was, becomes)
@@ -98,11 +98,11 @@
     )
 
 
-def part_changes(
+def changes_by_name(
     kind: SubjectKind, before: Iterable[Named], after: Iterable[Named]
 ) -> Iterable[FieldChange]:
-    """Compare entries by name."""
-    for name, old, new in differences(before, after):
+    """Compare items by name."""
+    for name, old, new in diff_by_name(before, after):
         yield from document_changes(kind, name, old, new)
 
 
@@ -112,20 +112,24 @@
     """Compare two documents of one type, either of which may be absent."""
     if before == after:
         return
-    present = after if before is None else before
-    for field in present.__struct_fields__:
-        old = shown_field(before, field)
-        new = shown_field(after, field)
-        if old != new or field == "key_hash" and field_of(before) != field_of(after):
+    current = after if before is None else before
+    for field in current.__struct_fields__:
+        old = format_field(before, field)
+        new = format_field(after, field)
+        if (
+            old != new
+            or field == "key_hash"
+            and key_hash_of(before) != key_hash_of(after)
+        ):
             yield FieldChange(kind, name, field, old, new)
 
 
-def field_of(document: Document | None) -> str | None:
+def key_hash_of(document: Document | None) -> str | None:
     """Read a key hash in full, of which a plan shows only the beginning."""
     return getattr(document, "key_hash", None)
 
 
-def shown_field(document: Document | None, field: str) -> str | None:
+def format_field(document: Document | None, field: str) -> str | None:
     """Write a field as text."""
     if document is None:
         return None
@@ -141,7 +145,7 @@
     before: FleetConfiguration, after: FleetConfiguration
 ) -> tuple[Service, ...]:
     """Find services that get a model, or another version of one."""
-    old = {entry.name: entry.models for entry in before.services}
+    old = {item.name: item.models for item in before.services}
     reloaded = reloaded_models(before, after)
     return tuple(
         service
@@ -155,11 +159,11 @@
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ModelName]:
     """Find models that had another version before."""
-    old = {entry.name: entry.version for entry in before.models}
+    old = {item.name: item.version for item in before.models}
     return {
-        entry.name
-        for entry in after.models
-        if old.get(entry.name, entry.version) != entry.version
+        item.name
+        for item in after.models
+        if old.get(item.name, item.version) != item.version
     }
 
 
@@ -167,8 +171,8 @@
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ServiceName]:
     """Find services that go."""
-    return {entry.name for entry in before.services} - {
-        entry.name for entry in after.services
+    return {item.name for item in before.services} - {
+        item.name for item in after.services
     }
 
 
@@ -179,9 +183,9 @@
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[PlannedOrder]:
     """List the orders that bring upstreams to the models of their services."""
-    versions = {entry.name: entry.version for entry in after.models}
+    versions = {item.name: item.version for item in after.models}
     reloaded = reloaded_models(before, after)
-    by_service = {entry.name: entry for entry in services}
+    by_service = {item.name: item for item in services}
     for upstream in sorted(upstreams):
         service = by_service.get(upstream.service)
         if service is None or upstream.upstream_id in after.draining:
@@ -212,7 +216,7 @@
         )
     for upstream in sorted(set(before.draining) - set(after.draining)):
         yield AffectedSubject("upstream", upstream, "gets work again")
-    services = {entry.upstream_id: entry.service for entry in upstreams}
+    services = {item.upstream_id: item.service for item in upstreams}
     loading: dict[UpstreamId, int] = {}
     for order in orders:
         loading[order.upstream_id] = loading.get(order.upstream_id, 0) + 1
@@ -228,7 +232,7 @@
     before: FleetConfiguration, after: FleetConfiguration
 ) -> Iterable[AffectedSubject]:
     """List customers whose requests are let in, refused or served otherwise."""
-    for name, old, new in differences(before.customers, after.customers):
+    for name, old, new in diff_by_name(before.customers, after.customers):
         match old, new:
             case None, _:
                 yield AffectedSubject("customer", name, "its requests are let in")
@@ -245,21 +249,21 @@
                 yield AffectedSubject("customer", name, "its share or limits change")
 
 
-def left_undone(
+def list_not_done(
     before: FleetConfiguration,
     after: FleetConfiguration,
     services: Iterable[Service],
     upstreams: tuple[UpstreamDescription, ...],
 ) -> Iterable[NotDone]:
     """List what a plan can't do with the upstreams there are."""
-    announced = {entry.upstream_id for entry in upstreams}
+    announced = {item.upstream_id for item in upstreams}
     for service in services:
-        yield from undone_loads(service, after, upstreams)
+        yield from loads_not_done(service, after, upstreams)
     for upstream in sorted(set(after.draining) - set(before.draining) - announced):
         yield NotDone(
             f"drain {upstream} now", "it is not known here; it drains if it comes"
         )
-    old = {entry.name: entry for entry in before.services}
+    old = {item.name: item for item in before.services}
     for service in after.services:
         gone = set(old[service.name].models if service.name in old else ())
         for model in sorted(gone - set(service.models)):
@@ -269,13 +273,13 @@
             )
 
 
-def undone_loads(
+def loads_not_done(
     service: Service,
     after: FleetConfiguration,
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[NotDone]:
     """Tell why models of a service are not loaded."""
-    own = [entry for entry in upstreams if entry.service == service.name]
+    own = [item for item in upstreams if item.service == service.name]
     what = f"load {', '.join(service.models)} for service {service.name}"
     if not own:
         yield NotDone(what, "no upstream of the service has announced itself")
--- a/packages/core/src/cowslipshelf_core/internal/control/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/state.py
@@ -14,7 +14,7 @@
     UpstreamId,
 )
 from cowslipshelf_core.internal.control.audit import AuditRecord, AuditTrail
-from cowslipshelf_core.internal.control.changes import CHANGE_DECODER, ChangeBook
+from cowslipshelf_core.internal.control.changes import CHANGE_DECODER, ChangeTable
 from cowslipshelf_core.internal.control.claims import ClaimTable
 from cowslipshelf_core.internal.control.codec import decode_outcome
 from cowslipshelf_core.internal.control.commands import (
@@ -30,7 +30,7 @@
 )
 from cowslipshelf_core.internal.control.errors import AppliedOutOfOrderError
 from cowslipshelf_core.internal.control.grants import LoadGrants, OpenGrant
-from cowslipshelf_core.internal.control.orders import OrderBook
+from cowslipshelf_core.internal.control.orders import OrderTable
 from cowslipshelf_core.internal.control.outcomes import (
     ControlOutcome,
     LoadGranted,
@@ -79,11 +79,11 @@
     applied_index: int = 0
     clock: float = 0.0
     """Highest time seen; a leader whose clock is behind cannot turn it back."""
-    changes: ChangeBook = field(default_factory=ChangeBook)
+    changes: ChangeTable = field(default_factory=ChangeTable)
     claims: ClaimTable = field(default_factory=ClaimTable)
-    orders: OrderBook = field(default_factory=OrderBook)
+    orders: OrderTable = field(default_factory=OrderTable)
     grants: LoadGrants = field(default_factory=LoadGrants)
-    trail: AuditTrail = field(default_factory=AuditTrail)
+    audit_trail: AuditTrail = field(default_factory=AuditTrail)
     routes: RouteRegister = field(default_factory=RouteRegister)
 
     @property
@@ -121,7 +121,7 @@
             case CloseOrder():
                 return self.close_order(command)
             case AskLoadGrant():
-                return self.ask_load_grant(command)
+                return self.request_load_grant(command)
             case ReturnLoadGrant():
                 return self.return_load_grant(command)
             case RecordMembership():
@@ -133,7 +133,7 @@
         """Record a plan; nothing else changes."""
         outcome, first = self.changes.record(command, self.applied_index)
         if first:
-            self.audit_change(
+            self.add_audit_record(
                 command.operator, "record_plan", command.change_id, "waits for confirm"
             )
         return outcome
@@ -147,14 +147,14 @@
         match confirmation.outcome:
             case PlanConfirmed(opened=opened):
                 # Time that has passed counts at the rate that held while it passed.
-                self.grants.fill(before.weight_store, self.clock)
+                self.grants.refill(before.weight_store, self.clock)
                 changed = len(confirmation.draft.changes)
                 detail = f"{changed} fields changed, {len(opened)} orders opened"
                 action = "confirm_plan"
             case _:
                 detail = f"{command.plan_id}: another change came first"
                 action = "outdate_plan"
-        self.audit_change(
+        self.add_audit_record(
             command.operator, action, confirmation.change_id, detail, before.version
         )
         return confirmation.outcome
@@ -165,7 +165,7 @@
         match outcome:
             case OrderGranted(fencing=self.applied_index):
                 detail = f"{command.upstream_id}: {command.kind} {command.argument}"
-                self.audit_change(command.operator, "open_order", None, detail)
+                self.add_audit_record(command.operator, "open_order", None, detail)
         return outcome
 
     def close_order(self, command: CloseOrder) -> ControlOutcome:
@@ -177,7 +177,7 @@
             end = "done" if command.succeeded else "failed"
             detail = f"{command.upstream_id}: {end}, was {fencing_before}"
             detail = f"{detail} {command.detail}".rstrip()
-            self.audit_change(
+            self.add_audit_record(
                 OperatorName(command.upstream_id), "close_order", None, detail
             )
         return outcome
@@ -187,21 +187,23 @@
         open_order = self.orders.slot(command.upstream_id).open_order
         return open_order is not None and open_order.order_id == command.order_id
 
-    def ask_load_grant(self, command: AskLoadGrant) -> ControlOutcome:
+    def request_load_grant(self, command: AskLoadGrant) -> ControlOutcome:
         """Grant a load from the weight store."""
         known = command.grant_id in self.grants.grants
         limits = self.configuration.weight_store
-        outcome = self.grants.ask(command, limits, self.clock)
+        outcome = self.grants.request(command, limits, self.clock)
         if isinstance(outcome, LoadGranted) and not known:
             detail = f"{command.grant_id}: {command.tokens} for {command.upstream_id}"
-            self.audit_change(OperatorName(command.holder), "grant_load", None, detail)
+            self.add_audit_record(
+                OperatorName(command.holder), "grant_load", None, detail
+            )
         return outcome
 
     def return_load_grant(self, command: ReturnLoadGrant) -> ControlOutcome:
         """Take a load grant back."""
-        outcome = self.grants.give_back(command)
+        outcome = self.grants.release(command)
         if outcome.was_open:
-            self.audit_change(
+            self.add_audit_record(
                 OperatorName(command.holder), "return_load", None, command.grant_id
             )
         return outcome
@@ -209,7 +211,7 @@
     def record_membership(self, command: RecordMembership) -> ControlOutcome:
         """Note a change of the replicas."""
         detail = f"{command.action} {command.instance} {command.detail}".rstrip()
-        self.audit_change(command.operator, "change_membership", None, detail)
+        self.add_audit_record(command.operator, "change_membership", None, detail)
         return MembershipRecorded()
 
     def put_routes(self, command: PutRoutes) -> ControlOutcome:
@@ -219,10 +221,10 @@
         held = self.routes.document.version
         if held != before:
             detail = f"routed configuration {before} to {held}"
-            self.audit_change(ROUTES_OPERATOR, "put_routes", None, detail)
+            self.add_audit_record(ROUTES_OPERATOR, "put_routes", None, detail)
         return outcome
 
-    def audit_change(
+    def add_audit_record(
         self,
         operator: OperatorName,
         action: str,
@@ -230,9 +232,9 @@
         detail: str,
         version_before: ConfigurationVersion | None = None,
     ) -> None:
-        """Leave a record of the present command."""
-        present = self.configuration.version
-        before = present if version_before is None else version_before
+        """Leave a record of the current command."""
+        current = self.configuration.version
+        before = current if version_before is None else version_before
         record = AuditRecord(
             self.applied_index,
             self.clock,
@@ -240,10 +242,10 @@
             action,
             change_id,
             before,
-            present,
+            current,
             detail,
         )
-        self.trail.add(record)
+        self.audit_trail.add(record)
 
     def current_fencing(self, upstream_id: UpstreamId) -> FencingNumber:
         """Read the number below which no order to the upstream is valid."""
@@ -259,17 +261,20 @@
 
     def audit(self, since_index: int, limit: int) -> tuple[AuditRecord, ...]:
         """Read the audit trail after a log index, the oldest first."""
-        return self.trail.since(since_index, limit)
+        return self.audit_trail.since(since_index, limit)
 
     def explain_change(self, change_id: ChangeId) -> ChangeExplanation | None:
         """Tell what became of a change; None where its id is no longer kept."""
-        data = self.changes.changes.get(change_id)
+        data = self.changes.change_records.get(change_id)
         if data is None:
             return None
         record = CHANGE_DECODER.decode(data)
         first_answer = decode_outcome(record.first_answer)
         return ChangeExplanation(
-            change_id, record.operator, first_answer, self.trail.of_change(change_id)
+            change_id,
+            record.operator,
+            first_answer,
+            self.audit_trail.for_change(change_id),
         )
 
     def to_snapshot(self) -> bytes:
@@ -279,8 +284,8 @@
             applied_index=self.applied_index,
             clock=self.clock,
             configuration=self.configuration,
-            changes=self.changes.changes.records,
-            pending=self.changes.pending.records,
+            changes=self.changes.change_records.records,
+            pending=self.changes.pending_plans.records,
             confirmations=self.changes.confirmations.records,
             claims=self.claims.records,
             answers=self.claims.answers.records,
@@ -290,7 +295,7 @@
             grants=self.grants.open_grants(),
             grant_tokens=self.grants.tokens,
             grants_filled_at=self.grants.filled_at,
-            audit=tuple(self.trail.records),
+            audit=tuple(self.audit_trail.records),
             routes=self.routes.document,
         )
         return msgspec.msgpack.encode(snapshot)
@@ -301,8 +306,8 @@
         snapshot = decode_snapshot(data)
         state = cls(applied_index=snapshot.applied_index, clock=snapshot.clock)
         state.changes.configuration = snapshot.configuration
-        state.changes.changes.restore(snapshot.changes)
-        state.changes.pending.restore(snapshot.pending)
+        state.changes.change_records.restore(snapshot.changes)
+        state.changes.pending_plans.restore(snapshot.pending)
         state.changes.confirmations.restore(snapshot.confirmations)
         state.claims.restore(snapshot.claims, snapshot.answers)
         state.claims.late_finishes = snapshot.late_finishes
@@ -311,6 +316,6 @@
         state.grants.restore(snapshot.grants)
         state.grants.tokens = snapshot.grant_tokens
         state.grants.filled_at = snapshot.grants_filled_at
-        state.trail.restore(snapshot.audit)
+        state.audit_trail.restore(snapshot.audit)
         state.routes.document = snapshot.routes
         return state
--- a/packages/core/src/cowslipshelf_core/internal/control/validation.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/validation.py
@@ -12,10 +12,10 @@
     WeightStoreLimits,
 )
 from cowslipshelf_core.internal.control.limits import MAX_NAME_CHARACTERS
-from cowslipshelf_core.internal.control.names import (
+from cowslipshelf_core.internal.control.named_items import (
     Named,
-    differences,
-    repeated_names,
+    diff_by_name,
+    duplicate_name_problems,
 )
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/-]*")
@@ -26,24 +26,28 @@
 
 
 def configuration_problems(
-    present: FleetConfiguration, wanted: FleetConfiguration
+    current: FleetConfiguration, wanted: FleetConfiguration
 ) -> tuple[str, ...]:
     """List everything that is wrong, not the first problem alone.
 
-    The present configuration went through the same checks. So an entry that stays
+    The current configuration went through the same checks. So an item that stays
     needs none, unless something went that it may name: one customer's change must
     not cost a look at all others.
     """
     problems: list[str] = []
-    models = {entry.name for entry in wanted.models}
-    services = {entry.name for entry in wanted.services}
-    for model in suspects(present.models, wanted.models):
+    models = {item.name for item in wanted.models}
+    services = {item.name for item in wanted.services}
+    for model in items_to_check(current.models, wanted.models):
         problems.extend(model_problems(model))
-    models_went = any(entry.name not in models for entry in present.models)
-    for service in suspects(present.services, wanted.services, check_all=models_went):
+    models_removed = any(item.name not in models for item in current.models)
+    for service in items_to_check(
+        current.services, wanted.services, check_all=models_removed
+    ):
         problems.extend(service_problems(service, models))
-    services_went = any(entry.name not in services for entry in present.services)
-    customers = suspects(present.customers, wanted.customers, check_all=services_went)
+    services_removed = any(item.name not in services for item in current.services)
+    customers = items_to_check(
+        current.customers, wanted.customers, check_all=services_removed
+    )
     for customer in customers:
         problems.extend(customer_problems(customer, services))
     if customers:
@@ -54,14 +58,14 @@
     return tuple(problems)
 
 
-def suspects(
-    present: tuple[Named, ...], wanted: tuple[Named, ...], *, check_all: bool = False
+def items_to_check(
+    current: tuple[Named, ...], wanted: tuple[Named, ...], *, check_all: bool = False
 ) -> tuple[Named, ...]:
-    """List the entries that must be checked."""
+    """List the items that must be checked."""
     if check_all:
         return wanted
-    entries = (entry.after for entry in differences(present, wanted))
-    return tuple(entry for entry in entries if entry is not None)
+    items = (item.after for item in diff_by_name(current, wanted))
+    return tuple(item for item in items if item is not None)
 
 
 def model_problems(model: Model) -> Iterable[str]:
@@ -76,7 +80,7 @@
     """Check one service, and that its models exist."""
     where = f"service {service.name!r}"
     yield from name_problems(where, service.name)
-    yield from repeated_names(f"{where}: models", service.models)
+    yield from duplicate_name_problems(f"{where}: models", service.models)
     for model in service.models:
         if model not in models:
             yield f"{where}: there is no model {model!r}"
@@ -102,7 +106,7 @@
         yield f"{where}: a new customer needs `key` or `key_hash`"
     elif not KEY_HASH_PATTERN.fullmatch(customer.key_hash):
         yield f"{where}: key_hash must be 64 lower-case hexadecimal digits"
-    yield from repeated_names(f"{where}: services", customer.services)
+    yield from duplicate_name_problems(f"{where}: services", customer.services)
     for service in customer.services:
         if service not in services:
             yield f"{where}: there is no service {service!r}"
--- a/tests/cover/control/test_bounds.py
+++ b/tests/cover/control/test_bounds.py
@@ -22,7 +22,7 @@
 )
 from cowslipshelf_core.internal.control import claims as claims_module
 from cowslipshelf_core.internal.control import orders as orders_module
-from cowslipshelf_core.internal.control.bounded import BoundedRecords
+from cowslipshelf_core.internal.control.bounded_records import BoundedRecords
 from cowslipshelf_core.internal.control.limits import (
     CLAIM_RETENTION_SECONDS,
     MAX_CLAIM_KEY_BYTES,
@@ -46,12 +46,12 @@
     )
 )
 def test_kept_records_are_the_newest_that_fit(steps: list[tuple[str, int]]) -> None:
-    kept = BoundedRecords(most_records=3, most_bytes=12)
+    kept = BoundedRecords(max_records=3, max_bytes=12)
     expected: dict[str, bytes] = {}
     for key, size in steps:
         expected.pop(key, None)
         if size < 0:
-            kept.drop(key)
+            kept.remove(key)
             continue
         expected[key] = b"x" * size
         kept.put(key, expected[key])
@@ -98,7 +98,7 @@
     It must learn that its request ran and how it ended, and never run it again.
     """
     state = ControlState()
-    state.claims.answers.most_bytes = 2_500
+    state.claims.answers.max_bytes = 2_500
     for key in ("a", "b", "c"):
         claim(state, key)
         assert finish(state, key, b"x" * 1_000).answer.whole
@@ -136,8 +136,8 @@
 
 def test_the_oldest_changes_and_plans_go_first() -> None:
     state = ControlState()
-    state.changes.changes.most_records = 2
-    state.changes.pending.most_records = 2
+    state.changes.change_records.max_records = 2
+    state.changes.pending_plans.max_records = 2
     commands = [
         RecordPlan(name, "rita", 0, Change(put_models=(Model("wide", name),)))
         for name in ("one", "two", "three")
