--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
@@ -30,25 +30,25 @@
 
     epoch: Epoch
     """Start of this process; it names the questions asked since then."""
-    confirming_addresses: tuple[str, ...] = ()
+    replica_addresses: tuple[str, ...] = ()
     """Mailbox addresses of replicas, which can ask a quorum."""
     fetch_seconds: float = 0.5
-    """Time after which an unanswered question goes to another sender."""
-    most_outstanding: int = 2
+    """Time after which an unanswered question goes to another source."""
+    max_outstanding: int = 2
     """Questions that wait for their answers at a time."""
-    most_senders: int = 32
+    max_sources: int = 32
     """Senders remembered as places to ask."""
 
 
 @dataclass(slots=True)
-class Sender:
+class Source:
     """Be a process that can be asked for the configuration."""
 
     address: str
     version: ConfigurationVersion = NO_CONFIGURATION
     """Newest version that it showed."""
-    asked_at: float = NEVER
-    waited_for: bool = False
+    requested_at: float = NEVER
+    awaiting_answer: bool = False
 
 
 @dataclass
@@ -58,14 +58,14 @@
     config: ConfigurationViewConfig
     in_force: FleetConfiguration = FleetConfiguration()
     servable: bool = False
-    senders: dict[str, Sender] = field(default_factory=dict)
+    sources: dict[str, Source] = field(default_factory=dict)
 
     @classmethod
     def from_config(cls, config: ConfigurationViewConfig) -> Self:
         """Start with the empty configuration, not yet servable."""
         view = cls(config)
-        for address in config.confirming_addresses:
-            view.senders[address] = Sender(address)
+        for address in config.replica_addresses:
+            view.sources[address] = Source(address)
         return view
 
     def version(self) -> ConfigurationVersion:
@@ -78,33 +78,33 @@
         """Take in one event at `now` (monotonic seconds)."""
         match event:
             case VersionSeen(address, version):
-                self._remember(address, version)
-                return self._questions(now)
+                self._record_version(address, version)
+                return self._due_requests(now)
             case SnapshotArrived():
-                return self._take_snapshot(event) + self._questions(now)
+                return self._handle_snapshot(event) + self._due_requests(now)
             case TickElapsed():
-                return self._questions(now)
+                return self._due_requests(now)
 
-    def _remember(self, address: str, version: ConfigurationVersion) -> None:
-        sender = self.senders.get(address)
-        if sender is None:
-            sender = self.senders[address] = Sender(address)
-            self._forget_surplus_sender()
-        sender.version = max(sender.version, version)
+    def _record_version(self, address: str, version: ConfigurationVersion) -> None:
+        source = self.sources.get(address)
+        if source is None:
+            source = self.sources[address] = Source(address)
+            self._evict_surplus_source()
+        source.version = max(source.version, version)
 
-    def _forget_surplus_sender(self) -> None:
-        if len(self.senders) <= self.config.most_senders:
+    def _evict_surplus_source(self) -> None:
+        if len(self.sources) <= self.config.max_sources:
             return
         surplus = [
-            sender
-            for address, sender in self.senders.items()
-            if address not in self.config.confirming_addresses
+            source
+            for address, source in self.sources.items()
+            if address not in self.config.replica_addresses
         ]
         if surplus:
-            least = min(surplus, key=lambda sender: sender.version)
-            del self.senders[least.address]
+            least = min(surplus, key=lambda source: source.version)
+            del self.sources[least.address]
 
-    def _take_snapshot(self, event: SnapshotArrived) -> list[ConfigurationViewEffect]:
+    def _handle_snapshot(self, event: SnapshotArrived) -> list[ConfigurationViewEffect]:
         snapshot = event.snapshot
         offered = snapshot.configuration
         conflict = offered.version == self.in_force.version and offered != self.in_force
@@ -112,7 +112,7 @@
         # fleets share a network. Taking the second would change, without a change,
         # what holds here; so the first stays and the operators are told.
         if conflict:
-            self._settle_question(event, progressed=False)
+            self._settle_request(event, progressed=False)
             return [ConfigurationConflict(offered.version, event.sender_address)]
         # Snapshots overtake each other on the way. Only a higher version may take
         # effect, else an accepted configuration would revert.
@@ -121,7 +121,7 @@
         if progressed:
             self.in_force = offered
             effects.append(ApplyConfiguration(offered))
-        self._settle_question(event, progressed)
+        self._settle_request(event, progressed)
         # An answer to a question of an earlier start of this process may still be
         # under way when a new start listens at the same address, and the quorum's
         # word in it may be as old as that start. Its question gives it away.
@@ -133,39 +133,39 @@
             effects.append(BecameServable())
         return effects
 
-    def _settle_question(self, event: SnapshotArrived, progressed: bool) -> None:
-        sender = self.senders.get(event.sender_address)
-        if sender is None:
+    def _settle_request(self, event: SnapshotArrived, progressed: bool) -> None:
+        source = self.sources.get(event.sender_address)
+        if source is None:
             return
-        sender.waited_for = False
+        source.awaiting_answer = False
         if progressed:
-            sender.asked_at = NEVER
-        # A sender that shows a version it does not hand out would be asked for ever.
-        sender.version = event.snapshot.configuration.version
+            source.requested_at = NEVER
+        # A source that shows a version it does not hand out would be asked for ever.
+        source.version = event.snapshot.configuration.version
 
-    def _questions(self, now: float) -> list[ConfigurationViewEffect]:
+    def _due_requests(self, now: float) -> list[ConfigurationViewEffect]:
         candidates = [
-            sender
-            for sender in self.senders.values()
-            if not self.servable or sender.version > self.in_force.version
+            source
+            for source in self.sources.values()
+            if not self.servable or source.version > self.in_force.version
         ]
-        waiting = sum(self._waits_for(sender, now) for sender in candidates)
+        waiting = sum(self._is_pending(source, now) for source in candidates)
         rested = [
-            sender
-            for sender in candidates
-            if now - sender.asked_at >= self.config.fetch_seconds
+            source
+            for source in candidates
+            if now - source.requested_at >= self.config.fetch_seconds
         ]
         # The one asked longest ago comes first: after a silent one, another's turn.
-        rested.sort(key=lambda sender: (sender.asked_at, -sender.version))
-        room = max(0, self.config.most_outstanding - waiting)
-        return [self._ask(sender, now) for sender in rested[:room]]
+        rested.sort(key=lambda source: (source.requested_at, -source.version))
+        room = max(0, self.config.max_outstanding - waiting)
+        return [self._request(source, now) for source in rested[:room]]
 
-    def _waits_for(self, sender: Sender, now: float) -> bool:
-        recent = now - sender.asked_at < self.config.fetch_seconds
-        return sender.waited_for and recent
+    def _is_pending(self, source: Source, now: float) -> bool:
+        recent = now - source.requested_at < self.config.fetch_seconds
+        return source.awaiting_answer and recent
 
-    def _ask(self, sender: Sender, now: float) -> AskForConfiguration:
-        sender.asked_at = now
-        sender.waited_for = True
+    def _request(self, source: Source, now: float) -> AskForConfiguration:
+        source.requested_at = now
+        source.awaiting_answer = True
         question = FetchConfiguration(self.in_force.version, str(self.config.epoch))
-        return AskForConfiguration(sender.address, question)
+        return AskForConfiguration(source.address, question)
--- a/tests/cover/configuration_view/test_versions.py
+++ b/tests/cover/configuration_view/test_versions.py
@@ -155,5 +155,5 @@
         for sender in range(crowd):
             said = VersionSeen(f"entry-{sender}", 7)
             asked += len(view.handle(said, tick * view.config.fetch_seconds))
-    assert 0 < asked <= ticks * view.config.most_outstanding
-    assert len(view.senders) <= view.config.most_senders
+    assert 0 < asked <= ticks * view.config.max_outstanding
+    assert len(view.sources) <= view.config.max_sources
