--- a/packages/core/src/cowslipshelf_core/configuration_view.py
+++ b/packages/core/src/cowslipshelf_core/configuration_view.py
@@ -1,4 +1,4 @@
-"""Decide which configuration is in force in a process, and whether it may serve."""
+"""Expose the view of the configuration in force in a process."""
 
 from cowslipshelf_core.internal.configuration_view.events import (
     ApplyConfiguration,
--- a/packages/core/src/cowslipshelf_core/control.py
+++ b/packages/core/src/cowslipshelf_core/control.py
@@ -1,4 +1,4 @@
-"""Keep the replicated control state: configuration, claims, orders, grants, audit."""
+"""Expose the replicated control state: configuration, claims, orders, load grants."""
 
 from cowslipshelf_core.internal.control.audit import AuditRecord
 from cowslipshelf_core.internal.control.claim_records import trim_answer
--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which configuration is in force in a process."""
+"""Track the configuration in force in a process."""
--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/events.py
@@ -1,4 +1,4 @@
-"""Define what the view of the configuration is told, and what it wants done."""
+"""Define the events and effects of the configuration view."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionSeen:
-    """Say which version a message from another process carried."""
+    """Report the version that a message from another process carried."""
 
     sender_address: str
     version: ConfigurationVersion
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotArrived:
-    """Hand in a configuration that another process sent."""
+    """Carry a configuration that another process sent."""
 
     snapshot: ConfigurationSnapshot
     sender_address: str = ""
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TickElapsed:
-    """Say that time has passed; sent at least once a second."""
+    """Report that time has passed, at least once a second."""
 
 
 ConfigurationViewEvent = VersionSeen | SnapshotArrived | TickElapsed
@@ -33,27 +33,27 @@
 
 @dataclass(frozen=True, slots=True)
 class AskForConfiguration:
-    """Send a question for the configuration."""
+    """Send a request for the configuration."""
 
     address: str
-    question: FetchConfiguration
+    message: FetchConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfiguration:
-    """Apply a configuration, newer than any before, in the whole process."""
+    """Apply a configuration newer than any before in the whole process."""
 
     configuration: FleetConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class BecameServable:
-    """Say that a quorum has confirmed a version no older than this start."""
+    """Report that a quorum has confirmed the version since this process started."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationConflict:
-    """Report another content under the version in force; it was refused."""
+    """Report that other content under the version in force was refused."""
 
     version: ConfigurationVersion
     sender_address: str
--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
@@ -1,4 +1,4 @@
-"""Keep the version in force going forwards only, and fetch newer ones."""
+"""Fetch newer configurations, and never go back to an older version."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple, Self
@@ -26,43 +26,44 @@
 
 
 class ConfigurationViewConfig(NamedTuple):
-    """Set how a process learns the configuration in force."""
+    """Configure how a process fetches the configuration in force."""
 
     epoch: Epoch
-    """Start of this process; it names the questions asked since then."""
+    """Identifies this start of the process, and the requests sent since then."""
     replica_addresses: tuple[str, ...] = ()
-    """Mailbox addresses of replicas, which can ask a quorum."""
+    """Mailbox addresses of the replicas, which can confirm a version by quorum."""
     fetch_seconds: float = 0.5
-    """Time after which an unanswered question goes to another source."""
+    """Time after which an unanswered request is sent to another source."""
     max_outstanding: int = 2
-    """Questions that wait for their answers at a time."""
+    """Requests that may wait for their answers at the same time."""
     max_sources: int = 32
-    """Senders remembered as places to ask."""
+    """Processes remembered as sources; replicas are never evicted."""
 
 
 @dataclass(slots=True)
 class Source:
-    """Be a process that can be asked for the configuration."""
+    """Track a process from which the configuration can be fetched."""
 
     address: str
     version: ConfigurationVersion = NO_CONFIGURATION
-    """Newest version that it showed."""
+    """Newest version that it reported or sent."""
     requested_at: float = NEVER
     awaiting_answer: bool = False
 
 
 @dataclass
 class ConfigurationView:
-    """Hold the configuration in force in one process."""
+    """Track the configuration in force in one process."""
 
     config: ConfigurationViewConfig
     in_force: FleetConfiguration = FleetConfiguration()
     servable: bool = False
+    """Whether a quorum has confirmed a version since this process started."""
     sources: dict[str, Source] = field(default_factory=dict)
 
     @classmethod
     def from_config(cls, config: ConfigurationViewConfig) -> Self:
-        """Start with the empty configuration, not yet servable."""
+        """Create a view with the empty configuration, not yet servable."""
         view = cls(config)
         for address in config.replica_addresses:
             view.sources[address] = Source(address)
@@ -75,7 +76,7 @@
     def handle(
         self, event: ConfigurationViewEvent, now: float
     ) -> list[ConfigurationViewEffect]:
-        """Take in one event at `now` (monotonic seconds)."""
+        """Handle one event at `now`, a monotonic time in seconds."""
         match event:
             case VersionSeen(address, version):
                 self._record_version(address, version)
@@ -101,30 +102,30 @@
             if address not in self.config.replica_addresses
         ]
         if surplus:
-            least = min(surplus, key=lambda source: source.version)
-            del self.sources[least.address]
+            oldest = min(surplus, key=lambda source: source.version)
+            del self.sources[oldest.address]
 
     def _handle_snapshot(self, event: SnapshotArrived) -> list[ConfigurationViewEffect]:
         snapshot = event.snapshot
         offered = snapshot.configuration
         conflict = offered.version == self.in_force.version and offered != self.in_force
-        # Two contents under one version mean that some process is broken or that two
-        # fleets share a network. Taking the second would change, without a change,
-        # what holds here; so the first stays and the operators are told.
+        # Different contents under one version mean that a process is faulty or that
+        # two fleets share a network. Accepting the second would alter the configuration
+        # without an accepted change, so the first stays and operators are told.
         if conflict:
             self._settle_request(event, progressed=False)
             return [ConfigurationConflict(offered.version, event.sender_address)]
-        # Snapshots overtake each other on the way. Only a higher version may take
-        # effect, else an accepted configuration would revert.
+        # Snapshots can arrive out of order. Only a higher version may take effect;
+        # otherwise an accepted configuration would revert.
         progressed = offered.version > self.in_force.version
         effects: list[ConfigurationViewEffect] = []
         if progressed:
             self.in_force = offered
             effects.append(ApplyConfiguration(offered))
         self._settle_request(event, progressed)
-        # An answer to a question of an earlier start of this process may still be
-        # under way when a new start listens at the same address, and the quorum's
-        # word in it may be as old as that start. Its question gives it away.
+        # After a restart at the same address, an answer to a request of the earlier
+        # start may still arrive. The quorum may have confirmed it before the restart,
+        # so it only counts if the answer repeats the epoch of this start.
         confirmed = (
             snapshot.confirmed_by_quorum and snapshot.question == self.config.epoch
         )
@@ -140,7 +141,8 @@
         source.awaiting_answer = False
         if progressed:
             source.requested_at = NEVER
-        # A source that shows a version it does not hand out would be asked for ever.
+        # Otherwise a source that reports a version it does not send would be asked
+        # for ever.
         source.version = event.snapshot.configuration.version
 
     def _due_requests(self, now: float) -> list[ConfigurationViewEffect]:
@@ -150,15 +152,16 @@
             if not self.servable or source.version > self.in_force.version
         ]
         waiting = sum(self._is_pending(source, now) for source in candidates)
-        rested = [
+        due = [
             source
             for source in candidates
             if now - source.requested_at >= self.config.fetch_seconds
         ]
-        # The one asked longest ago comes first: after a silent one, another's turn.
-        rested.sort(key=lambda source: (source.requested_at, -source.version))
-        room = max(0, self.config.max_outstanding - waiting)
-        return [self._request(source, now) for source in rested[:room]]
+        # The source asked longest ago comes first, so that a silent one is not retried
+        # before the others.
+        due.sort(key=lambda source: (source.requested_at, -source.version))
+        free = max(0, self.config.max_outstanding - waiting)
+        return [self._request(source, now) for source in due[:free]]
 
     def _is_pending(self, source: Source, now: float) -> bool:
         recent = now - source.requested_at < self.config.fetch_seconds
@@ -167,5 +170,5 @@
     def _request(self, source: Source, now: float) -> AskForConfiguration:
         source.requested_at = now
         source.awaiting_answer = True
-        question = FetchConfiguration(self.in_force.version, str(self.config.epoch))
-        return AskForConfiguration(source.address, question)
+        message = FetchConfiguration(self.in_force.version, str(self.config.epoch))
+        return AskForConfiguration(source.address, message)
--- a/packages/core/src/cowslipshelf_core/internal/control/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the parts of the replicated control state."""
+"""Implement the replicated control state machine."""
--- a/packages/core/src/cowslipshelf_core/internal/control/audit.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/audit.py
@@ -1,4 +1,4 @@
-"""Keep the audit trail of everything that changed the control state."""
+"""Record an audit trail of the changes to the control state."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -17,11 +17,12 @@
 
 
 class AuditRecord(NamedTuple):
-    """Tell one change: who, when, what, and between which versions."""
+    """Describe one change: who made it, when, what, and the versions around it."""
 
     index: int
+    """Index of the log entry that made the change."""
     at: float
-    """Seconds since 1970, by the leader's clock."""
+    """Unix time in seconds, by the leader's clock."""
     operator: OperatorName
     action: str
     change_id: ChangeId | None
@@ -32,26 +33,26 @@
 
 @dataclass
 class AuditTrail:
-    """Keep the newest records; one log entry leaves one at most."""
+    """Keep the newest audit records; each log entry adds at most one."""
 
     records: deque[AuditRecord] = field(
         default_factory=lambda: deque(maxlen=MAX_AUDIT_RECORDS)
     )
 
     def add(self, record: AuditRecord) -> None:
-        """Keep a record; the oldest goes where there are too many."""
+        """Append a record and drop the oldest one if the trail is full."""
         detail = record.detail[:MAX_AUDIT_DETAIL_CHARACTERS]
         self.records.append(record._replace(detail=detail))
 
     def since(self, index: int, limit: int) -> tuple[AuditRecord, ...]:
-        """Read the records after a log index, the oldest first."""
+        """Return up to `limit` records after a log index, oldest first."""
         newer = (record for record in self.records if record.index > index)
         return tuple(record for record, _ in zip(newer, range(limit), strict=False))
 
     def for_change(self, change_id: ChangeId) -> tuple[AuditRecord, ...]:
-        """Read the records of one change."""
+        """Return the records of one change."""
         return tuple(record for record in self.records if record.change_id == change_id)
 
     def restore(self, records: Iterable[AuditRecord]) -> None:
-        """Take over the records of a snapshot."""
+        """Load the records of a snapshot."""
         self.records.extend(records)
--- a/packages/core/src/cowslipshelf_core/internal/control/changes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/changes.py
@@ -1,4 +1,4 @@
-"""Record plans and put them in force, each change at most once."""
+"""Record planned changes and apply each of them at most once."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -35,19 +35,21 @@
 
 
 class ChangeRecord(NamedTuple):
-    """Be what is kept of a change id: whose it is, and its first answer."""
+    """Hold the owner of a change id, and the first answer to its change."""
 
     operator: OperatorName
     digest: bytes
+    """Digest of the change, as `change_digest` computes it."""
     first_answer: bytes
+    """Encoded outcome, which every resend of the change gets."""
 
 
 class Confirmation(NamedTuple):
-    """Be the outcome of a confirmation, with the draft where it took effect."""
+    """Hold the outcome of a confirmation, and the draft if it took effect."""
 
     outcome: PlanConfirmed | PlanOutdated | PlanUnknown | PlanRefused
     first: bool
-    """False where this repeats an earlier answer."""
+    """False if the confirmation was refused or repeats an earlier answer."""
     change_id: ChangeId | None = None
     draft: PlanDraft | None = None
 
@@ -58,35 +60,36 @@
 
 @dataclass
 class ChangeTable:
-    """Keep the configuration in force, the pending plans and the first answers.
+    """Store the configuration in force, the pending plans and the first answers.
 
-    Answers are found by change id and by plan id, and travel in snapshots: so a
-    resend gets its first answer from any instance and under any leader.
+    Answers are indexed by change id and by plan id and are part of snapshots, so that
+    a resend gets its first answer from any instance and under any leader.
     """
 
     configuration: FleetConfiguration = FleetConfiguration()
     change_records: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(MAX_CHANGE_IDS, MAX_CHANGE_BYTES)
     )
+    """Encoded `ChangeRecord` by change id."""
     pending_plans: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(
             MAX_PENDING_PLANS, MAX_PENDING_PLAN_BYTES
         )
     )
+    """Encoded `RecordPlan` by plan id, until the plan is confirmed."""
     confirmations: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(MAX_CHANGE_IDS, MAX_CHANGE_BYTES)
     )
+    """Encoded outcome of the confirmation by plan id."""
 
     def record(
         self, command: RecordPlan, index: int
     ) -> tuple[PlanRecorded | PlanRefused | PlanOutdated, bool]:
-        """Answer a change with a plan; tell whether this is the first answer."""
+        """Answer a change with a plan, and whether this is its first answer."""
         digest = change_digest(command)
         known = self.change_records.get(command.change_id)
         if known is not None:
-            return self.repeat_answer(
-                command, CHANGE_DECODER.decode(known), digest
-            ), False
+            return self.repeat(command, CHANGE_DECODER.decode(known), digest), False
         if command.based_on > self.configuration.version:
             reason = (
                 f"based_on is {command.based_on}, but the newest version is"
@@ -95,18 +98,18 @@
             return PlanRefused(command.change_id, (reason,)), False
         outcome = self.draft_answer(command, index)
         if isinstance(outcome, PlanRefused):
-            # Not kept: the operator mends the change and may keep its id.
+            # Not stored, so that the operator can correct the change under its id.
             return outcome, False
         answer = ChangeRecord(command.operator, digest, encode_outcome(outcome))
         self.change_records.put(command.change_id, msgspec.msgpack.encode(answer))
         return outcome, True
 
-    def repeat_answer(
+    def repeat(
         self, command: RecordPlan, known: ChangeRecord, digest: bytes
     ) -> PlanRecorded | PlanOutdated | PlanRefused:
-        """Give the first answer again, to the same change only."""
+        """Repeat the first answer, unless the id belongs to another change."""
         if known.operator != command.operator:
-            reason = f"change id {command.change_id!r} is another operator's"
+            reason = f"change id {command.change_id!r} belongs to another operator"
             return PlanRefused(command.change_id, (reason,))
         if known.digest != digest:
             reason = f"change id {command.change_id!r} was used for another change"
@@ -116,7 +119,7 @@
     def draft_answer(
         self, pending: RecordPlan, index: int
     ) -> PlanRecorded | PlanRefused | PlanOutdated:
-        """Draft a plan on the current version, and keep it until it is confirmed."""
+        """Draft a plan on the current version, and store it for its confirmation."""
         current = self.configuration.version
         draft = draft_plan(self.configuration, pending.change, pending.upstreams)
         if draft.problems:
@@ -143,7 +146,7 @@
     def confirm(
         self, command: ConfirmPlan, orders: OrderTable, index: int
     ) -> Confirmation:
-        """Put a plan in force if no other change came first."""
+        """Apply a plan unless another change was applied before it."""
         answered = self.confirmations.get(command.plan_id)
         if answered is not None:
             return Confirmation(decode_outcome(answered), first=False)
@@ -163,7 +166,7 @@
     def apply_if_current(
         self, plan_id: PlanId, pending: RecordPlan, orders: OrderTable, index: int
     ) -> Confirmation:
-        """Compare and set the version: of two plans on one version, one wins."""
+        """Compare and set the version: of two plans on one version, one applies."""
         current = self.configuration
         if pending.based_on != current.version:
             outdated = self.draft_answer(pending, index)
@@ -184,6 +187,6 @@
 
 
 def change_digest(command: RecordPlan) -> bytes:
-    """Tell changes apart; the asker's view of upstreams is no part of a change."""
+    """Compute the digest of a change, without the upstreams that its sender knew."""
     data = msgspec.msgpack.encode((command.based_on, command.change))
     return hashlib.blake2b(data, digest_size=16).digest()
--- a/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
@@ -1,4 +1,4 @@
-"""Define what is kept of one claim."""
+"""Define the stored record of a claim on an idempotency key."""
 
 import hashlib
 from typing import NamedTuple
@@ -26,10 +26,11 @@
 
 CLAIM_DIGEST_BYTES = 16
 EXPIRY_BUCKET_SECONDS = 60.0
+"""Claims that expire in the same bucket are removed together."""
 
 
 class ClaimRecord(NamedTuple):
-    """Be what is kept of one claim; its stored answer is kept apart."""
+    """Hold one claim; its answer is stored separately."""
 
     customer: CustomerName
     request_id: RequestId
@@ -37,14 +38,16 @@
     upstream_id: UpstreamId
     sidecar_epoch: Epoch
     owner: InstanceId
+    """Instance that handles the request."""
     body_digest: bytes
-    """A digest of the asker's digest: a quarter of its size."""
+    """Digest of the digest in the command, at a quarter of its size."""
     deadline_at: float
+    """Deadline of the request, Unix time in seconds."""
     retired: tuple[AttemptId, ...] = ()
-    """Attempts that the claim was moved away from; none is ever opened again."""
+    """Attempts that the claim was moved away from; none of them is reopened."""
     finished: bool = False
     status: int = 0
-    """Status of the answer; zero where a refusal ended the claim."""
+    """HTTP status of the answer; zero if the claim is open or ended in a refusal."""
     refusal: Refusal | None = None
 
 
@@ -53,29 +56,29 @@
 
 
 def claim_key(customer: CustomerName, key: str) -> str:
-    """Name a customer's key by a digest of fixed size."""
+    """Compute the fixed-size table key of a customer's idempotency key."""
     data = msgspec.msgpack.encode((customer, key))
     return short_digest(data).hex()
 
 
 def short_digest(data: bytes) -> bytes:
-    """Digest bytes to the size that claims are told apart by."""
+    """Compute the digest that is used to compare keys and bodies."""
     return hashlib.blake2b(data, digest_size=CLAIM_DIGEST_BYTES).digest()
 
 
 def grace_expired(record: ClaimRecord, at: float) -> bool:
-    """Tell whether nobody works on a claim any more, whatever became of it."""
+    """Return whether the grace period is over, so that nobody works on the claim."""
     return at > record.deadline_at + CLAIM_GRACE_SECONDS
 
 
 def expiry_bucket(record: ClaimRecord) -> int:
-    """Tell the minute in which a claim is forgotten; rounded up, never down."""
+    """Return the bucket in which a claim expires, never before its retention ends."""
     expires_at = record.deadline_at + CLAIM_RETENTION_SECONDS
     return int(expires_at // EXPIRY_BUCKET_SECONDS) + 1
 
 
 def move_refusal_reason(record: ClaimRecord, command: ClaimMoved, at: float) -> str:
-    """Find what stands against moving a claim."""
+    """Return why a claim can't be moved, or an empty string if it can."""
     if is_repeated_move(record, command):
         return "finished" if record.finished else ""
     if record.finished and not never_ran(record):
@@ -85,21 +88,21 @@
     if record.request_id == command.request_id and grace_expired(record, at):
         return "deadline_passed"
     if command.to_attempt in (*record.retired, record.attempt_id):
-        # A retired attempt was promised never to run, and is refused for good.
+        # Its sidecar promised never to run a retired attempt, and will refuse it.
         return "attempt_retired"
     return ""
 
 
 def never_ran(record: ClaimRecord) -> bool:
-    """Tell whether a claim ended with the promise that its request never ran."""
+    """Return whether a claim ended with the guarantee that its request never ran."""
     return record.refusal is not None and record.refusal.code is RefusalCode.NOT_RUN
 
 
 def moved_record(record: ClaimRecord, command: ClaimMoved, at: float) -> ClaimRecord:
-    """Give a claim to its new attempt, and perhaps to its new holder."""
+    """Return the claim with its new attempt, and possibly with a new holder."""
     deadline_at = record.deadline_at
     if record.request_id != command.request_id:
-        # Written so that NaN falls out as well: it would make the claim immortal.
+        # The comparison also rejects NaN, with which the claim would never expire.
         has_valid_deadline = 0 < command.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS
         seconds = (
             command.deadline_seconds if has_valid_deadline else DEFAULT_DEADLINE_SECONDS
@@ -120,7 +123,7 @@
 
 
 def is_repeated_move(record: ClaimRecord, command: ClaimMoved) -> bool:
-    """Tell whether this is a resend of the last move, whose answer was lost."""
+    """Return whether this repeats the last move, whose answer may be lost."""
     if record.request_id != command.request_id:
         return False
     last_retired = record.retired[-1:]
@@ -131,7 +134,7 @@
 
 
 def trim_answer(answer: StoredAnswer) -> StoredAnswer:
-    """Leave out a body that is too large to be stored; entries trim before sending."""
+    """Remove a body that is too large to store; entries do so before sending."""
     if len(answer.body) <= MAX_STORED_ANSWER_BYTES // 2:
         return answer
     return msgspec.structs.replace(answer, body=b"", whole=False)
--- a/packages/core/src/cowslipshelf_core/internal/control/claims.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claims.py
@@ -1,4 +1,4 @@
-"""Keep the claims of requests that run at most once."""
+"""Store the claims by which requests with idempotency keys run at most once."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -47,26 +47,28 @@
 
 @dataclass
 class ClaimTable:
-    """Open at most one attempt for each customer's key, and none after it finished.
+    """Open at most one attempt per customer key, and none after it has finished.
 
-    Records are kept encoded, as `BoundedRecords` explains. A claim is forgotten a
-    fixed time after its deadline; bodies of answers may go earlier, keys never.
+    Records stay encoded, for the reason given in `BoundedRecords`. A claim expires a
+    fixed time after its deadline. Bodies of answers may be evicted earlier, keys never.
     """
 
     records: dict[str, bytes] = field(default_factory=dict)
+    """Encoded `ClaimRecord` by claim key."""
     answers: BoundedRecords = field(
         default_factory=lambda: BoundedRecords(MAX_CLAIMS, MAX_TOTAL_ANSWER_BYTES)
     )
     expiry_buckets: dict[int, list[str]] = field(default_factory=dict)
-    """Claims by the minute in which they are forgotten."""
+    """Claim keys by the bucket in which they expire."""
     customer_counts: Counter[CustomerName] = field(default_factory=Counter)
+    """Number of claims of each customer."""
     late_finishes: int = 0
-    """Finishes that were refused because their attempt was no longer the open one."""
+    """Finishes refused because their attempt was not the open one."""
 
     def acquire(
         self, command: ClaimAsked, at: float
     ) -> ClaimGranted | ClaimHeld | ClaimRefused:
-        """Grant the right to run to the first asker of a key, and to nobody after."""
+        """Grant a key to the first request that claims it, and to no other."""
         self.remove_expired(at)
         key = claim_key(command.customer, command.key)
         record = self.get(key)
@@ -79,14 +81,14 @@
             record.attempt_id,
         )
         if same and not record.finished and not grace_expired(record, at):
-            # The answer to the first copy was lost: the asker still has the right.
+            # A resend, whose first answer may be lost, still holds the claim.
             return ClaimGranted(record.attempt_id)
         return self.describe(key, record, at)
 
     def look_up(
         self, command: ClaimLookedUp, at: float
     ) -> ClaimAbsent | ClaimHeld | ClaimRefused:
-        """Tell who holds a key; no claim is opened, changed or kept longer."""
+        """Return who holds a key, without opening, changing or extending a claim."""
         self.remove_expired(at)
         key = claim_key(command.customer, command.key)
         digest = short_digest(command.body_digest.encode())
@@ -101,7 +103,7 @@
     def open_claim(
         self, key: str, command: ClaimAsked, at: float
     ) -> ClaimGranted | ClaimRefused:
-        """Open a claim on a key that nobody has."""
+        """Open a claim on a key that is not claimed."""
         reason = self.refusal_reason(command)
         if reason:
             return ClaimRefused(reason)
@@ -121,7 +123,7 @@
         return ClaimGranted(command.attempt_id)
 
     def refusal_reason(self, command: ClaimAsked) -> str:
-        """Find what stands against a new claim."""
+        """Return why a claim can't be opened, or an empty string if it can."""
         if len(command.key.encode()) > MAX_CLAIM_KEY_BYTES:
             return "key_too_long"
         if not 0 < command.deadline_seconds <= MAX_CLAIM_DEADLINE_SECONDS:
@@ -129,15 +131,16 @@
         if self.customer_counts[command.customer] >= MAX_CLAIMS_PER_CUSTOMER:
             return "customer_claims_full"
         if len(self.records) >= MAX_CLAIMS:
-            # Making room by forgetting a key would let its resend run again.
+            # Evicting a key to make room would let its resend run a second time.
             return "claims_full"
         return ""
 
     def move(self, command: ClaimMoved, at: float) -> ClaimGranted | ClaimRefused:
-        """Open another attempt in place of one that never ran and never will.
+        """Replace an attempt that never ran and never will by a new one.
 
-        The holder moves its claim after its sidecar's promise. Another request takes
-        the claim over after such a promise, or after a stored "not run", which is one.
+        The holder moves its claim after the sidecar has promised not to run the old
+        attempt. Another request with the same key takes the claim over after such a
+        promise, or after a stored "not run" refusal, which implies it.
         """
         self.remove_expired(at)
         key = claim_key(command.customer, command.key)
@@ -154,7 +157,7 @@
         return ClaimGranted(command.to_attempt)
 
     def finish(self, command: ClaimFinished, at: float) -> ClaimHeld | ClaimRefused:
-        """Store how the open attempt ended; a resend gets what was stored first."""
+        """Store the result of the open attempt; a resend gets the first result."""
         self.remove_expired(at)
         key = claim_key(command.customer, command.key)
         record = self.get(key)
@@ -181,13 +184,13 @@
         return self.describe(key, ended, at)
 
     def store_answer(self, key: str, answer: StoredAnswer) -> None:
-        """Store an answer, without what is too large of it."""
+        """Store an answer, without its body or not at all if it is too large."""
         data = msgspec.msgpack.encode(trim_answer(answer))
         if len(data) <= MAX_STORED_ANSWER_BYTES:
             self.answers.put(key, data)
 
     def describe(self, key: str, record: ClaimRecord, at: float) -> ClaimHeld:
-        """Tell what is known of a claim."""
+        """Build the answer that describes a claim to another request."""
         return ClaimHeld(
             request_id=record.request_id,
             attempt_id=record.attempt_id,
@@ -200,7 +203,7 @@
         )
 
     def stored_answer(self, key: str, record: ClaimRecord) -> StoredAnswer | None:
-        """Read the stored answer; of one that was dropped, the status is left."""
+        """Return the stored answer, or its status alone if it was evicted."""
         data = self.answers.get(key)
         if data is not None:
             return ANSWER_DECODER.decode(data)
@@ -209,12 +212,12 @@
         return None
 
     def get(self, key: str) -> ClaimRecord | None:
-        """Read a claim."""
+        """Return a claim, or None if the key is not claimed."""
         data = self.records.get(key)
         return None if data is None else CLAIM_DECODER.decode(data)
 
     def store(self, key: str, record: ClaimRecord) -> bool:
-        """Write a claim, unless it is too large to be kept."""
+        """Store a claim, and return False if it is too large."""
         data = msgspec.msgpack.encode(record)
         if len(data) > MAX_CLAIM_RECORD_BYTES:
             return False
@@ -222,21 +225,21 @@
         return True
 
     def index_claim(self, key: str, record: ClaimRecord) -> None:
-        """Count a claim, and note when it is forgotten."""
+        """Add a claim to the counts and to its expiry bucket."""
         self.customer_counts[record.customer] += 1
         self.expiry_buckets.setdefault(expiry_bucket(record), []).append(key)
 
     def remove_expired(self, at: float) -> None:
-        """Forget claims whose retention is over."""
+        """Remove the claims whose retention has ended."""
         current_bucket = int(at // EXPIRY_BUCKET_SECONDS)
         for bucket in [each for each in self.expiry_buckets if each <= current_bucket]:
             for key in self.expiry_buckets.pop(bucket):
                 self.remove_or_reschedule(key, current_bucket)
 
     def remove_or_reschedule(self, key: str, current_bucket: int) -> None:
-        """Forget a claim, unless it was taken over and so lives longer.
+        """Remove a claim, or reschedule it if it was taken over with a later deadline.
 
-        Forgotten with its first deadline, a resend would run beside the new holder.
+        If it expired by its first deadline, a resend would run beside the new holder.
         """
         bucket = expiry_bucket(self.get(key))
         if bucket > current_bucket:
@@ -245,7 +248,7 @@
             self.remove(key)
 
     def remove(self, key: str) -> None:
-        """Forget one claim."""
+        """Remove one claim and its answer."""
         record = CLAIM_DECODER.decode(self.records.pop(key))
         self.answers.remove(key)
         self.customer_counts[record.customer] -= 1
@@ -253,7 +256,7 @@
             del self.customer_counts[record.customer]
 
     def restore(self, records: dict[str, bytes], answers: dict[str, bytes]) -> None:
-        """Take over the claims and answers of a snapshot."""
+        """Load the claims and answers of a snapshot."""
         self.records = records
         for key, data in records.items():
             self.index_claim(key, CLAIM_DECODER.decode(data))
--- a/packages/core/src/cowslipshelf_core/internal/control/codec.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/codec.py
@@ -1,4 +1,4 @@
-"""Encode commands and outcomes for the log and the wire."""
+"""Encode and decode commands and outcomes for the log and the network."""
 
 from typing import TypeVar
 
@@ -21,7 +21,7 @@
 
 
 def decode_command(data: bytes) -> ControlCommand:
-    """Decode a command; `ControlCodecError` where the bytes are none."""
+    """Decode a command, or raise `ControlCodecError` if the bytes are invalid."""
     return decode(COMMAND_DECODER, data, "decode command")
 
 
@@ -31,14 +31,14 @@
 
 
 def decode_outcome(data: bytes) -> ControlOutcome:
-    """Decode an outcome; `ControlCodecError` where the bytes are none."""
+    """Decode an outcome, or raise `ControlCodecError` if the bytes are invalid."""
     return decode(OUTCOME_DECODER, data, "decode outcome")
 
 
 def decode(
     decoder: msgspec.msgpack.Decoder[Decoded], data: bytes, step: str
 ) -> Decoded:
-    """Decode bytes, and name the step at which that failed."""
+    """Decode bytes, and name the failed step in the error."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/packages/core/src/cowslipshelf_core/internal/control/commands.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/commands.py
@@ -1,4 +1,4 @@
-"""Define the commands to the replicated control state."""
+"""Define the commands of the replicated control state."""
 
 from typing import Literal
 
@@ -26,33 +26,35 @@
 
 
 class RecordPlan(Message, frozen=True):
-    """Ask for a plan; a resend with the same change id gets the first answer."""
+    """Request a plan; a resend with the same change id gets the first answer."""
 
     change_id: ChangeId
     operator: OperatorName
     based_on: ConfigurationVersion
+    """Version of the configuration that the operator has seen."""
     change: Change | WantedState
     upstreams: tuple[UpstreamDescription, ...] = ()
-    """Upstreams known to the asker; `relevant_upstreams` trims them to what matters."""
+    """Upstreams known to the sender, reduced by `relevant_upstreams`."""
 
 
 class ConfirmPlan(Message, frozen=True):
-    """Put a plan in force; a resend gets the first answer."""
+    """Apply a plan; a resend gets the first answer."""
 
     plan_id: PlanId
     operator: OperatorName
     change_id: ChangeId | None = None
-    """Where given, it must be the plan's own."""
+    """Change id that the plan must have, if given."""
 
 
 class RequestOrder(Message, frozen=True):
-    """Ask for the right to order something from an upstream; supersedes an open one."""
+    """Request an order to an upstream; it supersedes the open one."""
 
     order_id: OrderId
     operator: OperatorName
     upstream_id: UpstreamId
     kind: OrderKind
     argument: str
+    """Model and version as `name@version` for loads, a role for `change_role`."""
 
 
 class CloseOrder(Message, frozen=True):
@@ -66,25 +68,26 @@
 
 
 class AskLoadGrant(Message, frozen=True):
-    """Ask to load from the weight store; a resend gets the same grant."""
+    """Request a grant to load from the weight store; a resend gets the same grant."""
 
     grant_id: GrantId
     holder: InstanceId
     upstream_id: UpstreamId
     tokens: int
+    """Tokens of the rate limit that the load uses."""
     seconds: float
-    """Time after which the grant expires by itself."""
+    """Time after which the grant expires if it is not returned."""
 
 
 class ReturnLoadGrant(Message, frozen=True):
-    """Give a load grant back."""
+    """Return a load grant."""
 
     grant_id: GrantId
     holder: InstanceId
 
 
 class RecordMembership(Message, frozen=True):
-    """Note a change of the replicas in the audit trail."""
+    """Record a change of the replica membership in the audit trail."""
 
     operator: OperatorName
     instance: InstanceId
@@ -93,7 +96,7 @@
 
 
 class PutRoutes(Message, frozen=True):
-    """Put a whole routed configuration in force; the highest version wins."""
+    """Replace the gateways' configuration as a whole; the highest version wins."""
 
     document: RoutesDocument
 
--- a/packages/core/src/cowslipshelf_core/internal/control/documents.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/documents.py
@@ -1,4 +1,4 @@
-"""Define the JSON documents in which operators write changes."""
+"""Define the JSON documents with which operators change the configuration."""
 
 import hashlib
 
@@ -26,18 +26,20 @@
 
 MAX_CHANGE_ID_CHARACTERS = 128
 MIN_KEY_CHARACTERS = 16
-"""Keys are stored as plain SHA-256, which protects only keys that can't be guessed."""
+"""Keys are stored as unsalted SHA-256, which protects only keys of high entropy."""
 
 
 class CustomerDocument(Document, frozen=True):
-    """Describe a customer; without key and hash an existing one keeps its key."""
+    """Describe a customer; without `key` and `key_hash` it keeps the key it has."""
 
     name: CustomerName
     services: tuple[ServiceName, ...]
     key: str | None = None
     key_hash: str | None = None
     weight: int = 1
+    """Share of contended engine time, relative to the weights of other customers."""
     most_concurrent: int = 256
+    """Maximum number of concurrent requests."""
 
     def __post_init__(self) -> None:
         if self.key is not None and self.key_hash is not None:
@@ -46,11 +48,11 @@
             raise ValueError(f"`key` needs at least {MIN_KEY_CHARACTERS} characters")
 
     def __repr__(self) -> str:
-        """Leave the key out, so that no log or traceback ever shows it."""
+        """Omit the key, so that it never appears in a log or traceback."""
         return f"CustomerDocument(name={self.name!r})"
 
     def to_customer(self) -> Customer:
-        """Replace the key by its hash."""
+        """Convert to a `Customer`, with the key replaced by its hash."""
         key_hash = self.key_hash or ""
         if self.key is not None:
             key_hash = hash_key(self.key)
@@ -60,7 +62,7 @@
 
 
 class ChangeDocument(Document, frozen=True):
-    """Change some parts of the configuration; what isn't named stays."""
+    """Change parts of the configuration; anything not named stays."""
 
     put_customers: tuple[CustomerDocument, ...] = ()
     remove_customers: tuple[CustomerName, ...] = ()
@@ -73,7 +75,7 @@
     weight_store: WeightStoreLimits | None = None
 
     def to_change(self) -> Change:
-        """Replace keys by their hashes."""
+        """Convert to a `Change`, with keys replaced by their hashes."""
         fields = msgspec.structs.asdict(self)
         fields["put_customers"] = tuple(
             customer.to_customer() for customer in self.put_customers
@@ -82,7 +84,7 @@
 
 
 class WantedDocument(Document, frozen=True):
-    """State the whole configuration that is wanted; what isn't named goes."""
+    """Replace the whole configuration; anything not named is removed."""
 
     customers: tuple[CustomerDocument, ...] = ()
     services: tuple[Service, ...] = ()
@@ -91,7 +93,7 @@
     weight_store: WeightStoreLimits = WeightStoreLimits()
 
     def to_wanted(self) -> WantedState:
-        """Replace keys by their hashes."""
+        """Convert to a `WantedState`, with keys replaced by their hashes."""
         fields = msgspec.structs.asdict(self)
         fields["customers"] = tuple(
             customer.to_customer() for customer in self.customers
@@ -100,10 +102,11 @@
 
 
 class PlanDocument(Document, frozen=True):
-    """Ask for a plan: a change id, the version it is based on, and what is wanted."""
+    """Request a plan for either a whole wanted state or a change."""
 
     change_id: ChangeId
     based_on: ConfigurationVersion
+    """Version of the configuration that the operator has seen, 0 if none."""
     wanted: WantedDocument | None = None
     change: ChangeDocument | None = None
 
@@ -115,10 +118,10 @@
                 f"`change_id` has 1 to {MAX_CHANGE_ID_CHARACTERS} characters"
             )
         if self.based_on < 0:
-            raise ValueError("`based_on` is a version, 0 where there is none yet")
+            raise ValueError("`based_on` must be a version, or 0 if there is none yet")
 
     def to_change(self) -> Change | WantedState:
-        """Give what is wanted, with hashes in place of keys."""
+        """Return the wanted state or change, with keys replaced by their hashes."""
         if self.wanted is not None:
             return self.wanted.to_wanted()
         return self.change.to_change()
@@ -126,18 +129,18 @@
     def to_command(
         self, operator: OperatorName, upstreams: tuple[UpstreamDescription, ...]
     ) -> RecordPlan:
-        """Build the command; pass the upstreams through `relevant_upstreams` first."""
+        """Build the command; reduce the upstreams by `relevant_upstreams` first."""
         return RecordPlan(
             self.change_id, operator, self.based_on, self.to_change(), upstreams
         )
 
 
 class ConfirmDocument(Document, frozen=True):
-    """Confirm a plan; the change id guards against confirming another one's plan."""
+    """Confirm a plan; the change id protects against confirming the wrong plan."""
 
     change_id: ChangeId | None = None
 
 
 def hash_key(key: str) -> str:
-    """Hash a customer's or an operator's key as hex SHA-256."""
+    """Compute the hex SHA-256 of a customer's or an operator's key."""
     return hashlib.sha256(key.encode()).hexdigest()
--- a/packages/core/src/cowslipshelf_core/internal/control/errors.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/errors.py
@@ -2,7 +2,7 @@
 
 
 class ControlError(Exception):
-    """Be an error of the control state, with the step at which it arose."""
+    """Report an error of the control state, and the step that failed."""
 
     def __init__(self, step: str, detail: str) -> None:
         super().__init__(f"{step}: {detail}")
@@ -11,8 +11,8 @@
 
 
 class ControlCodecError(ControlError):
-    """Say that bytes from the log, the wire or a snapshot can't be decoded."""
+    """Report that bytes from the log, the network or a snapshot can't be decoded."""
 
 
 class AppliedOutOfOrderError(ControlError):
-    """Say that a log entry came again; applying it would fork the state."""
+    """Report a log entry that was already applied; applying it again would diverge."""
--- a/packages/core/src/cowslipshelf_core/internal/control/grants.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/grants.py
@@ -1,4 +1,4 @@
-"""Hand out the right to load from the weight store, within the fleet's rate."""
+"""Grant loads from the weight store within the fleet's rate limit."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,34 +15,37 @@
 )
 
 PERMANENT_REFUSAL_RETRY_SECONDS = MAX_GRANT_SECONDS
+"""Retry delay for a request that can't succeed unchanged."""
 
 
 class OpenGrant(NamedTuple):
-    """Be a grant that was neither given back nor expired."""
+    """Hold a grant that has neither been returned nor expired."""
 
     grant_id: GrantId
     holder: InstanceId
     upstream_id: UpstreamId
     expires_at: float
+    """Unix time in seconds."""
 
 
 @dataclass
 class LoadGrants:
-    """Keep a token bucket for the whole fleet, and the open grants.
+    """Store the open grants and the token bucket that limits the whole fleet.
 
-    The bucket starts full and is filled by the log's clock, so that every replica
-    counts alike, and a new leader goes on where the old one stopped.
+    The bucket starts full and is refilled by the clock of the log, so that all
+    replicas compute the same level and a new leader continues from it.
     """
 
     tokens: float | None = None
-    """Tokens in the bucket at `filled_at`; None before the first question."""
+    """Tokens in the bucket at `filled_at`; None before the first refill."""
     filled_at: float = 0.0
+    """Unix time in seconds."""
     grants: dict[GrantId, OpenGrant] = field(default_factory=dict)
 
     def request(
         self, command: AskLoadGrant, limits: WeightStoreLimits, at: float
     ) -> LoadGranted | LoadGrantRefused:
-        """Grant a load, or tell when to ask again."""
+        """Grant a load, or refuse it with a retry delay."""
         self.refill(limits, at)
         self.expire(at)
         known = self.grants.get(command.grant_id)
@@ -62,7 +65,7 @@
     def refusal(
         self, command: AskLoadGrant, limits: WeightStoreLimits, at: float
     ) -> LoadGrantRefused | None:
-        """Find what stands against a grant."""
+        """Return why a grant is refused, or None if it is not."""
         if command.grant_id in self.grants:
             reason = "another instance holds this grant id"
             return LoadGrantRefused(
@@ -81,13 +84,13 @@
             return LoadGrantRefused(command.grant_id, reason, max(soonest - at, 0.0))
         missing = command.tokens - self.tokens
         if missing > 0:
-            reason = "the fleet's rate is used up"
+            reason = "the fleet's rate limit is reached"
             wait = missing / limits.tokens_per_second
             return LoadGrantRefused(command.grant_id, reason, wait)
         return None
 
     def release(self, command: ReturnLoadGrant) -> LoadGrantReturned:
-        """End a grant; its tokens are spent, the store has served the load."""
+        """End a grant; its tokens stay spent, because the store has served the load."""
         grant = self.grants.get(command.grant_id)
         if grant is None or grant.holder != command.holder:
             return LoadGrantReturned(command.grant_id, was_open=False)
@@ -95,7 +98,7 @@
         return LoadGrantReturned(command.grant_id, was_open=True)
 
     def refill(self, limits: WeightStoreLimits, at: float) -> None:
-        """Add the tokens of the time since the last question."""
+        """Add the tokens for the time since the last refill."""
         burst = float(limits.burst_tokens)
         if self.tokens is None:
             self.tokens = burst
@@ -105,15 +108,15 @@
         self.filled_at = at
 
     def expire(self, at: float) -> None:
-        """End grants whose holder never came back."""
+        """Remove expired grants, whose holders did not return them."""
         for grant in tuple(self.grants.values()):
             if grant.expires_at <= at:
                 del self.grants[grant.grant_id]
 
     def open_grants(self) -> tuple[OpenGrant, ...]:
-        """List the open grants, the oldest first."""
+        """Return the open grants, oldest first."""
         return tuple(self.grants.values())
 
     def restore(self, grants: Iterable[OpenGrant]) -> None:
-        """Take over the grants of a snapshot."""
+        """Load the grants of a snapshot."""
         self.grants = {grant.grant_id: grant for grant in grants}
--- a/packages/core/src/cowslipshelf_core/internal/control/merging.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/merging.py
@@ -1,4 +1,4 @@
-"""Work out the configuration that a change would lead to, and what is wrong with it."""
+"""Merge a change into the current configuration."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class MergeResult(NamedTuple):
-    """Be the configuration that a change leads to, still under the old version."""
+    """Hold the configuration after a change, still with the old version."""
 
     configuration: FleetConfiguration
     problems: tuple[str, ...]
@@ -25,7 +25,7 @@
 
 
 def merge(current: FleetConfiguration, change: Change | WantedState) -> MergeResult:
-    """Apply a change to the current configuration, without judging the result."""
+    """Apply a change to the current configuration, without validating the result."""
     match change:
         case Change():
             return merge_change(current, change)
@@ -34,7 +34,7 @@
 
 
 def merge_wanted(current: FleetConfiguration, wanted: WantedState) -> MergeResult:
-    """Replace the current configuration as a whole."""
+    """Replace the whole configuration."""
     problems = [
         *duplicate_name_problems("customers", (item.name for item in wanted.customers)),
         *duplicate_name_problems("services", (item.name for item in wanted.services)),
@@ -53,7 +53,7 @@
 
 
 def merge_change(current: FleetConfiguration, change: Change) -> MergeResult:
-    """Put and remove what a change names."""
+    """Add, replace and remove the items that a change names."""
     customers = fill_key_hashes(current, change.put_customers)
     draining = set(current.draining)
     problems = [
@@ -87,7 +87,7 @@
 def fill_key_hashes(
     current: FleetConfiguration, customers: Iterable[Customer]
 ) -> tuple[Customer, ...]:
-    """Fill empty key hashes with those that the customers have now."""
+    """Replace empty key hashes by those that the customers have now."""
     known = {item.name: item.key_hash for item in current.customers}
     return tuple(
         item
@@ -100,21 +100,21 @@
 def put_and_remove(
     current: Iterable[Named], put: Iterable[Named], removed: frozenset[str]
 ) -> tuple[Named, ...]:
-    """Replace items by name, add new ones and leave out removed ones."""
+    """Replace items by name, add new ones and omit removed ones."""
     items = {item.name: item for item in current}
     items.update({item.name: item for item in put})
     return sorted_by_name(item for item in items.values() if item.name not in removed)
 
 
 def sorted_by_name(items: Iterable[Named]) -> tuple[Named, ...]:
-    """Sort items, so that equal configurations are equal whatever their history."""
+    """Sort items, so that configurations compare equal whatever their history."""
     return tuple(sorted(items, key=lambda item: item.name))
 
 
 def naming_problems(
     part: str, current: Iterable[Named], put: Iterable[Named], change: Change
 ) -> Iterable[str]:
-    """Find names that a change uses twice, or removes though nobody has them."""
+    """List names that a change uses twice, or removes though they don't exist."""
     removed: tuple[str, ...] = getattr(change, f"remove_{part}")
     put_names = tuple(item.name for item in put)
     known = {item.name for item in current}
@@ -128,7 +128,7 @@
 
 
 def drain_problems(change: Change) -> Iterable[str]:
-    """Find upstreams that a change names twice."""
+    """List upstreams that a change names twice."""
     yield from duplicate_name_problems("drain", change.drain)
     yield from duplicate_name_problems("undrain", change.undrain)
     for upstream in sorted(set(change.drain) & set(change.undrain)):
--- a/packages/core/src/cowslipshelf_core/internal/control/named_items.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/named_items.py
@@ -1,4 +1,4 @@
-"""Compare lists of named items, and find names that stand twice."""
+"""Compare lists of named items, and find duplicate names."""
 
 from collections.abc import Iterable
 from typing import Generic, NamedTuple, TypeVar
@@ -9,7 +9,7 @@
 
 
 class Difference(NamedTuple, Generic[Named]):
-    """Be an item that was added, removed or replaced."""
+    """Hold an item that was added, removed or replaced."""
 
     name: str
     before: Named | None
@@ -19,7 +19,7 @@
 def diff_by_name(
     before: Iterable[Named], after: Iterable[Named]
 ) -> tuple[Difference[Named], ...]:
-    """List what differs, by name."""
+    """List the items that differ, sorted by name."""
     old = {item.name: item for item in before}
     new = {item.name: item for item in after}
     changed = [name for name, item in new.items() if old.get(name) != item]
@@ -31,7 +31,7 @@
 
 
 def duplicate_name_problems(where: str, names: Iterable[str]) -> Iterable[str]:
-    """List a problem for each repetition."""
+    """List a problem for each duplicate name."""
     seen: set[str] = set()
     for name in names:
         if name in seen:
--- a/packages/core/src/cowslipshelf_core/internal/control/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/orders.py
@@ -1,4 +1,4 @@
-"""Keep the orders to upstreams: one open at a time, each with a fencing number."""
+"""Store the orders to upstreams: one open per upstream, with a fencing number."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 
 class WaitingOrder(NamedTuple):
-    """Be an order of a confirmed plan that waits for the open one to end."""
+    """Hold an order of a confirmed plan that waits for the open order to end."""
 
     order_id: OrderId
     kind: OrderKind
@@ -28,37 +28,37 @@
 
 
 class OrderSlot(NamedTuple):
-    """Be all that is known of the orders to one upstream."""
+    """Hold the open, waiting and recently ended orders of one upstream."""
 
     upstream_id: UpstreamId
     fencing: FencingNumber = FencingNumber(0)
-    """Number of the newest order; the upstream must obey none below it."""
+    """Number of the newest order; the upstream must refuse any lower one."""
     open_order: OrderGranted | None = None
     waiting: tuple[WaitingOrder, ...] = ()
     ended: tuple[OrderId, ...] = ()
-    """The last orders that were closed or superseded."""
+    """Most recent orders that were closed or superseded."""
 
 
 @dataclass
 class OrderTable:
-    """Grant one order at a time to each upstream; its log index is the number.
+    """Grant one order at a time to each upstream, fenced by its log index.
 
-    The index grows with every order, whoever is the leader. So a control instance
-    that was isolated and still sends an old order carries a lower number than the
-    one that the majority granted since, and the upstream or its sidecar refuses it.
+    The index grows with every order, under any leader. If an isolated control instance
+    still sends an old order, its number is lower than that of the order which the
+    majority has granted since, and the upstream or its sidecar refuses it.
     """
 
     slots: dict[UpstreamId, OrderSlot] = field(default_factory=dict)
     dropped_fencing: FencingNumber = FencingNumber(0)
-    """Highest number among idle slots that were dropped to stay within bounds."""
+    """Highest number among the idle slots that were evicted."""
 
     def request(self, command: RequestOrder, index: int) -> OrderGranted | OrderRefused:
-        """Open an order; it supersedes the open one."""
+        """Open an order, which supersedes the open one."""
         slot = self.slot(command.upstream_id)
         if slot.open_order is not None and slot.open_order.order_id == command.order_id:
             return repeat_answer(slot.open_order, command)
         if command.order_id in slot.ended:
-            # A late copy of an ended order must not supersede its successor.
+            # A delayed copy of an ended order must not supersede its successor.
             return OrderRefused(command.order_id, "this order has ended")
         if not self.ensure_capacity(command.upstream_id):
             return OrderRefused(command.order_id, "too many upstreams have open orders")
@@ -70,7 +70,7 @@
     ) -> tuple[OrderGranted, ...]:
         """Open or queue the orders of a confirmed plan.
 
-        A plan speaks of announced upstreams alone, which bounds its orders.
+        The number of orders is bounded, as a plan covers announced upstreams only.
         """
         opened: list[OrderGranted] = []
         for number, order in enumerate(planned, start=1):
@@ -85,7 +85,7 @@
         return tuple(opened)
 
     def close(self, command: CloseOrder, index: int) -> OrderClosed | OrderRefused:
-        """End the open order, and open the next one that waits."""
+        """End the open order, and open the next waiting one."""
         slot = self.slot(command.upstream_id)
         if command.order_id in slot.ended:
             return OrderClosed(command.order_id, slot.open_order)
@@ -94,7 +94,7 @@
             return OrderRefused(command.order_id, "this order is not open")
         if order.fencing != command.fencing:
             return OrderRefused(
-                command.order_id, f"its fencing number is {order.fencing}"
+                command.order_id, f"the open order has fencing number {order.fencing}"
             )
         slot = end_open_order(slot)
         self.store(slot)
@@ -106,29 +106,29 @@
         )
 
     def current_fencing(self, upstream_id: UpstreamId) -> FencingNumber:
-        """Read the number below which no order to the upstream is valid."""
+        """Return the number below which no order to the upstream is valid."""
         slot = self.slots.get(upstream_id)
         return self.dropped_fencing if slot is None else slot.fencing
 
     def open_orders(self) -> tuple[OrderGranted, ...]:
-        """List all open orders."""
+        """Return all open orders."""
         orders = (slot.open_order for slot in self.slots.values())
         return tuple(order for order in orders if order is not None)
 
     def slot(self, upstream_id: UpstreamId) -> OrderSlot:
-        """Read an upstream's slot, an empty one where it has none."""
+        """Return the slot of an upstream, or an empty one if it has none."""
         empty = OrderSlot(upstream_id, self.dropped_fencing)
         return self.slots.get(upstream_id, empty)
 
     def store(self, slot: OrderSlot) -> None:
-        """Write a slot back, as the newest."""
+        """Store a slot as the most recently used."""
         self.slots.pop(slot.upstream_id, None)
         self.slots[slot.upstream_id] = slot
 
     def open_in_slot(
         self, slot: OrderSlot, order: WaitingOrder, index: int
     ) -> OrderGranted:
-        """Put an order in force in a slot."""
+        """Open an order in a slot, ending the one that is open."""
         fencing = FencingNumber(index)
         granted = OrderGranted(
             order.order_id, slot.upstream_id, order.kind, order.argument, fencing
@@ -139,10 +139,10 @@
         return granted
 
     def ensure_capacity(self, upstream_id: UpstreamId) -> bool:
-        """Make room for a slot by dropping the idle one that was used longest ago.
+        """Make room for a slot by evicting the least recently used idle one.
 
-        Its number lives on in `dropped_fencing`: were it forgotten, an upstream
-        would be told that a number below its last one is current.
+        Its number is retained in `dropped_fencing`. Without it, an upstream would be
+        told that a number below that of its last order is current.
         """
         if upstream_id in self.slots or len(self.slots) < MAX_ORDER_SLOTS:
             return True
@@ -159,14 +159,14 @@
         return True
 
     def restore(self, slots: Iterable[OrderSlot]) -> None:
-        """Take over the slots of a snapshot."""
+        """Load the slots of a snapshot."""
         self.slots = {slot.upstream_id: slot for slot in slots}
 
 
 def enqueue(slot: OrderSlot, order: WaitingOrder) -> OrderSlot:
-    """Queue an order; one for the same thing is replaced, the oldest go beyond a bound.
+    """Queue an order, dropping a waiting one for the same model and the oldest surplus.
 
-    What a model's version should be is said by the newest plan alone.
+    Only the newest plan determines which version of a model is loaded.
     """
     others = (
         entry
@@ -178,12 +178,12 @@
 
 
 def model_of(argument: str) -> str:
-    """Read the model's name out of `name@version`."""
+    """Return the model name of `name@version`."""
     return argument.partition("@")[0]
 
 
 def end_open_order(slot: OrderSlot) -> OrderSlot:
-    """End the open order of a slot, and remember its id for a while."""
+    """End the open order of a slot, and remember its id to recognise resends."""
     remembered = (*slot.ended, slot.open_order.order_id)[-MAX_REMEMBERED_ORDERS:]
     return slot._replace(open_order=None, ended=remembered)
 
@@ -191,7 +191,7 @@
 def repeat_answer(
     granted: OrderGranted, command: RequestOrder
 ) -> OrderGranted | OrderRefused:
-    """Answer a resend, unless it asks for something else under the same id."""
+    """Repeat the answer to a resend, or refuse another order under the same id."""
     if (granted.kind, granted.argument) == (command.kind, command.argument):
         return granted
     return OrderRefused(command.order_id, "this order id was used for another order")
--- a/packages/core/src/cowslipshelf_core/internal/control/outcomes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/outcomes.py
@@ -20,20 +20,20 @@
 
 
 class PlanRecorded(Message, frozen=True):
-    """Answer with a plan that waits for its confirmation."""
+    """Carry a plan that waits for its confirmation."""
 
     plan: Plan
 
 
 class PlanRefused(Message, frozen=True):
-    """Answer that there is no such plan to be had, and why; nothing was recorded."""
+    """Report why no plan was recorded for a change."""
 
     change_id: ChangeId | None
     reasons: tuple[str, ...]
 
 
 class OrderGranted(Message, frozen=True):
-    """Be an open order with its fencing number."""
+    """Carry an open order and its fencing number."""
 
     order_id: OrderId
     upstream_id: UpstreamId
@@ -43,54 +43,54 @@
 
 
 class PlanConfirmed(Message, frozen=True):
-    """Answer that a plan is in force under this version."""
+    """Report that a plan was applied, and the resulting version."""
 
     plan_id: PlanId
     change_id: ChangeId
     configuration_version: ConfigurationVersion
     opened: tuple[OrderGranted, ...] = ()
-    """Orders opened by it; an upstream's further ones wait for their turn."""
+    """Orders that it opened; further orders to the same upstream are queued."""
 
 
 class PlanOutdated(Message, frozen=True):
-    """Answer that another change came first, with a fresh plan on top of it."""
+    """Report that another change came first, with a new plan based on it."""
 
     newer_version: ConfigurationVersion
     fresh_plan: Plan | None
-    """None where the change no longer makes sense; the reasons then say why."""
+    """None if the change is no longer valid, for the given reasons."""
     reasons: tuple[str, ...] = ()
 
 
 class PlanUnknown(Message, frozen=True):
-    """Answer that no such plan waits: never recorded, or so old that it was dropped."""
+    """Report that no such plan is pending: it was never recorded, or was evicted."""
 
     plan_id: PlanId
 
 
 class OrderRefused(Message, frozen=True):
-    """Answer that an order can't be opened or closed, and why."""
+    """Report why an order can't be opened or closed."""
 
     order_id: OrderId
     reason: str
 
 
 class OrderClosed(Message, frozen=True):
-    """Answer that an order has ended; the next one waiting is then open."""
+    """Report that an order has ended, and which waiting order was opened."""
 
     order_id: OrderId
     next_order: OrderGranted | None
 
 
 class LoadGranted(Message, frozen=True):
-    """Answer that the asker may load until the grant expires."""
+    """Report that the holder may load until the grant expires."""
 
     grant_id: GrantId
     expires_at: float
-    """Seconds since 1970."""
+    """Unix time in seconds."""
 
 
 class LoadGrantRefused(Message, frozen=True):
-    """Answer that there is no grant now, and when to ask again."""
+    """Report why no grant is available, and when to retry."""
 
     grant_id: GrantId
     reason: str
@@ -98,24 +98,24 @@
 
 
 class LoadGrantReturned(Message, frozen=True):
-    """Answer that a grant is no longer open."""
+    """Report that a grant is no longer open."""
 
     grant_id: GrantId
     was_open: bool
 
 
 class MembershipRecorded(Message, frozen=True):
-    """Answer that a change of the replicas is in the audit trail."""
+    """Report that a membership change was recorded in the audit trail."""
 
 
 class RoutesHeld(Message, frozen=True):
-    """Answer with the version of the routed configuration that is now held."""
+    """Report the version of the gateways' configuration that is now stored."""
 
     version: ConfigurationVersion
 
 
 class RoutesConflict(Message, frozen=True):
-    """Answer that other content was accepted under the same version."""
+    """Report that other content is already stored under the same version."""
 
     version: ConfigurationVersion
 
--- a/packages/core/src/cowslipshelf_core/internal/control/planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/planning.py
@@ -1,4 +1,4 @@
-"""Tell what a change would do: fields, orders, whose requests, and what not."""
+"""Work out the effects of a change: fields, orders and affected requests."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -27,7 +27,7 @@
 
 
 class PlanDraft(NamedTuple):
-    """Be a plan's content before it has an id, or the reasons against it."""
+    """Hold the content of a plan that has no id yet, or the problems with it."""
 
     configuration: FleetConfiguration
     problems: tuple[str, ...]
@@ -42,7 +42,7 @@
     change: Change | WantedState,
     upstreams: tuple[UpstreamDescription, ...],
 ) -> PlanDraft:
-    """Work out what a change would do to the current configuration."""
+    """Work out the effects of a change to the current configuration."""
     merged = merge(current, change)
     problems = merged.problems or configuration_problems(current, merged.configuration)
     if problems:
@@ -66,9 +66,10 @@
 def relevant_upstreams(
     change: Change | WantedState, upstreams: Iterable[UpstreamDescription]
 ) -> tuple[UpstreamDescription, ...]:
-    """Keep the upstreams that a plan for the change can speak of, in a fixed order.
+    """Select the upstreams that a plan for the change can mention, sorted.
 
-    Whatever the base, so that a fresh plan on a newer one can use them as well.
+    The selection does not depend on the base version, so that it also suits a new
+    plan that is based on a later one.
     """
     if isinstance(change, WantedState) or change.put_models:
         return tuple(sorted(upstreams))
@@ -86,7 +87,7 @@
 def field_changes(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> Iterable[FieldChange]:
-    """List every field that differs."""
+    """List all fields that differ."""
     yield from changes_by_name("customer", before.customers, after.customers)
     yield from changes_by_name("service", before.services, after.services)
     yield from changes_by_name("model", before.models, after.models)
@@ -101,7 +102,7 @@
 def changes_by_name(
     kind: SubjectKind, before: Iterable[Named], after: Iterable[Named]
 ) -> Iterable[FieldChange]:
-    """Compare items by name."""
+    """List the changed fields of items, matched by name."""
     for name, old, new in diff_by_name(before, after):
         yield from document_changes(kind, name, old, new)
 
@@ -109,11 +110,11 @@
 def document_changes(
     kind: SubjectKind, name: str, before: Document | None, after: Document | None
 ) -> Iterable[FieldChange]:
-    """Compare two documents of one type, either of which may be absent."""
+    """List the changed fields of a document, which either side may lack."""
     if before == after:
         return
-    current = after if before is None else before
-    for field in current.__struct_fields__:
+    existing = after if before is None else before
+    for field in existing.__struct_fields__:
         old = format_field(before, field)
         new = format_field(after, field)
         if (
@@ -125,12 +126,12 @@
 
 
 def key_hash_of(document: Document | None) -> str | None:
-    """Read a key hash in full, of which a plan shows only the beginning."""
+    """Return the whole key hash, of which a plan shows only a prefix."""
     return getattr(document, "key_hash", None)
 
 
 def format_field(document: Document | None, field: str) -> str | None:
-    """Write a field as text."""
+    """Format a field as text."""
     if document is None:
         return None
     value = getattr(document, field)
@@ -144,7 +145,7 @@
 def services_with_changed_models(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> tuple[Service, ...]:
-    """Find services that get a model, or another version of one."""
+    """List services that get a new model, or another version of a model."""
     old = {item.name: item.models for item in before.services}
     reloaded = reloaded_models(before, after)
     return tuple(
@@ -158,7 +159,7 @@
 def reloaded_models(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ModelName]:
-    """Find models that had another version before."""
+    """Return the models whose version changes."""
     old = {item.name: item.version for item in before.models}
     return {
         item.name
@@ -170,7 +171,7 @@
 def removed_services(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ServiceName]:
-    """Find services that go."""
+    """Return the services that are removed."""
     return {item.name for item in before.services} - {
         item.name for item in after.services
     }
@@ -182,7 +183,7 @@
     services: Iterable[Service],
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[PlannedOrder]:
-    """List the orders that bring upstreams to the models of their services."""
+    """List the orders that make upstreams load the models of their services."""
     versions = {item.name: item.version for item in after.models}
     reloaded = reloaded_models(before, after)
     by_service = {item.name: item for item in services}
@@ -204,7 +205,7 @@
     orders: Iterable[PlannedOrder],
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[AffectedSubject]:
-    """List whose requests a plan touches."""
+    """List the customers, services and upstreams whose requests a plan affects."""
     yield from affected_customers(before, after)
     for name in sorted(removed_services(before, after)):
         yield AffectedSubject(
@@ -231,7 +232,7 @@
 def affected_customers(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> Iterable[AffectedSubject]:
-    """List customers whose requests are let in, refused or served otherwise."""
+    """List the customers whose access, shares or limits change."""
     for name, old, new in diff_by_name(before.customers, after.customers):
         match old, new:
             case None, _:
@@ -255,7 +256,7 @@
     services: Iterable[Service],
     upstreams: tuple[UpstreamDescription, ...],
 ) -> Iterable[NotDone]:
-    """List what a plan can't do with the upstreams there are."""
+    """List the parts of a change that its plan does not carry out."""
     announced = {item.upstream_id for item in upstreams}
     for service in services:
         yield from loads_not_done(service, after, upstreams)
@@ -278,7 +279,7 @@
     after: FleetConfiguration,
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[NotDone]:
-    """Tell why models of a service are not loaded."""
+    """List the loads of a service that are not carried out, and why."""
     own = [item for item in upstreams if item.service == service.name]
     what = f"load {', '.join(service.models)} for service {service.name}"
     if not own:
--- a/packages/core/src/cowslipshelf_core/internal/control/plans.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/plans.py
@@ -1,4 +1,4 @@
-"""Define changes to the configuration, and the plans that answer them."""
+"""Define changes to the configuration and the plans for them."""
 
 from typing import Literal
 
@@ -26,10 +26,10 @@
 
 
 class Change(Message, frozen=True):
-    """Change some parts of the configuration; what isn't named stays."""
+    """Change parts of the configuration; anything not named stays."""
 
     put_customers: tuple[Customer, ...] = ()
-    """An empty key hash keeps the one that the customer has."""
+    """Customers to add or replace; an empty key hash keeps the present one."""
     remove_customers: tuple[CustomerName, ...] = ()
     put_services: tuple[Service, ...] = ()
     remove_services: tuple[ServiceName, ...] = ()
@@ -41,7 +41,7 @@
 
 
 class WantedState(Message, frozen=True):
-    """State the whole configuration that is wanted; what isn't named goes."""
+    """Replace the whole configuration; anything not named is removed."""
 
     customers: tuple[Customer, ...] = ()
     services: tuple[Service, ...] = ()
@@ -51,7 +51,7 @@
 
 
 class FieldChange(Document, frozen=True):
-    """Tell one field that a plan changes; None where it is absent."""
+    """Describe one field that a plan changes; None for an absent value."""
 
     kind: SubjectKind
     name: str
@@ -61,7 +61,7 @@
 
 
 class PlannedOrder(Document, frozen=True):
-    """Tell an order that goes to an upstream once the plan is confirmed."""
+    """Describe an order that is sent to an upstream once the plan is confirmed."""
 
     upstream_id: UpstreamId
     kind: OrderKind
@@ -70,7 +70,7 @@
 
 
 class AffectedSubject(Document, frozen=True):
-    """Tell whose requests a plan touches, and how."""
+    """Describe whose requests a plan affects, and how."""
 
     kind: SubjectKind
     name: str
@@ -78,14 +78,14 @@
 
 
 class NotDone(Document, frozen=True):
-    """Tell what a plan leaves undone, and why."""
+    """Describe a part of the change that the plan does not carry out, and why."""
 
     what: str
     why: str
 
 
 class Plan(Document, frozen=True):
-    """Be what a change will do once it is confirmed, and what it won't do."""
+    """Describe what a change will do once it is confirmed, and what it won't do."""
 
     plan_id: PlanId
     change_id: ChangeId
--- a/packages/core/src/cowslipshelf_core/internal/control/route_register.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/route_register.py
@@ -1,4 +1,4 @@
-"""Hold the newest routed configuration that was accepted."""
+"""Store the newest accepted configuration of the gateways."""
 
 from dataclasses import dataclass
 
@@ -12,20 +12,21 @@
 
 @dataclass(slots=True)
 class RouteRegister:
-    """Keep the document with the highest version."""
+    """Store the document with the highest version."""
 
     document: RoutesDocument = NO_ROUTES
 
     def put(self, command: PutRoutes) -> RoutesHeld | RoutesConflict:
-        """Hold a newer document; an older one is answered and changes nothing.
+        """Store a newer document, and answer an older one with the stored version.
 
-        Two operators may give the same number to two contents. The first one in the
-        log keeps it, and the other is told, since it would wait for its change.
+        Two operators may use the same version for different contents. The first one in
+        the log keeps it. The other is told of the conflict; otherwise it would wait for
+        its change to take effect.
         """
-        document = command.document
-        if document.version > self.document.version:
-            self.document = document
-        same_version = document.version == self.document.version
-        if same_version and document.digest != self.document.digest:
-            return RoutesConflict(document.version)
+        offered = command.document
+        if offered.version > self.document.version:
+            self.document = offered
+        same_version = offered.version == self.document.version
+        if same_version and offered.digest != self.document.digest:
+            return RoutesConflict(offered.version)
         return RoutesHeld(self.document.version)
--- a/packages/core/src/cowslipshelf_core/internal/control/snapshots.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/snapshots.py
@@ -15,10 +15,10 @@
 
 
 class ControlSnapshot(Message, frozen=True):
-    """Be the whole control state; equal states give equal bytes.
+    """Hold the whole control state; equal states are encoded to equal bytes.
 
-    Tables go in as the maps that they are, in their order: an object for each of a
-    hundred thousand records would stop the replica for most of a second.
+    Tables are encoded as they are, as maps of encoded records in their order. An object
+    for each of a hundred thousand records would block the replica for most of a second.
     """
 
     format_version: int
@@ -38,14 +38,14 @@
     grants_filled_at: float
     audit: tuple[AuditRecord, ...]
     routes: RoutesDocument = NO_ROUTES
-    """Absent from snapshots of replicas that knew no routes."""
+    """Absent from snapshots written before replicas stored routes."""
 
 
 SNAPSHOT_DECODER = msgspec.msgpack.Decoder(ControlSnapshot)
 
 
 def decode_snapshot(data: bytes) -> ControlSnapshot:
-    """Decode a snapshot; `ControlCodecError` where the bytes are none."""
+    """Decode a snapshot, or raise `ControlCodecError` if the bytes are invalid."""
     step = "decode control snapshot"
     try:
         snapshot = SNAPSHOT_DECODER.decode(data)
--- a/packages/core/src/cowslipshelf_core/internal/control/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/state.py
@@ -1,4 +1,4 @@
-"""Apply commands to the control state, alike on every replica."""
+"""Apply commands to the replicated control state deterministically."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -55,30 +55,30 @@
 )
 
 ROUTES_OPERATOR = OperatorName("routes")
-"""Stands in the trail where the operator's door names nobody."""
+"""Operator in the audit trail of commands that don't name one."""
 
 
 class ChangeExplanation(NamedTuple):
-    """Tell what became of a change."""
+    """Describe what became of a change."""
 
     change_id: ChangeId
     operator: OperatorName
     first_answer: PlanRecorded | PlanOutdated
     audit: tuple[AuditRecord, ...]
-    """Without records so old that the trail has dropped them."""
+    """Audit records of the change that the trail still has."""
 
 
 @dataclass
 class ControlState:
-    """Hold what must survive: the configuration, claims, orders, grants, the trail.
+    """Hold the replicated state: configuration, claims, orders, grants, audit trail.
 
-    Deterministic: equal commands under equal indexes and times give equal outcomes
-    and equal snapshots, byte for byte. The time is the leader's, from the log.
+    It is deterministic: the same commands with the same indexes and times give the same
+    outcomes and snapshots, byte for byte. The time is the leader's, taken from the log.
     """
 
     applied_index: int = 0
     clock: float = 0.0
-    """Highest time seen; a leader whose clock is behind cannot turn it back."""
+    """Highest time seen; a leader whose clock is behind can't set it back."""
     changes: ChangeTable = field(default_factory=ChangeTable)
     claims: ClaimTable = field(default_factory=ClaimTable)
     orders: OrderTable = field(default_factory=OrderTable)
@@ -92,13 +92,13 @@
         return self.changes.configuration
 
     def apply(self, command: ControlCommand, index: int, at: float) -> ControlOutcome:
-        """Apply a committed command; indexes must grow, `at` is in seconds since 1970.
+        """Apply a committed command; `at` is a Unix time in seconds.
 
-        Raises `AppliedOutOfOrderError` for an index that was applied before.
+        Indexes must increase; `AppliedOutOfOrderError` is raised otherwise.
         """
         if index <= self.applied_index:
-            # A log replayed over a snapshot that holds it already would run claims
-            # and changes twice; every replica must stop rather than diverge.
+            # Replaying log entries that the snapshot already contains would apply
+            # claims and changes twice. The replica must stop rather than diverge.
             detail = f"index {index} after {self.applied_index}"
             raise AppliedOutOfOrderError("apply control command", detail)
         self.applied_index = index
@@ -130,7 +130,7 @@
                 return self.put_routes(command)
 
     def record_plan(self, command: RecordPlan) -> ControlOutcome:
-        """Record a plan; nothing else changes."""
+        """Record a plan without applying it."""
         outcome, first = self.changes.record(command, self.applied_index)
         if first:
             self.add_audit_record(
@@ -139,14 +139,14 @@
         return outcome
 
     def confirm_plan(self, command: ConfirmPlan) -> ControlOutcome:
-        """Put a plan in force."""
+        """Apply a plan."""
         before = self.configuration
         confirmation = self.changes.confirm(command, self.orders, self.applied_index)
         if not confirmation.first:
             return confirmation.outcome
         match confirmation.outcome:
             case PlanConfirmed(opened=opened):
-                # Time that has passed counts at the rate that held while it passed.
+                # The time until now counts at the rate that was in force during it.
                 self.grants.refill(before.weight_store, self.clock)
                 changed = len(confirmation.draft.changes)
                 detail = f"{changed} fields changed, {len(opened)} orders opened"
@@ -169,7 +169,7 @@
         return outcome
 
     def close_order(self, command: CloseOrder) -> ControlOutcome:
-        """End an order."""
+        """Close an order, and open the next one that waits."""
         fencing_before = self.orders.current_fencing(command.upstream_id)
         was_open = self.is_open(command)
         outcome = self.orders.close(command, self.applied_index)
@@ -183,7 +183,7 @@
         return outcome
 
     def is_open(self, command: CloseOrder) -> bool:
-        """Tell whether a report is about the order that is open."""
+        """Return whether a report is about the open order."""
         open_order = self.orders.slot(command.upstream_id).open_order
         return open_order is not None and open_order.order_id == command.order_id
 
@@ -200,7 +200,7 @@
         return outcome
 
     def return_load_grant(self, command: ReturnLoadGrant) -> ControlOutcome:
-        """Take a load grant back."""
+        """End a load grant."""
         outcome = self.grants.release(command)
         if outcome.was_open:
             self.add_audit_record(
@@ -209,13 +209,13 @@
         return outcome
 
     def record_membership(self, command: RecordMembership) -> ControlOutcome:
-        """Note a change of the replicas."""
+        """Record a change of the replica membership."""
         detail = f"{command.action} {command.instance} {command.detail}".rstrip()
         self.add_audit_record(command.operator, "change_membership", None, detail)
         return MembershipRecorded()
 
     def put_routes(self, command: PutRoutes) -> ControlOutcome:
-        """Hold a routed configuration, if it is the newest."""
+        """Store a configuration of the gateways if it is the newest."""
         before = self.routes.document.version
         outcome = self.routes.put(command)
         held = self.routes.document.version
@@ -232,7 +232,7 @@
         detail: str,
         version_before: ConfigurationVersion | None = None,
     ) -> None:
-        """Leave a record of the current command."""
+        """Add an audit record of the current command."""
         current = self.configuration.version
         before = current if version_before is None else version_before
         record = AuditRecord(
@@ -248,23 +248,23 @@
         self.audit_trail.add(record)
 
     def current_fencing(self, upstream_id: UpstreamId) -> FencingNumber:
-        """Read the number below which no order to the upstream is valid."""
+        """Return the number below which no order to the upstream is valid."""
         return self.orders.current_fencing(upstream_id)
 
     def open_orders(self) -> tuple[OrderGranted, ...]:
-        """List the orders that upstreams should be carrying out."""
+        """Return the orders that upstreams should be executing."""
         return self.orders.open_orders()
 
     def open_grants(self) -> tuple[OpenGrant, ...]:
-        """List the load grants that were not given back."""
+        """Return the load grants that were not returned."""
         return self.grants.open_grants()
 
     def audit(self, since_index: int, limit: int) -> tuple[AuditRecord, ...]:
-        """Read the audit trail after a log index, the oldest first."""
+        """Return up to `limit` audit records after a log index, oldest first."""
         return self.audit_trail.since(since_index, limit)
 
     def explain_change(self, change_id: ChangeId) -> ChangeExplanation | None:
-        """Tell what became of a change; None where its id is no longer kept."""
+        """Return what became of a change, or None if its id is no longer stored."""
         data = self.changes.change_records.get(change_id)
         if data is None:
             return None
@@ -278,7 +278,7 @@
         )
 
     def to_snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the whole state as a snapshot."""
         snapshot = ControlSnapshot(
             format_version=SNAPSHOT_FORMAT,
             applied_index=self.applied_index,
@@ -302,7 +302,7 @@
 
     @classmethod
     def from_snapshot(cls, data: bytes) -> "ControlState":
-        """Decode a whole state; `ControlCodecError` where the bytes are none."""
+        """Decode a snapshot, or raise `ControlCodecError` if the bytes are invalid."""
         snapshot = decode_snapshot(data)
         state = cls(applied_index=snapshot.applied_index, clock=snapshot.clock)
         state.changes.configuration = snapshot.configuration
--- a/packages/core/src/cowslipshelf_core/internal/control/validation.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/validation.py
@@ -1,4 +1,4 @@
-"""Find what is wrong with a configuration before anybody can put it in force."""
+"""Validate a configuration before it can be applied."""
 
 import math
 import re
@@ -28,11 +28,11 @@
 def configuration_problems(
     current: FleetConfiguration, wanted: FleetConfiguration
 ) -> tuple[str, ...]:
-    """List everything that is wrong, not the first problem alone.
+    """List all problems of a configuration, not only the first.
 
-    The current configuration went through the same checks. So an item that stays
-    needs none, unless something went that it may name: one customer's change must
-    not cost a look at all others.
+    The current configuration has passed the same checks, so an unchanged item is only
+    checked if something that it may refer to was removed. This way the change of one
+    customer does not cost a check of all others.
     """
     problems: list[str] = []
     models = {item.name for item in wanted.models}
@@ -61,7 +61,7 @@
 def items_to_check(
     current: tuple[Named, ...], wanted: tuple[Named, ...], *, check_all: bool = False
 ) -> tuple[Named, ...]:
-    """List the items that must be checked."""
+    """Return the items that must be checked."""
     if check_all:
         return wanted
     items = (item.after for item in diff_by_name(current, wanted))
@@ -115,7 +115,7 @@
 
 
 def shared_key_problems(customers: Iterable[Customer]) -> Iterable[str]:
-    """Find customers that one key would let in as each other."""
+    """List customers that share a key, so that it would not identify one of them."""
     owners: dict[str, str] = {}
     for customer in customers:
         owner = owners.setdefault(customer.key_hash, customer.name)
@@ -149,6 +149,6 @@
 
 
 def number_problems(where: str, value: float, most: float) -> Iterable[str]:
-    """Check a number that must be above zero; NaN is none."""
+    """Check a number that must be above zero and not NaN."""
     if not math.isfinite(value) or not 0 < value <= most:
         yield f"{where}: must be above 0 and at most {most:g}, found {value}"
--- a/tests/common/control.py
+++ b/tests/common/control.py
@@ -1,4 +1,4 @@
-"""Run commands over two replicas of the control state and compare them."""
+"""Apply the same commands to two replicas of the control state and compare them."""
 
 import msgspec
 from hypothesis import HealthCheck, settings
@@ -27,7 +27,7 @@
 
 
 class ReplicasMachine(RuleBasedStateMachine):
-    """Keep two replicas under one log; either may restart from a snapshot."""
+    """Apply one log to two replicas, either of which may restart from a snapshot."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,7 +42,7 @@
         return self.replicas[0]
 
     def apply(self, command: ControlCommand) -> ControlOutcome:
-        """Apply a command to both replicas, as the log carries it."""
+        """Apply a command to both replicas, and check that it survives encoding."""
         assert decode_command(encode_command(command)) == command
         self.index += 1
         self.latest = self.now()
@@ -61,12 +61,12 @@
         return first
 
     def now(self) -> float:
-        """Give the time that the replicas go by."""
+        """Return the time that the replicas use."""
         return max(self.latest, self.at)
 
     @rule(seconds=st.sampled_from([-50.0, 0.5, 0.5, 5.0, 5.0, 45.0, 3600.0]))
     def time_passes(self, seconds: float) -> None:
-        """Move the leader's clock; a new leader's may be behind."""
+        """Advance the leader's clock, or set it back as by a change of leader."""
         self.at += seconds
 
     @rule(which=st.sampled_from([0, 1]))
--- a/tests/cover/configuration_view/test_versions.py
+++ b/tests/cover/configuration_view/test_versions.py
@@ -1,4 +1,4 @@
-"""Check which configuration a process has in force, in whatever order words come."""
+"""Check which configuration is in force in a process, for any order of messages."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -30,13 +30,13 @@
 SILENT = ("entry-1", "replica-1")
 STEP_SECONDS = 0.5
 CONVERGENCE_SECONDS = 6.0
-"""The time within which a confirmed change must be in force everywhere."""
+"""Time within which a confirmed change must be in force everywhere."""
 
 senders = st.sampled_from(SENDERS)
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """Let one process restart among others that run ahead, answer late or never."""
+    """Restart one process among others that are newer, answer late or never."""
 
     @initialize()
     def begin(self):
@@ -56,36 +56,38 @@
         self.least_servable = max(self.versions.values())
 
     @rule(sender=senders)
-    def change_and_spread(self, sender):
+    def accept_change(self, sender):
         self.versions[sender] = max(self.versions.values()) + 1
 
     @rule(sender=senders)
-    def say_version(self, sender):
-        self.take(VersionSeen(sender, self.versions[sender]))
+    def report_version(self, sender):
+        self.handle_event(VersionSeen(sender, self.versions[sender]))
 
     @rule(sender=senders, version=st.integers(0, 9))
-    def say_late_version(self, sender, version):
-        self.take(VersionSeen(sender, min(version, self.versions[sender])))
+    def report_delayed_version(self, sender, version):
+        self.handle_event(VersionSeen(sender, min(version, self.versions[sender])))
 
     @precondition(lambda self: self.answers)
     @rule(index=st.integers(0, 9))
     def deliver_a_copy_of_an_answer(self, index):
-        self.take(self.answers[-1 - index % len(self.answers)])
+        self.handle_event(self.answers[-1 - index % len(self.answers)])
 
     @rule(age=st.integers(0, 2), sender=senders)
     def offer_other_content(self, age, sender):
         version = max(0, self.in_force - age)
         other = configuration(version, services=())
-        effects = self.take(SnapshotArrived(ConfigurationSnapshot(other, True), sender))
+        effects = self.handle_event(
+            SnapshotArrived(ConfigurationSnapshot(other, True), sender)
+        )
         if version == self.in_force:
             assert effects[0] == ConfigurationConflict(version, sender)
 
     @rule(seconds=st.sampled_from([0.1, 1.0]))
     def pass_time(self, seconds):
         self.now += seconds
-        self.take(TickElapsed())
+        self.handle_event(TickElapsed())
 
-    def take(self, event):
+    def handle_event(self, event):
         effects = self.view.handle(event, self.now)
         for effect in effects:
             match effect:
@@ -101,7 +103,7 @@
         return effects
 
     def answer(self, address, question):
-        """Answer with the newest version where a quorum tells it, else the own."""
+        """Answer with the newest version at a replica, else with the sender's own."""
         by_quorum = address in REPLICAS
         version = max(self.versions.values()) if by_quorum else self.versions[address]
         content = configuration(version) if version else FleetConfiguration()
@@ -109,16 +111,16 @@
         self.answers.append(SnapshotArrived(snapshot, address))
 
     def teardown(self):
-        """Lose the answers of two, and deliver all others at once from here on."""
+        """Drop the answers of two sources, and deliver all others immediately."""
         for _ in range(int(CONVERGENCE_SECONDS / STEP_SECONDS)):
             self.now += STEP_SECONDS
             for sender in SENDERS:
-                self.take(VersionSeen(sender, self.versions[sender]))
-            self.take(TickElapsed())
+                self.handle_event(VersionSeen(sender, self.versions[sender]))
+            self.handle_event(TickElapsed())
             while self.answers:
                 answer = self.answers.pop()
                 if answer.sender_address not in SILENT:
-                    self.take(answer)
+                    self.handle_event(answer)
         assert self.servable
         assert self.in_force >= max(
             version for name, version in self.versions.items() if name not in SILENT
@@ -126,11 +128,11 @@
 
 
 def test_versions_go_forwards_only_and_a_start_waits_for_a_quorum():
-    """Check that no accepted configuration reverts, in any order of messages.
+    """Check that no accepted configuration reverts, for any order of messages.
 
-    A customer who was removed is served again for a while. A process restarts after
-    many changes, gets an old snapshot from a process that lags, or an answer that was
-    meant for its earlier start, and serves under that.
+    Otherwise a removed customer would be served again for a while. It comes about when
+    a process restarts after many changes and serves under an old snapshot, either from
+    a process that lags or as an answer to a request of its earlier start.
     """
     run_state_machine_as_test(
         ViewMachine,
@@ -141,19 +143,19 @@
 
 
 @settings(max_examples=50, derandomize=True, deadline=None)
-@given(crowd=st.integers(1, 200), ticks=st.integers(1, 20))
-def test_questions_for_a_version_stay_few_however_many_have_it(crowd, ticks):
-    """Check that one change does not make everybody ask everybody.
+@given(process_count=st.integers(1, 200), ticks=st.integers(1, 20))
+def test_questions_for_a_version_stay_few_however_many_have_it(process_count, ticks):
+    """Check that a change does not make every process ask every other one.
 
-    Hundreds of processes name the new version in one second. Asking each of them for
-    the whole configuration would cost more than the change, and all of them at once.
+    Hundreds of processes report the new version within a second. Requesting the whole
+    configuration from all of them at once would cost more than the change itself.
     """
     view = ConfigurationView.from_config(ConfigurationViewConfig("start-1"))
     view.servable = True
     asked = 0
     for tick in range(ticks):
-        for sender in range(crowd):
-            said = VersionSeen(f"entry-{sender}", 7)
-            asked += len(view.handle(said, tick * view.config.fetch_seconds))
+        for sender in range(process_count):
+            event = VersionSeen(f"entry-{sender}", 7)
+            asked += len(view.handle(event, tick * view.config.fetch_seconds))
     assert 0 < asked <= ticks * view.config.max_outstanding
     assert len(view.sources) <= view.config.max_sources
--- a/tests/cover/control/test_bounds.py
+++ b/tests/cover/control/test_bounds.py
@@ -1,4 +1,4 @@
-"""Check that nothing grows without end, and what goes first where something must."""
+"""Check the limits of the control state, and what is evicted first."""
 
 import pytest
 from hypothesis import given, settings
@@ -76,7 +76,7 @@
 ) -> None:
     """A customer claims keys until the table is full, then resends its first one.
 
-    Were the oldest key dropped to make room, its resend would run a second time.
+    If the oldest key were evicted to make room, its resend would run a second time.
     """
     monkeypatch.setattr(claims_module, "MAX_CLAIMS", 4)
     monkeypatch.setattr(claims_module, "MAX_CLAIMS_PER_CUSTOMER", 3)
@@ -93,9 +93,9 @@
 
 
 def test_bodies_go_before_keys() -> None:
-    """More answers are stored than fit; the first caller resends its key.
+    """More answers are stored than fit, and the first caller resends its key.
 
-    It must learn that its request ran and how it ended, and never run it again.
+    It must get the status of the finished request, which must not run again.
     """
     state = ControlState()
     state.claims.answers.max_bytes = 2_500
@@ -115,9 +115,9 @@
 
 
 def test_a_claim_taken_over_late_is_remembered_for_its_new_holder() -> None:
-    """The first holder died; an hour later a resend takes its key over and runs.
+    """The first holder fails, and an hour later a resend takes over its key and runs.
 
-    Soon after, the first holder's retention ends. Were the key forgotten then, a
+    The retention of the first holder ends soon after. If the key were removed then, a
     third resend would run beside the second.
     """
     state = ControlState()
@@ -156,10 +156,10 @@
 def test_a_dropped_slot_never_lets_a_fencing_number_go_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An upstream had orders long ago, and its idle slot made room for another's.
+    """The idle slot of an upstream is evicted to make room for another upstream.
 
-    Its sidecar restarts and asks for the current number: were it told one below its
-    last order's, an isolated control instance's order would be let through.
+    Its sidecar restarts and asks for the current number. A number below that of its
+    last order would admit an old order of an isolated control instance.
     """
     monkeypatch.setattr(orders_module, "MAX_ORDER_SLOTS", 2)
     state = ControlState()
@@ -176,10 +176,10 @@
 
 
 def test_a_higher_rate_does_not_count_for_the_time_before_it() -> None:
-    """An operator raises the weight store's rate after a quiet minute.
+    """An operator raises the rate of the weight store after a minute without loads.
 
-    The minute before was earned at the old rate; counted at the new one, the fleet
-    would load more at once than either rate allows.
+    If that minute counted at the new rate, the fleet could load more at once than
+    either rate allows.
     """
     state = ControlState()
     slow = WeightStoreLimits(tokens_per_second=0.01, burst_tokens=10)
--- a/tests/cover/control/test_changes.py
+++ b/tests/cover/control/test_changes.py
@@ -1,4 +1,4 @@
-"""Check that changes take effect once and in one order, over arbitrary histories."""
+"""Check that changes are applied once and in one order, over arbitrary histories."""
 
 import pytest
 from hypothesis import strategies as st
@@ -69,7 +69,7 @@
 
 
 class ChangeMachine(ReplicasMachine):
-    """Record, confirm and resend changes, with stale bases and reused ids."""
+    """Record, confirm and resend changes, with outdated versions and reused ids."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,7 +98,7 @@
         if known and known[0][0] != command:
             assert isinstance(outcome, PlanRefused)
             return
-        self.see_plan(outcome)
+        self.track_plan(outcome)
         if not isinstance(outcome, PlanRefused) and not known:
             assert isinstance(outcome, PlanRecorded) == (based_on == present)
             self.first_answers.append((command, outcome))
@@ -115,12 +115,12 @@
         version = self.state.configuration.version
         command = RecordPlan(f"at-once-{self.index}", "rita", version, change, ())
         outcome = self.apply(command)
-        self.see_plan(outcome)
+        self.track_plan(outcome)
         if isinstance(outcome, PlanRecorded):
             self.confirm_plan(outcome.plan.plan_id, "rita", wrong_change=False)
 
     def confirm_plan(self, plan_id: str, operator: str, wrong_change: bool) -> None:
-        """Confirm a plan, which takes effect once and on its own base only."""
+        """Confirm a plan, which applies once and only to the version it is based on."""
         before = self.state.configuration.version
         change_id = "no-such-change" if wrong_change else None
         command = ConfirmPlan(plan_id, operator, change_id)
@@ -133,7 +133,7 @@
         if repeated or wrong_change:
             assert self.state.configuration.version == before
             return
-        self.see_plan(outcome)
+        self.track_plan(outcome)
         self.first_answers.append((command, outcome))
         if self.state.configuration.version != before:
             assert isinstance(outcome, PlanConfirmed)
@@ -143,8 +143,8 @@
         if isinstance(outcome, PlanOutdated):
             assert self.plans[plan_id] < outcome.newer_version == before
 
-    def see_plan(self, outcome: ControlOutcome) -> None:
-        """Note a plan that waits for its confirmation."""
+    def track_plan(self, outcome: ControlOutcome) -> None:
+        """Record a plan that waits for its confirmation."""
         match outcome:
             case PlanRecorded(plan=plan) | PlanOutdated(fresh_plan=plan) if plan:
                 self.plans.setdefault(plan.plan_id, plan.based_on)
@@ -174,7 +174,7 @@
 
 
 def test_a_replica_refuses_to_apply_an_entry_twice() -> None:
-    """A restarted replica replays its log over a snapshot that holds it already."""
+    """A restarted replica replays log entries that its snapshot already contains."""
     state = ControlState()
     command = RequestOrder("order", "rita", "up-1", "change_role", "prefill")
     state.apply(command, 5, START)
--- a/tests/cover/control/test_claims.py
+++ b/tests/cover/control/test_claims.py
@@ -1,4 +1,4 @@
-"""Check that a key's request runs at most once, over arbitrary histories."""
+"""Check that the request of a key runs at most once, over arbitrary histories."""
 
 from dataclasses import dataclass, field
 
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class SeenClaim:
-    """Be what a caller may rely on about one key."""
+class ExpectedClaim:
+    """Hold what callers may rely on about one key."""
 
     request_id: str
     digest: str
@@ -42,17 +42,17 @@
     ended_with: ClaimHeld | None = None
 
     def never_ran(self) -> bool:
-        """Tell whether it ended with the promise that it never ran."""
+        """Return whether it ended with the guarantee that it never ran."""
         refusal = self.ended_with.refusal if self.ended_with else None
         return refusal is not None and refusal.code is RefusalCode.NOT_RUN
 
 
 class ClaimMachine(ReplicasMachine):
-    """Claim, move and finish, by right and wrong holders, in any order."""
+    """Claim, move and finish by holders and others, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.claims: dict[str, SeenClaim] = {}
+        self.claims: dict[str, ExpectedClaim] = {}
         self.last_move: ClaimMoved | None = None
         self.ever_claimed = False
 
@@ -73,7 +73,9 @@
         match outcome:
             case ClaimGranted(attempt_id=granted) if claim is None:
                 deadline_at = self.now() + CLAIM_DEADLINE
-                self.claims[key] = SeenClaim(request, digest, deadline_at, [granted])
+                self.claims[key] = ExpectedClaim(
+                    request, digest, deadline_at, [granted]
+                )
                 self.ever_claimed = True
             case ClaimGranted(attempt_id=granted):
                 assert self.now() <= claim.deadline_at + CLAIM_GRACE_SECONDS
@@ -101,11 +103,11 @@
             case ClaimAbsent():
                 assert claim is None
             case _:
-                # Kept a little longer than was promised.
+                # Claims may be retained a little longer than guaranteed.
                 assert claim is None and self.ever_claimed
 
-    def check_held(self, held: ClaimHeld, claim: SeenClaim) -> None:
-        """Check what somebody else is told of a claim."""
+    def check_held(self, held: ClaimHeld, claim: ExpectedClaim) -> None:
+        """Check what another request is told about a claim."""
         assert held.request_id == claim.request_id
         assert held.attempt_id == claim.attempts[-1]
         past = self.now() > claim.deadline_at + CLAIM_GRACE_SECONDS
@@ -115,12 +117,14 @@
         else:
             assert held == claim.ended_with
 
-    @rule(key=KEYS, request=REQUESTS, old=ATTEMPTS, new=ATTEMPTS, rightly=st.booleans())
+    @rule(
+        key=KEYS, request=REQUESTS, old=ATTEMPTS, new=ATTEMPTS, as_holder=st.booleans()
+    )
     def move_claim(
-        self, key: str, request: str, old: str, new: str, rightly: bool
+        self, key: str, request: str, old: str, new: str, as_holder: bool
     ) -> None:
         self.forget_old_claims()
-        request, old = self.holder(key, rightly, request, old)
+        request, old = self.holder(key, as_holder, request, old)
         self.send_move(
             ClaimMoved("north", key, request, old, new, "u", "e", "o", CLAIM_DEADLINE)
         )
@@ -134,7 +138,7 @@
         self.send_move(msgspec.structs.replace(self.last_move, request_id=request))
 
     def send_move(self, moved: ClaimMoved) -> None:
-        """Move a claim, which works for its holder, or after a "not run"."""
+        """Move a claim, as its holder or after a "not run" refusal."""
         key, request = moved.key, moved.request_id
         old, new = moved.from_attempt, moved.to_attempt
         outcome = self.apply(moved)
@@ -168,7 +172,7 @@
         key=KEYS,
         request=REQUESTS,
         attempt=ATTEMPTS,
-        rightly=st.booleans(),
+        as_holder=st.booleans(),
         refused=st.sampled_from([None, *RefusalCode]),
     )
     def finish_claim(
@@ -176,11 +180,11 @@
         key: str,
         request: str,
         attempt: str,
-        rightly: bool,
+        as_holder: bool,
         refused: RefusalCode | None,
     ) -> None:
         self.forget_old_claims()
-        request, attempt = self.holder(key, rightly, request, attempt)
+        request, attempt = self.holder(key, as_holder, request, attempt)
         answer = StoredAnswer(200, (("a", "b"),), attempt.encode(), whole=True)
         refusal = Refusal(
             refused or RefusalCode.FAILED, RefusalReason.CANCELLED, "stream"
@@ -208,16 +212,16 @@
             assert outcome == claim.ended_with
 
     def holder(
-        self, key: str, rightly: bool, request: str, attempt: str
+        self, key: str, as_holder: bool, request: str, attempt: str
     ) -> tuple[str, str]:
-        """Give the ids of the key's holder, or arbitrary ones."""
+        """Return the ids of the holder of the key, or the given ones."""
         claim = self.claims.get(key)
-        if not rightly or claim is None:
+        if not as_holder or claim is None:
             return request, attempt
         return claim.request_id, claim.attempts[-1]
 
     def forget_old_claims(self) -> None:
-        """Expect nothing of claims whose promised retention is over."""
+        """Drop the expectations about claims whose guaranteed retention has ended."""
         self.claims = {
             key: claim
             for key, claim in self.claims.items()
@@ -230,10 +234,10 @@
 
 
 def test_a_request_cannot_share_the_attempt_of_another() -> None:
-    """Two resends find the same dead holder, and both move its key to one attempt.
+    """Two resends find the same failed holder, and both move its key to one attempt.
 
-    Only the first becomes the holder; were the second's move taken for a resend of
-    the first's, both would hand the attempt over.
+    Only the first may become the holder. If the move of the second were mistaken for a
+    resend, both would hand over the attempt.
     """
     state = ControlState()
     state.apply(ClaimAsked("north", "key", "r1", "a", "u", "e", "o", "d", 10.0), 1, 1.0)
--- a/tests/cover/control/test_documents.py
+++ b/tests/cover/control/test_documents.py
@@ -1,4 +1,4 @@
-"""Check what operators write, what a plan tells them, and what bytes may do."""
+"""Check the documents of operators, the content of plans, and invalid bytes."""
 
 import json
 
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "text"),
     [
         (Change(remove_services=("scribe",)), "there is no service 'scribe'"),
         (Change(remove_models=("wide",)), "there is no model 'wide'"),
@@ -96,10 +96,10 @@
     ],
 )
 def test_a_senseless_change_is_refused_with_the_reason(
-    change: Change | WantedState, words: str
+    change: Change | WantedState, text: str
 ) -> None:
     draft = draft_plan(PRESENT, change, UPSTREAMS)
-    assert words in "; ".join(draft.problems)
+    assert text in "; ".join(draft.problems)
     assert draft.configuration == PRESENT
 
 
@@ -115,15 +115,15 @@
         PlannedOrder("up-1", "load_model", "wide@2"),
         PlannedOrder("up-2", "load_version", "wide@2"),
     )
-    told = {(entry.kind, entry.name, entry.field): entry for entry in draft.changes}
-    assert told["model", "wide", "version"].after == "2"
-    assert told["customer", "north", "weight"].before == "1"
-    assert ("customer", "north", "key_hash") not in told
+    changes = {(item.kind, item.name, item.field): item for item in draft.changes}
+    assert changes["model", "wide", "version"].after == "2"
+    assert changes["customer", "north", "weight"].before == "1"
+    assert ("customer", "north", "key_hash") not in changes
     assert draft.configuration.customers[0].key_hash == hash_key(KEY)
-    undone = {entry.what: entry.why for entry in draft.not_done}
-    assert undone["load wide for service scribe at up-3"] == "it is draining"
-    assert "no upstream" in undone["load wide for service lone"]
-    assert NotDone("drain up-9 now", undone["drain up-9 now"]) in draft.not_done
+    reasons = {item.what: item.why for item in draft.not_done}
+    assert reasons["load wide for service scribe at up-3"] == "it is draining"
+    assert "no upstream" in reasons["load wide for service lone"]
+    assert NotDone("drain up-9 now", reasons["drain up-9 now"]) in draft.not_done
     assert ("customer", "north") in {(who.kind, who.name) for who in draft.touches}
 
 
--- a/tests/cover/control/test_orders_and_grants.py
+++ b/tests/cover/control/test_orders_and_grants.py
@@ -33,7 +33,7 @@
 
 
 class OrderMachine(ReplicasMachine):
-    """Open orders by plans and by hand, close them, and resend both."""
+    """Open orders by plans and by requests, close them, and resend both."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,7 +54,7 @@
         assert self.state.open_orders() == open_before
         confirmed = self.apply(ConfirmPlan(plan.plan_id, "rita"))
         for order in confirmed.opened:
-            self.see_order(order)
+            self.track_order(order)
         assert all(order in self.state.open_orders() for order in open_before)
 
     @rule(number=st.integers(0, 5), upstream=UPSTREAM_IDS)
@@ -67,35 +67,37 @@
             repeated = outcome in self.orders
             assert repeated or outcome.fencing == self.index
             if not repeated:
-                self.see_order(outcome)
+                self.track_order(outcome)
             assert outcome in self.state.open_orders()
 
-    def see_order(self, order: OrderGranted) -> None:
-        """Check that an upstream's numbers only grow."""
+    def track_order(self, order: OrderGranted) -> None:
+        """Check that the fencing numbers of an upstream only grow."""
         assert order.fencing > self.fencing.get(order.upstream_id, 0)
         self.fencing[order.upstream_id] = order.fencing
         self.orders.append(order)
 
-    @rule(data=st.data(), fenced=st.booleans())
-    def close_order(self, data: st.DataObject, fenced: bool) -> None:
+    @rule(data=st.data(), wrong_fencing=st.booleans())
+    def close_order(self, data: st.DataObject, wrong_fencing: bool) -> None:
         if not self.orders:
             return
         order = data.draw(st.sampled_from(self.orders[-3:]))
         open_before = self.state.open_orders()
         outcome = self.apply(
-            CloseOrder(order.order_id, order.upstream_id, order.fencing - fenced, True)
+            CloseOrder(
+                order.order_id, order.upstream_id, order.fencing - wrong_fencing, True
+            )
         )
-        others = [entry for entry in open_before if entry != order]
+        others = [item for item in open_before if item != order]
         present = self.state.open_orders()
-        assert all(entry in present for entry in others)
-        if order in open_before and fenced:
+        assert all(item in present for item in others)
+        if order in open_before and wrong_fencing:
             assert isinstance(outcome, OrderRefused)
             assert order in present
         elif order in open_before:
             assert isinstance(outcome, OrderClosed)
             assert order not in present
             if outcome.next_order is not None:
-                self.see_order(outcome.next_order)
+                self.track_order(outcome.next_order)
 
     @invariant()
     def fencing_numbers_are_the_newest_orders(self) -> None:
@@ -104,7 +106,7 @@
 
 
 class GrantMachine(ReplicasMachine):
-    """Ask for load grants and give them back, by right and wrong holders."""
+    """Request load grants and return them, by holders and others."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -129,7 +131,7 @@
         self.check_rate()
 
     def check_rate(self) -> None:
-        """Check every span of time that ends now against the rate."""
+        """Check the rate over every interval that ends now."""
         total = 0
         for when, tokens in reversed(self.spent):
             total += tokens
