--- a/packages/core/src/cowslipshelf_core/internal/control/errors.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/errors.py
@@ -15,4 +15,4 @@
 
 
 class AppliedOutOfOrderError(ControlError):
-    """Report a log entry that was already applied; applying it again would diverge."""
+    """Report a log entry that was applied before; replicas would diverge on it."""
--- a/packages/core/src/cowslipshelf_core/internal/control/validation.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/validation.py
@@ -142,13 +142,13 @@
         )
 
 
-def count_problems(where: str, value: int, most: int = MAX_COUNT) -> Iterable[str]:
+def count_problems(where: str, value: int, maximum: int = MAX_COUNT) -> Iterable[str]:
     """Check a whole number."""
-    if not 1 <= value <= most:
-        yield f"{where}: must be from 1 to {most}, found {value}"
+    if not 1 <= value <= maximum:
+        yield f"{where}: must be from 1 to {maximum}, found {value}"
 
 
-def number_problems(where: str, value: float, most: float) -> Iterable[str]:
+def number_problems(where: str, value: float, maximum: float) -> Iterable[str]:
     """Check a number that must be above zero and not NaN."""
-    if not math.isfinite(value) or not 0 < value <= most:
-        yield f"{where}: must be above 0 and at most {most:g}, found {value}"
+    if not math.isfinite(value) or not 0 < value <= maximum:
+        yield f"{where}: must be above 0 and at most {maximum:g}, found {value}"
