--- a/benchmarks/configuration_reading.py
+++ b/benchmarks/configuration_reading.py
@@ -15,7 +15,7 @@
 
 from common.slow_links import many_routes
 from cowslipshelf_adapter.configuration import ConfigurationReader
-from cowslipshelf_core.routed import RouteTable, packed, unpacked
+from cowslipshelf_core.gateway import RouteTable, packed, unpacked
 
 ROUTES = (250, 1000, 2000, 4450, 8000)
 ROUNDS = 7
--- a/benchmarks/suspect_requests.py
+++ b/benchmarks/suspect_requests.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Alone,
     HeldBack,
     QuarantineConfig,
--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -8,7 +8,7 @@
 from cowslipshelf_cli.internal.commands import Losses
 from cowslipshelf_cli.internal.failures import CommandFailedError
 from cowslipshelf_cli.internal.writing import Writer
-from cowslipshelf_core.routed import PromptSize, worth_of
+from cowslipshelf_core.gateway import PromptSize, worth_of
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
 LATE_LOSS = 0.75
--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -1,6 +1,6 @@
 """Offer the types between a gateway and the adapter of its machines' protocol."""
 
-from cowslipshelf_core.internal.routed.dialect import (
+from cowslipshelf_core.internal.gateway.dialect import (
     AnswerFacts,
     CallerFacts,
     ControlCall,
--- a/packages/core/src/cowslipshelf_core/routed.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -1,8 +1,8 @@
 """Offer what decides on requests that are served by route."""
 
-from cowslipshelf_core.internal.routed.answer_times import AnswerTimes
-from cowslipshelf_core.internal.routed.checking import configuration_problem
-from cowslipshelf_core.internal.routed.configuration import (
+from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
+from cowslipshelf_core.internal.gateway.checking import configuration_problem
+from cowslipshelf_core.internal.gateway.configuration import (
     CallerLimits,
     EngineModel,
     Route,
@@ -12,8 +12,8 @@
     ServiceConfiguration,
     WeightedService,
 )
-from cowslipshelf_core.internal.routed.engine_board import EngineBoard, EngineView
-from cowslipshelf_core.internal.routed.engine_cost import (
+from cowslipshelf_core.internal.gateway.engine_board import EngineBoard, EngineView
+from cowslipshelf_core.internal.gateway.engine_cost import (
     PromptSize,
     admission_priority,
     pass_seconds,
@@ -21,19 +21,19 @@
     read_seconds,
     worth_of,
 )
-from cowslipshelf_core.internal.routed.engine_outlook import leaves_after
-from cowslipshelf_core.internal.routed.engine_placing import (
+from cowslipshelf_core.internal.gateway.engine_outlook import leaves_after
+from cowslipshelf_core.internal.gateway.engine_placing import (
     EnginesChosen,
     NoEngine,
     place_prompt,
 )
-from cowslipshelf_core.internal.routed.engine_weighing import Candidate, PromptAsked
-from cowslipshelf_core.internal.routed.matching import RouteTable, choose_service
-from cowslipshelf_core.internal.routed.memory_lease import (
+from cowslipshelf_core.internal.gateway.engine_weighing import Candidate, PromptAsked
+from cowslipshelf_core.internal.gateway.matching import RouteTable, choose_service
+from cowslipshelf_core.internal.gateway.memory_lease import (
     MemoryLease,
     MemoryLeaseConfig,
 )
-from cowslipshelf_core.internal.routed.messages import (
+from cowslipshelf_core.internal.gateway.messages import (
     EndTold,
     EnginePart,
     EngineWork,
@@ -47,18 +47,18 @@
     WorkChanged,
     WorkHeld,
 )
-from cowslipshelf_core.internal.routed.packing import packed, unpacked
-from cowslipshelf_core.internal.routed.peer_book import (
+from cowslipshelf_core.internal.gateway.packing import packed, unpacked
+from cowslipshelf_core.internal.gateway.peer_book import (
     KnownPeer,
     PeerBook,
     PeerBookConfig,
     PeerNews,
 )
-from cowslipshelf_core.internal.routed.plain_placing import (
+from cowslipshelf_core.internal.gateway.plain_placing import (
     PlainCandidate,
     choose_upstream,
 )
-from cowslipshelf_core.internal.routed.quarantine import (
+from cowslipshelf_core.internal.gateway.quarantine import (
     Alone,
     Free,
     HeldBack,
@@ -66,7 +66,7 @@
     RequestQuarantine,
     Verdict,
 )
-from cowslipshelf_core.internal.routed.registry import (
+from cowslipshelf_core.internal.gateway.registry import (
     HeartbeatSeen,
     KnownUpstream,
     RegistryConfig,
@@ -74,25 +74,25 @@
     UpstreamPhase,
     UpstreamRegistry,
 )
-from cowslipshelf_core.internal.routed.repeat_budget import (
+from cowslipshelf_core.internal.gateway.repeat_budget import (
     RepeatBudget,
     RepeatBudgetConfig,
 )
-from cowslipshelf_core.internal.routed.request_digest import (
+from cowslipshelf_core.internal.gateway.request_digest import (
     RequestDigest,
     request_digest,
 )
-from cowslipshelf_core.internal.routed.routes_fetch import RoutesFetch
-from cowslipshelf_core.internal.routed.suspect_request import (
+from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
+from cowslipshelf_core.internal.gateway.suspect_request import (
     QuarantineConfig,
     problem_of,
 )
-from cowslipshelf_core.internal.routed.upstream_health import (
+from cowslipshelf_core.internal.gateway.upstream_health import (
     HealthSeen,
     UpstreamHealth,
 )
-from cowslipshelf_core.internal.routed.upstream_start import NOT_TOLD, UpstreamStart
-from cowslipshelf_core.internal.routed.work_progress import WorkProgress
+from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
+from cowslipshelf_core.internal.gateway.work_progress import WorkProgress
 
 __all__ = [
     "Alone",
--- a/packages/core/src/cowslipshelf_core/internal/routed/checking.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/checking.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from cowslipshelf_core.internal.routed.configuration import (
+from cowslipshelf_core.internal.gateway.configuration import (
     Route,
     RouteConfiguration,
 )
--- a/packages/core/src/cowslipshelf_core/internal/routed/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -10,9 +10,9 @@
 from result import Result
 
 from cowslipshelf_core.identifiers import CustomerName, UpstreamId, UpstreamName
-from cowslipshelf_core.internal.routed.configuration import RouteConfiguration
-from cowslipshelf_core.internal.routed.engine_cost import PromptSize
-from cowslipshelf_core.internal.routed.registry import UpstreamHeartbeat
+from cowslipshelf_core.internal.gateway.configuration import RouteConfiguration
+from cowslipshelf_core.internal.gateway.engine_cost import PromptSize
+from cowslipshelf_core.internal.gateway.registry import UpstreamHeartbeat
 from cowslipshelf_core.messages import RoutesDocument
 
 Headers = list[tuple[bytes, bytes]]
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_board.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_board.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
-from cowslipshelf_core.internal.routed.configuration import EngineModel
-from cowslipshelf_core.internal.routed.engine_passes import EnginePasses
-from cowslipshelf_core.internal.routed.messages import (
+from cowslipshelf_core.internal.gateway.configuration import EngineModel
+from cowslipshelf_core.internal.gateway.engine_passes import EnginePasses
+from cowslipshelf_core.internal.gateway.messages import (
     EngineWork,
     HeldWork,
     WorkHeld,
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_cost.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from cowslipshelf_core.internal.routed.configuration import EngineModel
+from cowslipshelf_core.internal.gateway.configuration import EngineModel
 
 
 class PromptSize(NamedTuple):
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_outlook.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_outlook.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from cowslipshelf_core.internal.routed.messages import EngineWork
+from cowslipshelf_core.internal.gateway.messages import EngineWork
 
 LATE_FROM = 0.6
 """Share of the objective from which on a predicted first token may come late: the
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_passes.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_passes.py
@@ -12,9 +12,9 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId
-from cowslipshelf_core.internal.routed.configuration import EngineModel
-from cowslipshelf_core.internal.routed.engine_cost import pass_seconds
-from cowslipshelf_core.internal.routed.messages import EnginePart, EngineWork
+from cowslipshelf_core.internal.gateway.configuration import EngineModel
+from cowslipshelf_core.internal.gateway.engine_cost import pass_seconds
+from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
 
 ROUNDING_CHUNKS = 1e-9
 """Rest of a part that is only a rounding error."""
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
@@ -11,15 +11,15 @@
 from random import Random
 
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routed.configuration import EngineModel
-from cowslipshelf_core.internal.routed.engine_board import EngineBoard
-from cowslipshelf_core.internal.routed.engine_cost import (
+from cowslipshelf_core.internal.gateway.configuration import EngineModel
+from cowslipshelf_core.internal.gateway.engine_board import EngineBoard
+from cowslipshelf_core.internal.gateway.engine_cost import (
     read_chunks,
     read_seconds,
     worth_of,
 )
-from cowslipshelf_core.internal.routed.engine_outlook import lateness
-from cowslipshelf_core.internal.routed.engine_weighing import (
+from cowslipshelf_core.internal.gateway.engine_outlook import lateness
+from cowslipshelf_core.internal.gateway.engine_weighing import (
     SHORT_READ_SECONDS,
     Candidate,
     Part,
@@ -34,7 +34,7 @@
     until_written,
     writer_share,
 )
-from cowslipshelf_core.internal.routed.messages import EnginePart, EngineWork
+from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
 """Numbers of engines that are tried for one prompt; the engines take 16 helpers."""
--- a/packages/core/src/cowslipshelf_core/internal/routed/engine_weighing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
@@ -3,18 +3,18 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
-from cowslipshelf_core.internal.routed.configuration import EngineModel
-from cowslipshelf_core.internal.routed.engine_board import (
+from cowslipshelf_core.internal.gateway.configuration import EngineModel
+from cowslipshelf_core.internal.gateway.engine_board import (
     EngineBoard,
     EngineView,
     UnreadPart,
 )
-from cowslipshelf_core.internal.routed.engine_cost import (
+from cowslipshelf_core.internal.gateway.engine_cost import (
     PromptSize,
     pass_seconds,
     read_seconds,
 )
-from cowslipshelf_core.internal.routed.engine_outlook import (
+from cowslipshelf_core.internal.gateway.engine_outlook import (
     EnginePace,
     Outlook,
     Pending,
@@ -22,7 +22,7 @@
     lateness,
     outlook,
 )
-from cowslipshelf_core.internal.routed.messages import EngineWork
+from cowslipshelf_core.internal.gateway.messages import EngineWork
 
 FULL_COST = 0.6
 """Cost of each request beyond the slots, as a share of the worth: it waits until one
--- a/packages/core/src/cowslipshelf_core/internal/routed/matching.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/matching.py
@@ -5,7 +5,7 @@
 from typing import Self
 
 from cowslipshelf_core.identifiers import ServiceName
-from cowslipshelf_core.internal.routed.configuration import (
+from cowslipshelf_core.internal.gateway.configuration import (
     Route,
     RouteConfiguration,
     RoutedCustomer,
--- a/packages/core/src/cowslipshelf_core/internal/routed/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
-from cowslipshelf_core.internal.routed.registry import HeartbeatSeen
-from cowslipshelf_core.internal.routed.request_digest import RequestDigest
+from cowslipshelf_core.internal.gateway.registry import HeartbeatSeen
+from cowslipshelf_core.internal.gateway.request_digest import RequestDigest
 from cowslipshelf_core.messages import Message
 
 
--- a/packages/core/src/cowslipshelf_core/internal/routed/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple, Self
 
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routed.messages import SuspectRequestTold
-from cowslipshelf_core.internal.routed.request_digest import RequestDigest
-from cowslipshelf_core.internal.routed.suspect_request import (
+from cowslipshelf_core.internal.gateway.messages import SuspectRequestTold
+from cowslipshelf_core.internal.gateway.request_digest import RequestDigest
+from cowslipshelf_core.internal.gateway.suspect_request import (
     QuarantineConfig,
     SuspectRequest,
 )
--- a/packages/core/src/cowslipshelf_core/internal/routed/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -25,7 +25,7 @@
     UpstreamId,
     UpstreamName,
 )
-from cowslipshelf_core.internal.routed.upstream_start import NOT_TOLD, UpstreamStart
+from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
 
 NUMBER_OF_LEAVING = 1 << 62
 """Sequence number of an upstream that has left: no heartbeat can be newer."""
--- a/packages/core/src/cowslipshelf_core/internal/routed/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import InstanceId, UpstreamId
-from cowslipshelf_core.internal.routed.messages import (
+from cowslipshelf_core.internal.gateway.messages import (
     EndTold,
     SuspectRequestTold,
     UpstreamEnd,
 )
-from cowslipshelf_core.internal.routed.request_digest import (
+from cowslipshelf_core.internal.gateway.request_digest import (
     RequestDigest,
     is_request_digest,
 )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/dispatch.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/dispatch.py
@@ -6,6 +6,7 @@
 
 from cowslipshelf_core.agreement import ProposalResult
 from cowslipshelf_core.configuration_view import VersionSeen
+from cowslipshelf_core.gateway import SuspectRequestsTold
 from cowslipshelf_core.messages import (
     Announce,
     ConfigurationSnapshot,
@@ -14,7 +15,6 @@
     Suspect,
     Withdraw,
 )
-from cowslipshelf_core.routed import SuspectRequestsTold
 from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
 from cowslipshelf_daemon.internal.post import Delivered
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -27,8 +27,8 @@
     relevant_upstreams,
 )
 from cowslipshelf_core.errors import Refusal
+from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import ChangeId, OperatorName, PlanId, RequestId
-from cowslipshelf_core.routed import RequestDigest
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -10,6 +10,7 @@
 from cowslipshelf_callers import AnswerWriter, CallerGoneError
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
+from cowslipshelf_core.gateway import Alone, HeldBack, request_digest
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 from cowslipshelf_core.messages import (
     AttemptRefused,
@@ -61,7 +62,6 @@
     Wait,
     WaitElapsed,
 )
-from cowslipshelf_core.routed import Alone, HeldBack, request_digest
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
 from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_news.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_news.py
@@ -2,8 +2,8 @@
 
 from threading import Lock
 
+from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import InstanceId
-from cowslipshelf_core.routed import RequestDigest
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.dialect import CallerFacts
-from cowslipshelf_core.routed import Route, RoutedCustomer, RouteTable
+from cowslipshelf_core.gateway import Route, RoutedCustomer, RouteTable
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_host.logs import part_logger
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -16,12 +16,7 @@
     ProposalResult,
 )
 from cowslipshelf_core.dialect import Dialect
-from cowslipshelf_core.messages import (
-    FetchRoutes,
-    PeerAlive,
-    RoutesSnapshot,
-)
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     CallerLimits,
     FetchWork,
     HeartbeatsSeen,
@@ -30,6 +25,11 @@
     WorkChanged,
     WorkHeld,
 )
+from cowslipshelf_core.messages import (
+    FetchRoutes,
+    PeerAlive,
+    RoutesSnapshot,
+)
 from cowslipshelf_daemon.internal.control_gateway import GatewayActor
 from cowslipshelf_daemon.internal.gateway.attempt import AttemptRunner
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -13,7 +13,7 @@
     Headers,
     OutgoingRequest,
 )
-from cowslipshelf_core.routed import RouteKind, UpstreamStart
+from cowslipshelf_core.gateway import RouteKind, UpstreamStart
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     Answered,
     AttemptOutcome,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.dialect import CallerFacts
+from cowslipshelf_core.gateway import Route, UpstreamStart
 from cowslipshelf_core.identifiers import CustomerName, UpstreamId
-from cowslipshelf_core.routed import Route, UpstreamStart
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest, Responder
 from cowslipshelf_daemon.internal.gateway.upstream_connection import (
     UpstreamConnection,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -17,9 +17,9 @@
     TakeHeartbeat,
     TakeLeaving,
 )
+from cowslipshelf_core.gateway import UpstreamHeartbeat, packed, unpacked
 from cowslipshelf_core.identifiers import UpstreamName
 from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import UpstreamHeartbeat, packed, unpacked
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.gossip import Gossip
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -8,8 +8,8 @@
 from http import HTTPStatus
 
 from cowslipshelf_core.dialect import Dialect, MemoryTicket, OutgoingRequest
+from cowslipshelf_core.gateway import MemoryLease, MemoryLeaseConfig, UpstreamHeartbeat
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.routed import MemoryLease, MemoryLeaseConfig, UpstreamHeartbeat
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.upstream_connection import UpstreamLostError
 from cowslipshelf_daemon.internal.gateway.upstream_pool import UpstreamPool
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -8,16 +8,7 @@
 from random import Random
 from typing import Self
 
-from cowslipshelf_core.identifiers import (
-    AttemptId,
-    Epoch,
-    InstanceId,
-    ServiceName,
-    UpstreamId,
-    UpstreamName,
-)
-from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     NOT_TOLD,
     AnswerTimes,
     EngineBoard,
@@ -39,6 +30,15 @@
     UpstreamStart,
     WorkChanged,
 )
+from cowslipshelf_core.identifiers import (
+    AttemptId,
+    Epoch,
+    InstanceId,
+    ServiceName,
+    UpstreamId,
+    UpstreamName,
+)
+from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.settings import GatewaySettings
 from cowslipshelf_daemon.internal.gateway.time_of_day import unix_milliseconds
 from cowslipshelf_host.logs import part_logger
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -5,14 +5,7 @@
 from collections.abc import Iterable
 
 from cowslipshelf_core.dialect import Dialect
-from cowslipshelf_core.identifiers import InstanceId, UpstreamId
-from cowslipshelf_core.messages import (
-    FetchRoutes,
-    Message,
-    PeerAlive,
-    RoutesSnapshot,
-)
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     FetchWork,
     HeartbeatSeen,
     HeartbeatsSeen,
@@ -25,6 +18,13 @@
     WorkHeld,
     WorkProgress,
 )
+from cowslipshelf_core.identifiers import InstanceId, UpstreamId
+from cowslipshelf_core.messages import (
+    FetchRoutes,
+    Message,
+    PeerAlive,
+    RoutesSnapshot,
+)
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.routes_exchange import RoutesExchange
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
@@ -8,7 +8,7 @@
 import h11
 
 from cowslipshelf_core.dialect import Headers
-from cowslipshelf_core.routed import CallerLimits
+from cowslipshelf_core.gateway import CallerLimits
 from cowslipshelf_daemon.internal.early_listener import BACKLOG
 from cowslipshelf_host.logs import part_logger
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/patience.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/patience.py
@@ -1,7 +1,7 @@
 """Say how long an attempt may be silent before another upstream is tried."""
 
+from cowslipshelf_core.gateway import AnswerTimes, Route, RouteKind
 from cowslipshelf_core.identifiers import ServiceName
-from cowslipshelf_core.routed import AnswerTimes, Route, RouteKind
 from cowslipshelf_daemon.internal.gateway.placement import Patience, Placement
 
 PREDICTIONS_WAITED = 2.0
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -5,8 +5,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.dialect import CallerFacts, Helper, MemoryTicket
-from cowslipshelf_core.identifiers import AttemptId, ServiceName, UpstreamId
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Candidate,
     EngineModel,
     EnginePart,
@@ -21,6 +20,7 @@
     choose_upstream,
     place_prompt,
 )
+from cowslipshelf_core.identifiers import AttemptId, ServiceName, UpstreamId
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 
 RETRY_SECONDS = 1.0
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from cowslipshelf_core.dialect import CallerFacts, Dialect
+from cowslipshelf_core.gateway import HeldBack, choose_service, request_digest
 from cowslipshelf_core.identifiers import ServiceName, UpstreamId
-from cowslipshelf_core.routed import HeldBack, choose_service, request_digest
 from cowslipshelf_daemon.internal.gateway.admission import (
     MOST_WAITED_SHARE,
     NOT_RUN,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from cowslipshelf_core.dialect import Dialect
+from cowslipshelf_core.gateway import RoutesFetch, unpacked
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
-from cowslipshelf_core.routed import RoutesFetch, unpacked
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.post import Post
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipshelf_core.routed import SuspectRequestsTold, SuspectRequestTold
+from cowslipshelf_core.gateway import SuspectRequestsTold, SuspectRequestTold
 from cowslipshelf_daemon.internal.gateway.hint_file import HintFile
 
 FILE_NAME = "suspects"
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipshelf_core.routed import HeartbeatSeen
+from cowslipshelf_core.gateway import HeartbeatSeen
 from cowslipshelf_daemon.internal.gateway.hint_file import HintFile
 from cowslipshelf_host.logs import part_logger
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -6,8 +6,7 @@
 from threading import RLock
 from typing import NamedTuple
 
-from cowslipshelf_core.identifiers import CustomerName, InstanceId, UpstreamId
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Alone,
     HeldBack,
     ListedSuspect,
@@ -19,6 +18,7 @@
     Verdict,
     problem_of,
 )
+from cowslipshelf_core.identifiers import CustomerName, InstanceId, UpstreamId
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.metrics import Metrics
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/wire.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/wire.py
@@ -3,6 +3,14 @@
 from typing import Union
 
 from cowslipshelf_core.agreement import AgreementMessage
+from cowslipshelf_core.gateway import (
+    FetchWork,
+    HeartbeatsSeen,
+    Relayed,
+    SuspectRequestsTold,
+    WorkChanged,
+    WorkHeld,
+)
 from cowslipshelf_core.messages import (
     Announce,
     AnnounceAnswer,
@@ -18,14 +26,6 @@
     Suspect,
     Withdraw,
 )
-from cowslipshelf_core.routed import (
-    FetchWork,
-    HeartbeatsSeen,
-    Relayed,
-    SuspectRequestsTold,
-    WorkChanged,
-    WorkHeld,
-)
 
 MailboxMessage = Union[  # noqa: UP007 - built from another union at run time
     Announce,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -12,7 +12,7 @@
 from cowslipshelf_emulator.internal.measures import Figures, figures
 from cowslipshelf_emulator.internal.policies import LeastHarm
 
-PRODUCT = "cowslipshelf_core.internal.routed"
+PRODUCT = "cowslipshelf_core.internal.gateway"
 NEVER_SECONDS = 1e6
 """Beyond any play: word that takes so long is never heard."""
 
--- a/packages/emulator/src/cowslipshelf_emulator/internal/comparing.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/comparing.py
@@ -10,8 +10,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from cowslipshelf_core.gateway import EnginePart, EnginesChosen, EngineWork, PromptSize
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.routed import EnginePart, EnginesChosen, EngineWork, PromptSize
 from cowslipshelf_emulator.internal.engine import EmulatedEngine
 from cowslipshelf_emulator.internal.fleet import Delays, EmulatedFleet, Outcome
 from cowslipshelf_emulator.internal.load import Arrival, Fleet, Kind, Lengths
--- a/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cowslipshelf_core.routed import EngineModel, pass_seconds
+from cowslipshelf_core.gateway import EngineModel, pass_seconds
 
 
 @dataclass(slots=True)
--- a/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
@@ -6,14 +6,14 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.identifiers import AttemptId, UpstreamId
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     EnginesChosen,
     EngineWork,
     NoEngine,
     PromptAsked,
     admission_priority,
 )
+from cowslipshelf_core.identifiers import AttemptId, UpstreamId
 from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
 from cowslipshelf_emulator.internal.load import Arrival, Fleet
 from cowslipshelf_emulator.internal.policies import Policy
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.routed import EngineModel, PromptSize, leaves_after
+from cowslipshelf_core.gateway import EngineModel, PromptSize, leaves_after
 
 
 class Lengths(NamedTuple):
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Candidate,
     EngineBoard,
     EngineModel,
@@ -17,6 +16,7 @@
     PromptAsked,
     place_prompt,
 )
+from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 
 
 @dataclass
--- a/tests/common/routed.py
+++ b/tests/common/gateway_samples.py
@@ -1,6 +1,6 @@
 """Make routes, engines and upstreams for tests of requests that are served by route."""
 
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Route,
     RouteConfiguration,
     RouteKind,
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from common.routed import GATEWAY_SETTINGS
+from common.gateway_samples import GATEWAY_SETTINGS
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.control import ControlState, PutRoutes, RoutesHeld
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
--- a/tests/cover/adapter/test_configuration.py
+++ b/tests/cover/adapter/test_configuration.py
@@ -12,7 +12,7 @@
     decode_heartbeat,
     decode_leaving,
 )
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     HeartbeatSeen,
     RouteKind,
     UpstreamPhase,
--- a/tests/cover/adapter/test_wire.py
+++ b/tests/cover/adapter/test_wire.py
@@ -16,7 +16,7 @@
     TakeHeartbeat,
     TakeLeaving,
 )
-from cowslipshelf_core.routed import PromptSize
+from cowslipshelf_core.gateway import PromptSize
 
 DIALECT = MachinesDialect()
 SENT = [
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from cowslipshelf_core.routed import Alone, request_digest
+from cowslipshelf_core.gateway import Alone, request_digest
 from cowslipshelf_daemon.internal.suspect_requests import (
     JudgedRequest,
     SuspectRequests,
--- a/tests/cover/emulator/test_draws.py
+++ b/tests/cover/emulator/test_draws.py
@@ -3,7 +3,7 @@
 from statistics import mean
 from unittest.mock import patch
 
-from cowslipshelf_core.internal.routed import engine_placing
+from cowslipshelf_core.internal.gateway import engine_placing
 from cowslipshelf_emulator.internal.fleet import Delays, build
 from cowslipshelf_emulator.internal.load import NILEGATE_LARGE, draw
 from cowslipshelf_emulator.internal.measures import Figures, figures
--- a/tests/cover/emulator/test_engine.py
+++ b/tests/cover/emulator/test_engine.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from common.routed import ENGINE
-from cowslipshelf_core.routed import pass_seconds, read_seconds
+from common.gateway_samples import ENGINE
+from cowslipshelf_core.gateway import pass_seconds, read_seconds
 from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
 
 URGENT, USUAL = 3, 5
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import CallerFacts
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     EnginePart,
     EngineWork,
     RouteKind,
--- a/tests/cover/gateway/test_behind.py
+++ b/tests/cover/gateway/test_behind.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, configuration, route
+from common.gateway_samples import GATEWAY_SETTINGS, configuration, route
 from cowslipshelf_adapter.wire import MachinesDialect
+from cowslipshelf_core.gateway import RoutedCustomer
 from cowslipshelf_core.identifiers import ConfigurationVersion, DataCentre, Epoch
 from cowslipshelf_core.messages import PeerAlive, RoutesDocument
-from cowslipshelf_core.routed import RoutedCustomer
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_daemon.internal.gateway.request_handler import RequestHandler
--- a/tests/cover/gateway/test_control_changes.py
+++ b/tests/cover/gateway/test_control_changes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS
+from common.gateway_samples import GATEWAY_SETTINGS
 from common.slow_links import many_routes
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
--- a/tests/cover/gateway/test_draining.py
+++ b/tests/cover/gateway/test_draining.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from cowslipshelf_core.routed import CallerLimits
+from cowslipshelf_core.gateway import CallerLimits
 from cowslipshelf_daemon.internal.gateway.http_server import (
     HttpRequest,
     HttpServer,
--- a/tests/cover/gateway/test_ending.py
+++ b/tests/cover/gateway/test_ending.py
@@ -6,7 +6,7 @@
 
 from pykka import ThreadingActor
 
-from common.routed import GATEWAY_SETTINGS
+from common.gateway_samples import GATEWAY_SETTINGS
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_daemon.internal.gateway.assembly import END_MARGIN_SECONDS, Gateway
 from cowslipshelf_daemon.internal.gateway.replica_keeper import ReplicaKeeper
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -19,7 +19,7 @@
 import msgspec
 import pytest
 
-from common.routed import GATEWAY_SETTINGS
+from common.gateway_samples import GATEWAY_SETTINGS
 from common.slow_links import (
     LinkPost,
     SlowWorld,
@@ -29,9 +29,9 @@
     replica_that_holds,
 )
 from cowslipshelf_adapter.wire import MachinesDialect
+from cowslipshelf_core.gateway import RouteTable
 from cowslipshelf_core.identifiers import DataCentre, Epoch
 from cowslipshelf_core.messages import FetchRoutes, PeerAlive, RoutesSnapshot
-from cowslipshelf_core.routed import RouteTable
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -6,10 +6,9 @@
 import msgspec
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, configuration, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, configuration, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
-from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Alone,
     EndTold,
     HeldBack,
@@ -18,6 +17,7 @@
     UpstreamEnd,
     request_digest,
 )
+from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     Answered,
     AttemptOutcome,
--- a/tests/cover/gateway/test_upstream_pool.py
+++ b/tests/cover/gateway/test_upstream_pool.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, configuration, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, configuration, heartbeat, route
 from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.upstream_pool import MOST_IDLE, UpstreamPool
--- a/tests/cover/gateway/test_upstreams_file.py
+++ b/tests/cover/gateway/test_upstreams_file.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.routed import heartbeat
-from cowslipshelf_core.routed import HeartbeatSeen, UpstreamPhase
+from common.gateway_samples import heartbeat
+from cowslipshelf_core.gateway import HeartbeatSeen, UpstreamPhase
 from cowslipshelf_daemon.internal.gateway.upstreams_file import (
     UpstreamsDocument,
     UpstreamsFile,
--- a/tests/cover/routed/test_answer_times.py
+++ b/tests/cover/gateway_core/test_answer_times.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import AnswerTimes
+from cowslipshelf_core.gateway import AnswerTimes
 
 
 def times(*seconds: float) -> AnswerTimes:
--- a/tests/cover/routed/test_matching.py
+++ b/tests/cover/gateway_core/test_matching.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.routed import configuration, route
-from cowslipshelf_core.routed import (
+from common.gateway_samples import configuration, route
+from cowslipshelf_core.gateway import (
     RoutedCustomer,
     RouteTable,
     WeightedService,
--- a/tests/cover/routed/test_memory_lease.py
+++ b/tests/cover/gateway_core/test_memory_lease.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from common.steady import STEADY
-from cowslipshelf_core.routed import MemoryLease, MemoryLeaseConfig
+from cowslipshelf_core.gateway import MemoryLease, MemoryLeaseConfig
 
 FREE = st.floats(0.5, 20.0)
 PAUSES = st.lists(st.tuples(st.floats(0.0, 3.0), st.booleans()), max_size=30)
--- a/tests/cover/routed/test_packing.py
+++ b/tests/cover/gateway_core/test_packing.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import packed, unpacked
+from cowslipshelf_core.gateway import packed, unpacked
 
 
 @given(st.binary())
--- a/tests/cover/routed/test_peer_book.py
+++ b/tests/cover/gateway_core/test_peer_book.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from cowslipshelf_core.gateway import PeerBook, PeerBookConfig, PeerNews
 from cowslipshelf_core.messages import PeerAlive
-from cowslipshelf_core.routed import PeerBook, PeerBookConfig, PeerNews
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
--- a/tests/cover/routed/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -9,7 +9,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     Alone,
     EndTold,
     Free,
--- a/tests/cover/routed/test_repeat_budget.py
+++ b/tests/cover/gateway_core/test_repeat_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import RepeatBudget, RepeatBudgetConfig
+from cowslipshelf_core.gateway import RepeatBudget, RepeatBudgetConfig
 
 CONFIG = RepeatBudgetConfig(window_seconds=10.0, ratio=0.2, slack=20.0)
 
--- a/tests/cover/routed/test_request_digest.py
+++ b/tests/cover/gateway_core/test_request_digest.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import request_digest
+from cowslipshelf_core.gateway import request_digest
 
 FIELDS = st.tuples(
     st.text(max_size=3),
--- a/tests/cover/routed/test_routes_fetch.py
+++ b/tests/cover/gateway_core/test_routes_fetch.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import RoutesFetch
+from cowslipshelf_core.gateway import RoutesFetch
 
 HOLDERS = ("near-1", "near-2", "far-1")
 SIZE = 100_000
--- a/tests/cover/routed/test_upstream_health.py
+++ b/tests/cover/gateway_core/test_upstream_health.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from common.routed import heartbeat
-from cowslipshelf_core.routed import (
+from common.gateway_samples import heartbeat
+from cowslipshelf_core.gateway import (
     PlainCandidate,
     UpstreamHealth,
     choose_upstream,
--- a/tests/cover/routed/test_upstream_starts.py
+++ b/tests/cover/gateway_core/test_upstream_starts.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.routed import heartbeat
-from cowslipshelf_core.routed import (
+from common.gateway_samples import heartbeat
+from cowslipshelf_core.gateway import (
     HeartbeatSeen,
     RegistryConfig,
     UpstreamHeartbeat,
--- a/tests/cover/routed/test_work_progress.py
+++ b/tests/cover/gateway_core/test_work_progress.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cowslipshelf_core.routed import WorkProgress
+from cowslipshelf_core.gateway import WorkProgress
 
 
 def test_an_end_that_was_lost_with_a_relay_is_noticed_at_the_next_sign_of_life():
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import CallerFacts, MemoryTicket, OutgoingRequest
-from cowslipshelf_core.routed import EnginePart, EngineWork, RouteKind
+from cowslipshelf_core.gateway import EnginePart, EngineWork, RouteKind
 from cowslipshelf_daemon.internal.gateway.attempt import AttemptRunner
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     AttemptOutcome,
