--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -12,7 +12,6 @@
     ServiceConfiguration,
     WeightedService,
 )
-from cowslipshelf_core.internal.gateway.engine_board import EngineBoard, EngineView
 from cowslipshelf_core.internal.gateway.engine_cost import (
     PromptSize,
     admission_priority,
@@ -27,6 +26,7 @@
     NoEngine,
     place_prompt,
 )
+from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
 from cowslipshelf_core.internal.gateway.engine_weighing import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.matching import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.memory_lease import (
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
@@ -12,13 +12,13 @@
 
 from cowslipshelf_core.identifiers import UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_board import EngineBoard
 from cowslipshelf_core.internal.gateway.engine_cost import (
     read_chunks,
     read_seconds,
     worth_of,
 )
 from cowslipshelf_core.internal.gateway.engine_outlook import lateness
+from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard
 from cowslipshelf_core.internal.gateway.engine_weighing import (
     SHORT_READ_SECONDS,
     Candidate,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
@@ -4,11 +4,6 @@
 
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_board import (
-    EngineBoard,
-    EngineView,
-    UnreadPart,
-)
 from cowslipshelf_core.internal.gateway.engine_cost import (
     PromptSize,
     pass_seconds,
@@ -22,6 +17,11 @@
     lateness,
     outlook,
 )
+from cowslipshelf_core.internal.gateway.engine_tracker import (
+    EngineBoard,
+    EngineView,
+    UnreadPart,
+)
 from cowslipshelf_core.internal.gateway.messages import EngineWork
 
 FULL_COST = 0.6
