--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -12,14 +12,6 @@
     ServiceConfiguration,
     WeightedService,
 )
-from cowslipshelf_core.internal.gateway.engine_cost import (
-    PromptSize,
-    admission_priority,
-    pass_seconds,
-    read_chunks,
-    read_seconds,
-    worth_of,
-)
 from cowslipshelf_core.internal.gateway.engine_outlook import leaves_after
 from cowslipshelf_core.internal.gateway.engine_placing import (
     EnginesChosen,
@@ -58,6 +50,14 @@
     PlainCandidate,
     choose_upstream,
 )
+from cowslipshelf_core.internal.gateway.prompt_cost import (
+    PromptSize,
+    admission_priority,
+    pass_seconds,
+    read_chunks,
+    read_seconds,
+    worth_of,
+)
 from cowslipshelf_core.internal.gateway.quarantine import (
     Alone,
     Free,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -11,7 +11,7 @@
 
 from cowslipshelf_core.identifiers import CustomerName, UpstreamId, UpstreamName
 from cowslipshelf_core.internal.gateway.configuration import RouteConfiguration
-from cowslipshelf_core.internal.gateway.engine_cost import PromptSize
+from cowslipshelf_core.internal.gateway.prompt_cost import PromptSize
 from cowslipshelf_core.internal.gateway.registry import UpstreamHeartbeat
 from cowslipshelf_core.messages import RoutesDocument
 
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_passes.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_passes.py
@@ -13,8 +13,8 @@
 
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_cost import pass_seconds
 from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
+from cowslipshelf_core.internal.gateway.prompt_cost import pass_seconds
 
 ROUNDING_CHUNKS = 1e-9
 """Rest of a part that is only a rounding error."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
@@ -12,11 +12,6 @@
 
 from cowslipshelf_core.identifiers import UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_cost import (
-    read_chunks,
-    read_seconds,
-    worth_of,
-)
 from cowslipshelf_core.internal.gateway.engine_outlook import lateness
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard
 from cowslipshelf_core.internal.gateway.engine_weighing import (
@@ -35,6 +30,11 @@
     writer_share,
 )
 from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
+from cowslipshelf_core.internal.gateway.prompt_cost import (
+    read_chunks,
+    read_seconds,
+    worth_of,
+)
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
 """Numbers of engines that are tried for one prompt; the engines take 16 helpers."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
@@ -4,11 +4,6 @@
 
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_cost import (
-    PromptSize,
-    pass_seconds,
-    read_seconds,
-)
 from cowslipshelf_core.internal.gateway.engine_outlook import (
     EnginePace,
     Outlook,
@@ -23,6 +18,11 @@
     UnreadPart,
 )
 from cowslipshelf_core.internal.gateway.messages import EngineWork
+from cowslipshelf_core.internal.gateway.prompt_cost import (
+    PromptSize,
+    pass_seconds,
+    read_seconds,
+)
 
 FULL_COST = 0.6
 """Cost of each request beyond the slots, as a share of the worth: it waits until one
