--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -12,7 +12,7 @@
     ServiceConfiguration,
     WeightedService,
 )
-from cowslipshelf_core.internal.gateway.engine_outlook import leaves_after
+from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
 from cowslipshelf_core.internal.gateway.engine_placing import (
     EnginesChosen,
     NoEngine,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_placing.py
@@ -12,7 +12,7 @@
 
 from cowslipshelf_core.identifiers import UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_outlook import lateness
+from cowslipshelf_core.internal.gateway.engine_forecast import lateness
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard
 from cowslipshelf_core.internal.gateway.engine_weighing import (
     SHORT_READ_SECONDS,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_weighing.py
@@ -4,7 +4,7 @@
 
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_outlook import (
+from cowslipshelf_core.internal.gateway.engine_forecast import (
     EnginePace,
     Outlook,
     Pending,
