--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -11,7 +11,7 @@
 
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_passes import EnginePasses
+from cowslipshelf_core.internal.gateway.engine_simulation import EnginePasses
 from cowslipshelf_core.internal.gateway.messages import (
     EngineWork,
     HeldWork,
