--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -13,11 +13,6 @@
     WeightedService,
 )
 from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
-from cowslipshelf_core.internal.gateway.engine_placing import (
-    EnginesChosen,
-    NoEngine,
-    place_prompt,
-)
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
 from cowslipshelf_core.internal.gateway.engine_weighing import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.matching import RouteTable, choose_service
@@ -58,6 +53,11 @@
     read_seconds,
     worth_of,
 )
+from cowslipshelf_core.internal.gateway.prompt_placement import (
+    EnginesChosen,
+    NoEngine,
+    place_prompt,
+)
 from cowslipshelf_core.internal.gateway.quarantine import (
     Alone,
     Free,
