--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -14,7 +14,6 @@
 )
 from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
-from cowslipshelf_core.internal.gateway.engine_weighing import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.matching import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.memory_lease import (
     MemoryLease,
@@ -41,6 +40,7 @@
     PeerBookConfig,
     PeerNews,
 )
+from cowslipshelf_core.internal.gateway.placement_cost import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.plain_placing import (
     PlainCandidate,
     choose_upstream,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -14,7 +14,8 @@
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
 from cowslipshelf_core.internal.gateway.engine_forecast import lateness
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard
-from cowslipshelf_core.internal.gateway.engine_weighing import (
+from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
+from cowslipshelf_core.internal.gateway.placement_cost import (
     SHORT_READ_SECONDS,
     Candidate,
     Part,
@@ -29,7 +30,6 @@
     until_written,
     writer_share,
 )
-from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     read_chunks,
     read_seconds,
