--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -41,10 +41,6 @@
     PeerNews,
 )
 from cowslipshelf_core.internal.gateway.placement_cost import Candidate, PromptAsked
-from cowslipshelf_core.internal.gateway.plain_placing import (
-    PlainCandidate,
-    choose_upstream,
-)
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
     admission_priority,
@@ -87,6 +83,10 @@
     QuarantineConfig,
     problem_of,
 )
+from cowslipshelf_core.internal.gateway.upstream_choice import (
+    PlainCandidate,
+    choose_upstream,
+)
 from cowslipshelf_core.internal.gateway.upstream_health import (
     HealthSeen,
     UpstreamHealth,
