--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -14,7 +14,6 @@
 )
 from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
-from cowslipshelf_core.internal.gateway.matching import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.memory_lease import (
     MemoryLease,
     MemoryLeaseConfig,
@@ -78,6 +77,7 @@
     RequestDigest,
     request_digest,
 )
+from cowslipshelf_core.internal.gateway.route_table import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
 from cowslipshelf_core.internal.gateway.suspect_request import (
     QuarantineConfig,
