--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -1,7 +1,6 @@
 """Offer what decides on requests that are served by route."""
 
 from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
-from cowslipshelf_core.internal.gateway.checking import configuration_problem
 from cowslipshelf_core.internal.gateway.configuration import (
     CallerLimits,
     EngineModel,
@@ -12,6 +11,9 @@
     ServiceConfiguration,
     WeightedService,
 )
+from cowslipshelf_core.internal.gateway.configuration_checks import (
+    configuration_problem,
+)
 from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
 from cowslipshelf_core.internal.gateway.memory_lease import (
