--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -1,6 +1,7 @@
 """Offer what decides on requests that are served by route."""
 
 from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
+from cowslipshelf_core.internal.gateway.compression import packed, unpacked
 from cowslipshelf_core.internal.gateway.configuration import (
     CallerLimits,
     EngineModel,
@@ -34,7 +35,6 @@
     WorkChanged,
     WorkHeld,
 )
-from cowslipshelf_core.internal.gateway.packing import packed, unpacked
 from cowslipshelf_core.internal.gateway.peer_book import (
     KnownPeer,
     PeerBook,
