--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -35,7 +35,7 @@
     WorkChanged,
     WorkHeld,
 )
-from cowslipshelf_core.internal.gateway.peer_book import (
+from cowslipshelf_core.internal.gateway.peer_table import (
     KnownPeer,
     PeerBook,
     PeerBookConfig,
