--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -71,14 +71,14 @@
     UpstreamPhase,
     UpstreamRegistry,
 )
-from cowslipshelf_core.internal.gateway.repeat_budget import (
-    RepeatBudget,
-    RepeatBudgetConfig,
-)
 from cowslipshelf_core.internal.gateway.request_digest import (
     RequestDigest,
     request_digest,
 )
+from cowslipshelf_core.internal.gateway.retry_budget import (
+    RepeatBudget,
+    RepeatBudgetConfig,
+)
 from cowslipshelf_core.internal.gateway.route_table import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
 from cowslipshelf_core.internal.gateway.suspect_request import (
