--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -94,7 +94,7 @@
     UpstreamHealth,
 )
 from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
-from cowslipshelf_core.internal.gateway.work_progress import WorkProgress
+from cowslipshelf_core.internal.gateway.work_gaps import WorkProgress
 
 __all__ = [
     "Alone",
