--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -33,20 +33,20 @@
 ALL_ON = "nothing is off"
 SWITCHES = {
     ALL_ON: Switch(),
-    "several engines for one prompt": Switch((("engine_placing.PART_COUNTS", (1,)),)),
-    "harm to those who write": Switch((("engine_weighing.harm_to_writers", nothing),)),
-    "harm to those who wait": Switch((("engine_weighing.harm_to_waiting", nothing),)),
-    "cost of sharing an engine": Switch((("engine_weighing.sharing_cost", nothing),)),
-    "charge for an empty engine": Switch((("engine_weighing.EMPTY_ENGINE_COST", 0.0),)),
-    "charge for a further engine": Switch((("engine_placing.SPREAD_COST", 0.0),)),
+    "several engines for one prompt": Switch((("prompt_placement.PART_COUNTS", (1,)),)),
+    "harm to those who write": Switch((("placement_cost.harm_to_writers", nothing),)),
+    "harm to those who wait": Switch((("placement_cost.harm_to_waiting", nothing),)),
+    "cost of sharing an engine": Switch((("placement_cost.sharing_cost", nothing),)),
+    "charge for an empty engine": Switch((("placement_cost.EMPTY_ENGINE_COST", 0.0),)),
+    "charge for a further engine": Switch((("prompt_placement.SPREAD_COST", 0.0),)),
     "draw of engines to weigh": Switch(
         (
-            ("engine_placing.MOST_LOOKED_AT", 10_000),
-            ("engine_placing.MOST_LOOKED_AT_FOR_SHORT", 10_000),
+            ("prompt_placement.MOST_LOOKED_AT", 10_000),
+            ("prompt_placement.MOST_LOOKED_AT_FOR_SHORT", 10_000),
         )
     ),
     "late writers count less": Switch(
-        (("engine_passes.EnginePasses.note_late", nothing),)
+        (("engine_simulation.EnginePasses.note_late", nothing),)
     ),
     "word of work between gateways": Switch(delays=Delays(word=NEVER_SECONDS)),
 }
