--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -16,7 +16,7 @@
     configuration_problem,
 )
 from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
-from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard, EngineView
+from cowslipshelf_core.internal.gateway.engine_tracker import EngineTracker, EngineView
 from cowslipshelf_core.internal.gateway.memory_lease import (
     MemoryLease,
     MemoryLeaseConfig,
@@ -102,7 +102,7 @@
     "CallerLimits",
     "Candidate",
     "EndTold",
-    "EngineBoard",
+    "EngineTracker",
     "EngineModel",
     "EnginePart",
     "EngineView",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class EngineBoard:
+class EngineTracker:
     """Hold the attempts on engines, by attempt and by engine."""
 
     placed: dict[AttemptId, PlacedWork] = field(default_factory=dict)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -13,7 +13,7 @@
     outlook,
 )
 from cowslipshelf_core.internal.gateway.engine_tracker import (
-    EngineBoard,
+    EngineTracker,
     EngineView,
     UnreadPart,
 )
@@ -118,7 +118,7 @@
 
 
 def look_at(
-    candidate: Candidate, model: EngineModel, board: EngineBoard, now: float
+    candidate: Candidate, model: EngineModel, board: EngineTracker, now: float
 ) -> Seen:
     """Work out what a candidate is about to do."""
     view = board.view(candidate.upstream_id, model, now)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -13,7 +13,7 @@
 from cowslipshelf_core.identifiers import UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
 from cowslipshelf_core.internal.gateway.engine_forecast import lateness
-from cowslipshelf_core.internal.gateway.engine_tracker import EngineBoard
+from cowslipshelf_core.internal.gateway.engine_tracker import EngineTracker
 from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
 from cowslipshelf_core.internal.gateway.placement_cost import (
     SHORT_READ_SECONDS,
@@ -90,7 +90,7 @@
     asked: PromptAsked,
     candidates: list[Candidate],
     model: EngineModel,
-    board: EngineBoard,
+    board: EngineTracker,
     now: float,
     random: Random,
 ) -> EnginesChosen | NoEngine:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -11,7 +11,7 @@
 from cowslipshelf_core.gateway import (
     NOT_TOLD,
     AnswerTimes,
-    EngineBoard,
+    EngineTracker,
     EngineWork,
     HeartbeatSeen,
     HeartbeatsSeen,
@@ -66,7 +66,7 @@
     """Tells the other gateways; set once the process is put together."""
     drop_start: Callable[[UpstreamStart, UpstreamStart], None]
     """Ends what is open at a start that gave way to a later one; set likewise."""
-    board: EngineBoard = field(default_factory=EngineBoard)
+    board: EngineTracker = field(default_factory=EngineTracker)
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
     times: AnswerTimes = field(default_factory=AnswerTimes)
     running: dict[UpstreamId, int] = field(default_factory=dict)
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -7,10 +7,10 @@
 
 from cowslipshelf_core.gateway import (
     Candidate,
-    EngineBoard,
     EngineModel,
     EnginePart,
     EnginesChosen,
+    EngineTracker,
     EngineWork,
     NoEngine,
     PromptAsked,
@@ -26,7 +26,7 @@
     engines: tuple[UpstreamId, ...]
     model: EngineModel
     random: Random
-    board: EngineBoard = field(default_factory=EngineBoard)
+    board: EngineTracker = field(default_factory=EngineTracker)
 
     @abstractmethod
     def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -9,9 +9,9 @@
 from common.gateway_samples import ENGINE
 from cowslipshelf_core.gateway import (
     Candidate,
-    EngineBoard,
     EnginePart,
     EnginesChosen,
+    EngineTracker,
     EngineView,
     EngineWork,
     NoEngine,
@@ -32,7 +32,7 @@
     """Place prompts one after the other on one board."""
 
     def __init__(self, engines: int, seed: int = 0) -> None:
-        self.board = EngineBoard()
+        self.board = EngineTracker()
         self.candidates = [Candidate(f"e-{number}") for number in range(engines)]
         self.random = Random(seed)
         self.placed = 0
@@ -239,7 +239,7 @@
         step_seconds_per_writer=0.0,
         step_seconds_per_context_token=0.0,
     )
-    board = EngineBoard()
+    board = EngineTracker()
     part = EnginePart("e", 0.02, 1, writes=True)
     board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
     board.first_token("w", 0.1)
@@ -289,7 +289,7 @@
     Parts that an engine reads for others go ahead of its own prompts. Placed on it
     one after the other, they starve the prompt that came first.
     """
-    board = EngineBoard()
+    board = EngineTracker()
     own = EnginePart("e", 1.0, 10, writes=True)
     other = EnginePart("e", 0.5, 5, writes=False)
     board.begin(EngineWork("first", (own,), 1.0, 4.0, 1.0), "g", 0.0)
@@ -304,7 +304,7 @@
 
 def test_parts_do_not_proceed_side_by_side():
     """An engine that has seconds to read looks idle soon."""
-    board = EngineBoard()
+    board = EngineTracker()
     for number in range(4):
         part = EnginePart("e", 1.0, 10, writes=False)
         work = EngineWork(f"a-{number}", (part,), 1.0, 4.0, 1.0)
@@ -312,8 +312,8 @@
     assert board.view("e", ENGINE, 1.5).backlog_seconds == pytest.approx(2.5)
 
 
-def board_with_a_long_read_beside_a_writer() -> EngineBoard:
-    board = EngineBoard()
+def board_with_a_long_read_beside_a_writer() -> EngineTracker:
+    board = EngineTracker()
     own = EnginePart("e", 0.1, 1, writes=True)
     other = EnginePart("e", 1.9, 30, writes=False)
     board.begin(EngineWork("own", (own,), 1.0, 0.3, 0.25), "g", 0.0)
@@ -385,7 +385,7 @@
     Its own engine has nothing to do; one that helps it was given parts of others,
     which go ahead.
     """
-    board = EngineBoard()
+    board = EngineTracker()
     writer = EnginePart("writer", 0.5, 8, writes=True)
     helper = EnginePart("helper", 0.5, 8, writes=False)
     board.begin(EngineWork("dossier", (writer, helper), 1.0, 4.0, 1.0), "g", 0.0)
