--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -37,9 +37,9 @@
 )
 from cowslipshelf_core.internal.gateway.peer_table import (
     KnownPeer,
-    PeerBook,
     PeerBookConfig,
     PeerNews,
+    PeerTable,
 )
 from cowslipshelf_core.internal.gateway.placement_cost import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.prompt_cost import (
@@ -122,7 +122,7 @@
     "MemoryLeaseConfig",
     "NOT_TOLD",
     "NoEngine",
-    "PeerBook",
+    "PeerTable",
     "PeerBookConfig",
     "PeerNews",
     "PlainCandidate",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class PeerBook:
+class PeerTable:
     """Hold the gateways that were heard of."""
 
     config: PeerBookConfig
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -16,8 +16,8 @@
     HeartbeatSeen,
     HeartbeatsSeen,
     KnownUpstream,
-    PeerBook,
     PeerBookConfig,
+    PeerTable,
     RegistryConfig,
     RepeatBudget,
     RepeatBudgetConfig,
@@ -60,7 +60,7 @@
 
     settings: GatewaySettings
     registry: UpstreamRegistry
-    peers: PeerBook
+    peers: PeerTable
     budget: RepeatBudget
     tell_work: Callable[[WorkChanged], None]
     """Tells the other gateways; set once the process is put together."""
@@ -84,7 +84,7 @@
         return cls(
             settings,
             UpstreamRegistry.from_config(RegistryConfig(silence)),
-            PeerBook.from_config(
+            PeerTable.from_config(
                 PeerBookConfig(
                     settings.instance,
                     Epoch(uuid.uuid4().hex),
--- a/tests/cover/gateway_core/test_peer_table.py
+++ b/tests/cover/gateway_core/test_peer_table.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from cowslipshelf_core.gateway import PeerBook, PeerBookConfig, PeerNews
+from cowslipshelf_core.gateway import PeerBookConfig, PeerNews, PeerTable
 from cowslipshelf_core.messages import PeerAlive
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
 
-def book(instance: str, holds_replica: bool = True, seeds=SEEDS) -> PeerBook:
-    return PeerBook.from_config(
+def book(instance: str, holds_replica: bool = True, seeds=SEEDS) -> PeerTable:
+    return PeerTable.from_config(
         PeerBookConfig(instance, "epoch", "here", holds_replica, seeds)
     )
 
@@ -74,7 +74,7 @@
     return PeerAlive("e-1", data_centre, False, 0, ())
 
 
-def book_of_three_data_centres() -> PeerBook:
+def book_of_three_data_centres() -> PeerTable:
     own = book("10.0.0.1")
     own.heard("10.0.0.2", alive(), 0.0)
     for number in (1, 2, 3):
@@ -115,10 +115,10 @@
 DATA_CENTRES = ("east", "north", "west")
 
 
-def diskless_books(size: int) -> dict[str, PeerBook]:
+def diskless_books(size: int) -> dict[str, PeerTable]:
     """Make gateways without disks, of which the first three hold a replica."""
     return {
-        f"10.0.0.{number:03}": PeerBook.from_config(
+        f"10.0.0.{number:03}": PeerTable.from_config(
             PeerBookConfig(
                 f"10.0.0.{number:03}",
                 f"epoch-{number}",
@@ -132,7 +132,7 @@
     }
 
 
-def tell_each_other(books: dict[str, PeerBook]) -> None:
+def tell_each_other(books: dict[str, PeerTable]) -> None:
     for sender, book_of_sender in books.items():
         word = book_of_sender.own_message(1, 100, 0, False)
         for receiver, book_of_receiver in books.items():
