--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -37,9 +37,9 @@
 )
 from cowslipshelf_core.internal.gateway.peer_table import (
     KnownPeer,
-    PeerBookConfig,
     PeerNews,
     PeerTable,
+    PeerTableConfig,
 )
 from cowslipshelf_core.internal.gateway.placement_cost import Candidate, PromptAsked
 from cowslipshelf_core.internal.gateway.prompt_cost import (
@@ -123,7 +123,7 @@
     "NOT_TOLD",
     "NoEngine",
     "PeerTable",
-    "PeerBookConfig",
+    "PeerTableConfig",
     "PeerNews",
     "PlainCandidate",
     "PromptAsked",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -23,7 +23,7 @@
 still waits for five gateways only, however many there are."""
 
 
-class PeerBookConfig(NamedTuple):
+class PeerTableConfig(NamedTuple):
     """Say who this gateway is and whom it may ask."""
 
     instance: InstanceId
@@ -62,13 +62,13 @@
 class PeerTable:
     """Hold the gateways that were heard of."""
 
-    config: PeerBookConfig
+    config: PeerTableConfig
     seeds: tuple[InstanceId, ...]
     holds_replica: bool
     known: dict[InstanceId, KnownPeer] = field(default_factory=dict)
 
     @classmethod
-    def from_config(cls, config: PeerBookConfig) -> Self:
+    def from_config(cls, config: PeerTableConfig) -> Self:
         """Begin with the seeds only."""
         return cls(config, config.seeds, config.holds_replica)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -16,8 +16,8 @@
     HeartbeatSeen,
     HeartbeatsSeen,
     KnownUpstream,
-    PeerBookConfig,
     PeerTable,
+    PeerTableConfig,
     RegistryConfig,
     RepeatBudget,
     RepeatBudgetConfig,
@@ -85,7 +85,7 @@
             settings,
             UpstreamRegistry.from_config(RegistryConfig(silence)),
             PeerTable.from_config(
-                PeerBookConfig(
+                PeerTableConfig(
                     settings.instance,
                     Epoch(uuid.uuid4().hex),
                     settings.data_centre,
--- a/tests/cover/gateway_core/test_peer_table.py
+++ b/tests/cover/gateway_core/test_peer_table.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cowslipshelf_core.gateway import PeerBookConfig, PeerNews, PeerTable
+from cowslipshelf_core.gateway import PeerNews, PeerTable, PeerTableConfig
 from cowslipshelf_core.messages import PeerAlive
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -10,7 +10,7 @@
 
 def book(instance: str, holds_replica: bool = True, seeds=SEEDS) -> PeerTable:
     return PeerTable.from_config(
-        PeerBookConfig(instance, "epoch", "here", holds_replica, seeds)
+        PeerTableConfig(instance, "epoch", "here", holds_replica, seeds)
     )
 
 
@@ -119,7 +119,7 @@
     """Make gateways without disks, of which the first three hold a replica."""
     return {
         f"10.0.0.{number:03}": PeerTable.from_config(
-            PeerBookConfig(
+            PeerTableConfig(
                 f"10.0.0.{number:03}",
                 f"epoch-{number}",
                 DATA_CENTRES[number % 3],
