--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -37,7 +37,7 @@
 )
 from cowslipshelf_core.internal.gateway.peer_table import (
     KnownPeer,
-    PeerNews,
+    PeerChange,
     PeerTable,
     PeerTableConfig,
 )
@@ -124,7 +124,7 @@
     "NoEngine",
     "PeerTable",
     "PeerTableConfig",
-    "PeerNews",
+    "PeerChange",
     "PlainCandidate",
     "PromptAsked",
     "PromptSize",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -40,7 +40,7 @@
     cuts and freezes last, so that both sides find each other after one."""
 
 
-class PeerNews(Enum):
+class PeerChange(Enum):
     """Name what a gateway's word says beyond that it is still there."""
 
     NONE = auto()
@@ -72,7 +72,7 @@
         """Begin with the seeds only."""
         return cls(config, config.seeds, config.holds_replica)
 
-    def heard(self, sender: InstanceId, alive: PeerAlive, now: float) -> PeerNews:
+    def heard(self, sender: InstanceId, alive: PeerAlive, now: float) -> PeerChange:
         """Take in a message; return what it says of the sender."""
         before = self.known.get(sender)
         self.known[sender] = KnownPeer(alive, now)
@@ -80,11 +80,11 @@
             if peer not in self.known and peer != self.config.instance:
                 self.known[peer] = KnownPeer(None, now)
         if before is None or before.alive is None:
-            return PeerNews.RETURNED
+            return PeerChange.RETURNED
         if before.alive.epoch != alive.epoch:
-            return PeerNews.RESTARTED
+            return PeerChange.RESTARTED
         silent = now - before.heard_at > self.config.silence_seconds
-        return PeerNews.RETURNED if silent else PeerNews.NONE
+        return PeerChange.RETURNED if silent else PeerChange.NONE
 
     def to_tell(self) -> tuple[InstanceId, ...]:
         """List whom to tell that this gateway is there."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -9,7 +9,7 @@
     FetchWork,
     HeartbeatSeen,
     HeartbeatsSeen,
-    PeerNews,
+    PeerChange,
     Relayed,
     RequestDigest,
     SuspectRequestsTold,
@@ -289,11 +289,11 @@
         now = time.monotonic()
         sender = delivered.sender
         news = self.view.peers.heard(sender, alive, now)
-        if news is PeerNews.RESTARTED:
+        if news is PeerChange.RESTARTED:
             self.view.board.forget_owner(sender, now)
             self.progress.forget(sender)
             self.routes.fetch.restarted(sender, now)
-        if news is not PeerNews.NONE:
+        if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
             self.post.learn(sender, self.view.settings.peer_address(sender))
             # One that has just started waits for the configuration to serve at all.
--- a/tests/cover/gateway_core/test_peer_table.py
+++ b/tests/cover/gateway_core/test_peer_table.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cowslipshelf_core.gateway import PeerNews, PeerTable, PeerTableConfig
+from cowslipshelf_core.gateway import PeerChange, PeerTable, PeerTableConfig
 from cowslipshelf_core.messages import PeerAlive
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -59,15 +59,15 @@
 
 def test_a_return_after_silence_is_news():
     own = book("10.0.0.1")
-    assert own.heard("10.0.0.7", alive(), 0.0) is PeerNews.RETURNED
-    assert own.heard("10.0.0.7", alive(), 1.0) is PeerNews.NONE
-    assert own.heard("10.0.0.7", alive(), 9.0) is PeerNews.RETURNED
+    assert own.heard("10.0.0.7", alive(), 0.0) is PeerChange.RETURNED
+    assert own.heard("10.0.0.7", alive(), 1.0) is PeerChange.NONE
+    assert own.heard("10.0.0.7", alive(), 9.0) is PeerChange.RETURNED
 
 
 def test_a_new_start_is_told_from_a_return():
     own = book("10.0.0.1")
     own.heard("10.0.0.7", alive(), 0.0)
-    assert own.heard("10.0.0.7", alive(epoch="e-2"), 0.5) is PeerNews.RESTARTED
+    assert own.heard("10.0.0.7", alive(epoch="e-2"), 0.5) is PeerChange.RESTARTED
 
 
 def far(data_centre: str) -> PeerAlive:
