--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -86,7 +86,7 @@
     problem_of,
 )
 from cowslipshelf_core.internal.gateway.upstream_choice import (
-    PlainCandidate,
+    UpstreamCandidate,
     choose_upstream,
 )
 from cowslipshelf_core.internal.gateway.upstream_health import (
@@ -125,7 +125,7 @@
     "PeerTable",
     "PeerTableConfig",
     "PeerChange",
-    "PlainCandidate",
+    "UpstreamCandidate",
     "PromptAsked",
     "PromptSize",
     "QuarantineConfig",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
@@ -14,7 +14,7 @@
 """Parts of the slots that another data centre counts for: it breaks ties only."""
 
 
-class PlainCandidate(NamedTuple):
+class UpstreamCandidate(NamedTuple):
     """Be an upstream that may be chosen."""
 
     upstream_id: UpstreamId
@@ -28,7 +28,7 @@
 
 
 def choose_upstream(
-    candidates: list[PlainCandidate], random: Random
+    candidates: list[UpstreamCandidate], random: Random
 ) -> UpstreamId | None:
     """Return the upstream that is likely to answer first, or nothing without any."""
     if not candidates:
@@ -37,7 +37,7 @@
     return min(shuffled, key=expected_cost).upstream_id
 
 
-def expected_cost(candidate: PlainCandidate) -> float:
+def expected_cost(candidate: UpstreamCandidate) -> float:
     """Return a cost that grows with load, failures, slowness and distance."""
     load = (candidate.running + 1) / max(1, candidate.slots)
     cost = load * candidate.slowness + FAILING_COST * candidate.failing
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -12,9 +12,9 @@
     EnginesChosen,
     EngineWork,
     NoEngine,
-    PlainCandidate,
     PromptAsked,
     Route,
+    UpstreamCandidate,
     UpstreamHeartbeat,
     admission_priority,
     choose_upstream,
@@ -89,7 +89,7 @@
     for upstream in upstreams:
         health = view.health.seen(upstream.upstream_id, now)
         candidates.append(
-            PlainCandidate(
+            UpstreamCandidate(
                 upstream.upstream_id,
                 upstream.slots,
                 view.running.get(upstream.upstream_id, 0),
--- a/tests/cover/gateway_core/test_upstream_health.py
+++ b/tests/cover/gateway_core/test_upstream_health.py
@@ -4,14 +4,14 @@
 
 from common.gateway_samples import heartbeat
 from cowslipshelf_core.gateway import (
-    PlainCandidate,
+    UpstreamCandidate,
     UpstreamHealth,
     choose_upstream,
 )
 
 
-def candidate(upstream_id: str, **changes) -> PlainCandidate:
-    usual = PlainCandidate(upstream_id, 6, 0, 0.0, 1.0, False, True)
+def candidate(upstream_id: str, **changes) -> UpstreamCandidate:
+    usual = UpstreamCandidate(upstream_id, 6, 0, 0.0, 1.0, False, True)
     return usual._replace(**changes)
 
 
