--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -76,8 +76,8 @@
     request_digest,
 )
 from cowslipshelf_core.internal.gateway.retry_budget import (
-    RepeatBudget,
     RepeatBudgetConfig,
+    ServiceRetryBudget,
 )
 from cowslipshelf_core.internal.gateway.route_table import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
@@ -131,7 +131,7 @@
     "QuarantineConfig",
     "RegistryConfig",
     "Relayed",
-    "RepeatBudget",
+    "ServiceRetryBudget",
     "RepeatBudgetConfig",
     "RequestDigest",
     "RequestQuarantine",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class RepeatBudget:
+class ServiceRetryBudget:
     """Be one entry's part of the allowance."""
 
     config: RepeatBudgetConfig
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -19,10 +19,10 @@
     PeerTable,
     PeerTableConfig,
     RegistryConfig,
-    RepeatBudget,
     RepeatBudgetConfig,
     RouteConfiguration,
     RouteTable,
+    ServiceRetryBudget,
     UpstreamHealth,
     UpstreamHeartbeat,
     UpstreamPhase,
@@ -61,7 +61,7 @@
     settings: GatewaySettings
     registry: UpstreamRegistry
     peers: PeerTable
-    budget: RepeatBudget
+    budget: ServiceRetryBudget
     tell_work: Callable[[WorkChanged], None]
     """Tells the other gateways; set once the process is put together."""
     drop_start: Callable[[UpstreamStart, UpstreamStart], None]
@@ -94,7 +94,7 @@
                     settings.data_folder is not None,
                 )
             ),
-            RepeatBudget.from_config(budget_config(settings)),
+            ServiceRetryBudget.from_config(budget_config(settings)),
             tell_work=lambda _changed: None,
             drop_start=lambda _former, _later: None,
         )
--- a/tests/cover/gateway_core/test_gateway_retry_budget.py
+++ b/tests/cover/gateway_core/test_gateway_retry_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.gateway import RepeatBudget, RepeatBudgetConfig
+from cowslipshelf_core.gateway import RepeatBudgetConfig, ServiceRetryBudget
 
 CONFIG = RepeatBudgetConfig(window_seconds=10.0, ratio=0.2, slack=20.0)
 
@@ -20,7 +20,7 @@
     Several gateways send repeats at the same time; each spends its own part only.
     """
     gateways = 4
-    budgets = [RepeatBudget.from_config(CONFIG) for _ in range(gateways)]
+    budgets = [ServiceRetryBudget.from_config(CONFIG) for _ in range(gateways)]
     now, requests, repeats = 0.0, [], []
     for pause, asked, gateway in steps:
         now += pause
@@ -37,7 +37,7 @@
 
 
 def test_repeats_are_allowed_again_when_the_window_has_passed():
-    budget = RepeatBudget.from_config(CONFIG)
+    budget = ServiceRetryBudget.from_config(CONFIG)
     while budget.allow_repeat("s", 1, 0.0):
         pass
     assert not budget.allow_repeat("s", 1, 9.0)
@@ -45,7 +45,7 @@
 
 
 def test_services_do_not_spend_each_others_repeats():
-    budget = RepeatBudget.from_config(CONFIG)
+    budget = ServiceRetryBudget.from_config(CONFIG)
     while budget.allow_repeat("s", 1, 0.0):
         pass
     assert budget.allow_repeat("other", 1, 0.0)
