--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -76,8 +76,8 @@
     request_digest,
 )
 from cowslipshelf_core.internal.gateway.retry_budget import (
-    RepeatBudgetConfig,
     ServiceRetryBudget,
+    ServiceRetryBudgetConfig,
 )
 from cowslipshelf_core.internal.gateway.route_table import RouteTable, choose_service
 from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
@@ -132,7 +132,7 @@
     "RegistryConfig",
     "Relayed",
     "ServiceRetryBudget",
-    "RepeatBudgetConfig",
+    "ServiceRetryBudgetConfig",
     "RequestDigest",
     "RequestQuarantine",
     "Route",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
@@ -15,7 +15,7 @@
 windows of the bound slide while these counts only follow."""
 
 
-class RepeatBudgetConfig(NamedTuple):
+class ServiceRetryBudgetConfig(NamedTuple):
     """Set the allowance of all entries together."""
 
     window_seconds: float
@@ -43,11 +43,11 @@
 class ServiceRetryBudget:
     """Be one entry's part of the allowance."""
 
-    config: RepeatBudgetConfig
+    config: ServiceRetryBudgetConfig
     counts: dict[ServiceName, ServiceCount] = field(default_factory=dict)
 
     @classmethod
-    def from_config(cls, config: RepeatBudgetConfig) -> Self:
+    def from_config(cls, config: ServiceRetryBudgetConfig) -> Self:
         """Begin with nothing counted."""
         return cls(config)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -19,10 +19,10 @@
     PeerTable,
     PeerTableConfig,
     RegistryConfig,
-    RepeatBudgetConfig,
     RouteConfiguration,
     RouteTable,
     ServiceRetryBudget,
+    ServiceRetryBudgetConfig,
     UpstreamHealth,
     UpstreamHeartbeat,
     UpstreamPhase,
@@ -334,8 +334,8 @@
         return self.registry.all_seen(time.monotonic())
 
 
-def budget_config(settings: GatewaySettings) -> RepeatBudgetConfig:
+def budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
     """Return the allowance of repeats that the settings give."""
-    return RepeatBudgetConfig(
+    return ServiceRetryBudgetConfig(
         settings.repeat_window_seconds, settings.repeat_ratio, settings.repeat_slack
     )
--- a/tests/cover/gateway_core/test_gateway_retry_budget.py
+++ b/tests/cover/gateway_core/test_gateway_retry_budget.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.gateway import RepeatBudgetConfig, ServiceRetryBudget
+from cowslipshelf_core.gateway import ServiceRetryBudget, ServiceRetryBudgetConfig
 
-CONFIG = RepeatBudgetConfig(window_seconds=10.0, ratio=0.2, slack=20.0)
+CONFIG = ServiceRetryBudgetConfig(window_seconds=10.0, ratio=0.2, slack=20.0)
 
 
 @given(
