--- a/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
@@ -55,7 +55,7 @@
         """Count a request's first hand-over."""
         self.count_of(service, now).requests.append(now)
 
-    def allow_repeat(self, service: ServiceName, entries: int, now: float) -> bool:
+    def allow_retry(self, service: ServiceName, entries: int, now: float) -> bool:
         """Spend one repeat, if this entry's part of the slack of all allows it."""
         count = self.count_of(service, now)
         slack = self.config.slack / max(1, entries)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -226,7 +226,7 @@
     def may_repeat(self, service: ServiceName) -> bool:
         """Spend a repeat of the common budget."""
         now = time.monotonic()
-        return self.view.budget.allow_repeat(service, self.view.gateways(), now)
+        return self.view.budget.allow_retry(service, self.view.gateways(), now)
 
     async def attempt(
         self, task: AttemptTask, placement: Placement, progress: Progress
--- a/tests/cover/gateway_core/test_gateway_retry_budget.py
+++ b/tests/cover/gateway_core/test_gateway_retry_budget.py
@@ -28,7 +28,7 @@
         if asked:
             budget.count_request("s", now)
             requests.append(now)
-        elif budget.allow_repeat("s", gateways, now):
+        elif budget.allow_retry("s", gateways, now):
             repeats.append(now)
             window = now - CONFIG.window_seconds
             sent = sum(time >= window for time in repeats)
@@ -38,14 +38,14 @@
 
 def test_repeats_are_allowed_again_when_the_window_has_passed():
     budget = ServiceRetryBudget.from_config(CONFIG)
-    while budget.allow_repeat("s", 1, 0.0):
+    while budget.allow_retry("s", 1, 0.0):
         pass
-    assert not budget.allow_repeat("s", 1, 9.0)
-    assert budget.allow_repeat("s", 1, 10.5)
+    assert not budget.allow_retry("s", 1, 9.0)
+    assert budget.allow_retry("s", 1, 10.5)
 
 
 def test_services_do_not_spend_each_others_repeats():
     budget = ServiceRetryBudget.from_config(CONFIG)
-    while budget.allow_repeat("s", 1, 0.0):
+    while budget.allow_retry("s", 1, 0.0):
         pass
-    assert budget.allow_repeat("other", 1, 0.0)
+    assert budget.allow_retry("other", 1, 0.0)
