--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -94,7 +94,7 @@
     UpstreamHealth,
 )
 from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
-from cowslipshelf_core.internal.gateway.work_gaps import WorkProgress
+from cowslipshelf_core.internal.gateway.work_gaps import WorkGapDetector
 
 __all__ = [
     "Alone",
@@ -154,7 +154,7 @@
     "WeightedService",
     "WorkChanged",
     "WorkHeld",
-    "WorkProgress",
+    "WorkGapDetector",
     "admission_priority",
     "choose_service",
     "choose_upstream",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class WorkProgress:
+class WorkGapDetector:
     """Hold the progress of each gateway."""
 
     of_owner: dict[InstanceId, Progress] = field(default_factory=dict)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -15,8 +15,8 @@
     SuspectRequestsTold,
     UpstreamHeartbeat,
     WorkChanged,
+    WorkGapDetector,
     WorkHeld,
-    WorkProgress,
 )
 from cowslipshelf_core.identifiers import InstanceId, UpstreamId
 from cowslipshelf_core.messages import (
@@ -75,7 +75,7 @@
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams that were heard and are to be told of."""
         self.urgent: RepeatedNews[UpstreamId] = RepeatedNews()
-        self.progress = WorkProgress()
+        self.progress = WorkGapDetector()
         self.work_number = 0
         self.words = 0
         self.begun: list = []
--- a/tests/cover/gateway_core/test_work_gaps.py
+++ b/tests/cover/gateway_core/test_work_gaps.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cowslipshelf_core.gateway import WorkProgress
+from cowslipshelf_core.gateway import WorkGapDetector
 
 
 def test_an_end_that_was_lost_with_a_relay_is_noticed_at_the_next_sign_of_life():
@@ -12,7 +12,7 @@
     The engine would look busy to a whole data centre for a minute. The next but one
     sign of life says that there was a third change, and it is asked for.
     """
-    progress = WorkProgress()
+    progress = WorkGapDetector()
     progress.change_heard("gateway-1", 1)
     progress.change_heard("gateway-1", 2)
     assert not progress.is_behind("gateway-1", told=3)
@@ -23,21 +23,21 @@
 
 def test_a_change_that_is_still_on_its_way_is_waited_for():
     """The sign of life comes straight, the change by way of another gateway."""
-    progress = WorkProgress()
+    progress = WorkGapDetector()
     assert not progress.is_behind("gateway-1", told=1)
     progress.change_heard("gateway-1", 1)
     assert not progress.is_behind("gateway-1", told=2)
 
 
 def test_a_list_that_is_older_than_a_change_is_not_taken_for_the_truth():
-    progress = WorkProgress()
+    progress = WorkGapDetector()
     progress.change_heard("gateway-1", 5)
     assert not progress.all_heard("gateway-1", 4)
     assert progress.all_heard("gateway-1", 5)
 
 
 def test_a_gateway_that_starts_again_is_counted_from_the_beginning():
-    progress = WorkProgress()
+    progress = WorkGapDetector()
     assert progress.all_heard("gateway-1", 70)
     progress.forget("gateway-1")
     progress.change_heard("gateway-1", 1)
@@ -48,7 +48,7 @@
 @settings(derandomize=True, deadline=None)
 @given(order=st.permutations(range(1, 8)), lost=st.sets(st.integers(1, 7)))
 def test_a_gap_is_seen_in_any_order_exactly_where_a_change_was_lost(order, lost):
-    progress = WorkProgress()
+    progress = WorkGapDetector()
     for number in order:
         if number not in lost:
             progress.change_heard("gateway-1", number)
