--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -90,7 +90,7 @@
     idle_seconds: float = 15.0
 
 
-class RoutedCustomer(NamedTuple):
+class GatewayCustomer(NamedTuple):
     """Name a customer with the keys that its callers send."""
 
     name: CustomerName
@@ -106,4 +106,4 @@
     routes: tuple[Route, ...] = ()
     services: tuple[ServiceConfiguration, ...] = ()
     limits: CallerLimits = CallerLimits()
-    customers: tuple[RoutedCustomer, ...] = ()
+    customers: tuple[GatewayCustomer, ...] = ()
--- a/packages/core/src/cowslipshelf_core/internal/gateway/route_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/route_table.py
@@ -6,9 +6,9 @@
 
 from cowslipshelf_core.identifiers import ServiceName
 from cowslipshelf_core.internal.gateway.configuration import (
+    GatewayCustomer,
     Route,
     RouteConfiguration,
-    RoutedCustomer,
     ServiceConfiguration,
 )
 
@@ -19,7 +19,7 @@
 
     configuration: RouteConfiguration
     routes: dict[tuple[str, str], Route]
-    customers: dict[str, RoutedCustomer]
+    customers: dict[str, GatewayCustomer]
     services: dict[ServiceName, ServiceConfiguration]
 
     @classmethod
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.dialect import CallerFacts
-from cowslipshelf_core.gateway import Route, RoutedCustomer, RouteTable
+from cowslipshelf_core.gateway import GatewayCustomer, Route, RouteTable
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_host.logs import part_logger
@@ -30,7 +30,7 @@
     """Be a request that the configuration in force allows."""
 
     route: Route
-    customer: RoutedCustomer | None
+    customer: GatewayCustomer | None
 
 
 class Denied(NamedTuple):
--- a/tests/cover/gateway/test_behind.py
+++ b/tests/cover/gateway/test_behind.py
@@ -12,7 +12,7 @@
 
 from common.gateway_samples import GATEWAY_SETTINGS, configuration, route
 from cowslipshelf_adapter.wire import MachinesDialect
-from cowslipshelf_core.gateway import RoutedCustomer
+from cowslipshelf_core.gateway import GatewayCustomer
 from cowslipshelf_core.identifiers import ConfigurationVersion, DataCentre, Epoch
 from cowslipshelf_core.messages import PeerAlive, RoutesDocument
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
@@ -26,7 +26,7 @@
     route(prefix="/old/", public=True),
     route(prefix="/new/"),
     version=2,
-    customers=(RoutedCustomer("c", ("key-2",)),),
+    customers=(GatewayCustomer("c", ("key-2",)),),
 )
 DEADLINE_MS = b"1200"
 """A quarter of it is the time for which a request waits to learn."""
@@ -104,7 +104,7 @@
 
 def test_a_key_that_a_known_later_version_may_add_is_awaited():
     """A gateway that denies at once, asked with a key of the later version."""
-    older = NEW._replace(version=1, customers=(RoutedCustomer("c", ("key-1",)),))
+    older = NEW._replace(version=1, customers=(GatewayCustomer("c", ("key-1",)),))
     answer, _ = asked(view_with(older, heard=1), "/new/x")
     assert answer.status == 401
     answer, _ = asked(view_with(older, heard=2), "/new/x", comes=NEW)
--- a/tests/cover/gateway_core/test_route_table.py
+++ b/tests/cover/gateway_core/test_route_table.py
@@ -8,7 +8,7 @@
 
 from common.gateway_samples import configuration, route
 from cowslipshelf_core.gateway import (
-    RoutedCustomer,
+    GatewayCustomer,
     RouteTable,
     WeightedService,
     choose_service,
@@ -51,7 +51,7 @@
         (configuration(route(prefix="/a")), "slash"),
         (
             configuration(
-                customers=(RoutedCustomer("a", ("k",)), RoutedCustomer("b", ("k",)))
+                customers=(GatewayCustomer("a", ("k",)), GatewayCustomer("b", ("k",)))
             ),
             "share",
         ),
@@ -63,7 +63,7 @@
 
 def test_the_reason_does_not_show_the_key_that_is_shared():
     broken = configuration(
-        customers=(RoutedCustomer("a", ("secret",)), RoutedCustomer("b", ("secret",)))
+        customers=(GatewayCustomer("a", ("secret",)), GatewayCustomer("b", ("secret",)))
     )
     assert "secret" not in configuration_problem(broken)
 
@@ -71,7 +71,7 @@
 def test_a_customer_may_list_a_key_twice():
     assert (
         configuration_problem(
-            configuration(customers=(RoutedCustomer("a", ("k", "k")),))
+            configuration(customers=(GatewayCustomer("a", ("k", "k")),))
         )
         is None
     )
