--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -90,7 +90,7 @@
     choose_upstream,
 )
 from cowslipshelf_core.internal.gateway.upstream_health import (
-    HealthSeen,
+    HealthEstimate,
     UpstreamHealth,
 )
 from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
@@ -110,7 +110,7 @@
     "EnginesChosen",
     "FetchWork",
     "Free",
-    "HealthSeen",
+    "HealthEstimate",
     "HeartbeatSeen",
     "HeartbeatsSeen",
     "HeldBack",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
@@ -17,7 +17,7 @@
 MOST_SLOWNESS = 10.0
 
 
-class HealthSeen(NamedTuple):
+class HealthEstimate(NamedTuple):
     """Be what is believed of an upstream."""
 
     slowness: float
@@ -71,12 +71,12 @@
         record.seen_at = now
         return record
 
-    def seen(self, upstream_id: UpstreamId, now: float) -> HealthSeen:
+    def seen(self, upstream_id: UpstreamId, now: float) -> HealthEstimate:
         """Return what is believed of an upstream now."""
         if upstream_id not in self.records:
-            return HealthSeen(1.0, 0.0, False)
+            return HealthEstimate(1.0, 0.0, False)
         record = self.fade(upstream_id, now)
-        return HealthSeen(record.slowness, record.failing, now < record.avoid_until)
+        return HealthEstimate(record.slowness, record.failing, now < record.avoid_until)
 
     def forget(self, upstream_id: UpstreamId) -> None:
         """Forget an upstream that has gone."""
