--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -22,9 +22,9 @@
     MemoryLeaseConfig,
 )
 from cowslipshelf_core.internal.gateway.messages import (
-    EndTold,
     EnginePart,
     EngineWork,
+    ExitReport,
     FetchWork,
     HeartbeatsSeen,
     HeldWork,
@@ -101,7 +101,7 @@
     "AnswerTimes",
     "CallerLimits",
     "Candidate",
-    "EndTold",
+    "ExitReport",
     "EngineTracker",
     "EngineModel",
     "EnginePart",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -79,7 +79,7 @@
     """Counts its ends, from zero on, where it keeps its id over them."""
 
 
-class EndTold(NamedTuple):
+class ExitReport(NamedTuple):
     """Tell of an end under a request."""
 
     end: UpstreamEnd
@@ -92,7 +92,7 @@
     """Tell all that a gateway knows of a request under which upstreams ended."""
 
     digest: RequestDigest
-    ends: tuple[EndTold, ...]
+    ends: tuple[ExitReport, ...]
     trials: int
     """Trials of it that were begun."""
     over: int
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -11,7 +11,7 @@
 
 from cowslipshelf_core.identifiers import InstanceId, UpstreamId
 from cowslipshelf_core.internal.gateway.messages import (
-    EndTold,
+    ExitReport,
     SuspectRequestTold,
     UpstreamEnd,
 )
@@ -124,7 +124,8 @@
     def told(self, digest: RequestDigest, now: float) -> SuspectRequestTold:
         """Write what is known of it for another gateway."""
         ends = tuple(
-            EndTold(end, now - at, end in self.cleared) for end, at in self.ends.items()
+            ExitReport(end, now - at, end in self.cleared)
+            for end, at in self.ends.items()
         )
         age = now - self.tried_at if self.trials else 0.0
         return SuspectRequestTold(
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -10,7 +10,7 @@
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.gateway import (
     Alone,
-    EndTold,
+    ExitReport,
     HeldBack,
     SuspectRequestsTold,
     SuspectRequestTold,
@@ -163,7 +163,7 @@
 
 
 def told(*upstreams: str, age: float = 1.0) -> SuspectRequestTold:
-    ends = tuple(EndTold(UpstreamEnd(each, 0), age, False) for each in upstreams)
+    ends = tuple(ExitReport(UpstreamEnd(each, 0), age, False) for each in upstreams)
     return SuspectRequestTold(DIGEST, ends, 0, 0, 0.0, 0)
 
 
