--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -31,7 +31,7 @@
     Relayed,
     SuspectRequestsTold,
     SuspectRequestTold,
-    UpstreamEnd,
+    UpstreamExit,
     WorkChanged,
     WorkHeld,
 )
@@ -144,7 +144,7 @@
     "ServiceConfiguration",
     "SuspectRequestTold",
     "SuspectRequestsTold",
-    "UpstreamEnd",
+    "UpstreamExit",
     "UpstreamHealth",
     "UpstreamHeartbeat",
     "UpstreamPhase",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -71,7 +71,7 @@
     """Counts the sender's changes, from one on."""
 
 
-class UpstreamEnd(NamedTuple):
+class UpstreamExit(NamedTuple):
     """Name one end of an upstream's process."""
 
     upstream_id: UpstreamId
@@ -82,7 +82,7 @@
 class ExitReport(NamedTuple):
     """Tell of an end under a request."""
 
-    end: UpstreamEnd
+    end: UpstreamExit
     age_seconds: float
     cleared: bool
     """Whether the request was answered whole after it."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -13,7 +13,7 @@
 from cowslipshelf_core.internal.gateway.messages import (
     ExitReport,
     SuspectRequestTold,
-    UpstreamEnd,
+    UpstreamExit,
 )
 from cowslipshelf_core.internal.gateway.request_digest import (
     RequestDigest,
@@ -64,9 +64,9 @@
 
     changed_at: float
     """Time of the last change that is worth remembering."""
-    ends: dict[UpstreamEnd, float] = field(default_factory=dict)
+    ends: dict[UpstreamExit, float] = field(default_factory=dict)
     """The time of each end."""
-    cleared: set[UpstreamEnd] = field(default_factory=set)
+    cleared: set[UpstreamExit] = field(default_factory=set)
     """Ends before a whole answer."""
     trials: int = 0
     """Trials that were begun."""
@@ -76,7 +76,7 @@
     probes: int = 0
     """Trials that were begun while it was held back."""
 
-    def open_ends(self) -> list[UpstreamEnd]:
+    def open_ends(self) -> list[UpstreamExit]:
         """List the ends that speak against it."""
         return [end for end in self.ends if end not in self.cleared]
 
@@ -95,7 +95,7 @@
             return False
         if len(self.ends) >= MOST_ENDS:
             return False
-        self.ends[UpstreamEnd(upstream_id, len(same))] = at
+        self.ends[UpstreamExit(upstream_id, len(same))] = at
         return True
 
     def clear(self) -> bool:
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -14,7 +14,7 @@
     HeldBack,
     SuspectRequestsTold,
     SuspectRequestTold,
-    UpstreamEnd,
+    UpstreamExit,
     request_digest,
 )
 from cowslipshelf_core.messages import RoutesDocument
@@ -163,7 +163,7 @@
 
 
 def told(*upstreams: str, age: float = 1.0) -> SuspectRequestTold:
-    ends = tuple(ExitReport(UpstreamEnd(each, 0), age, False) for each in upstreams)
+    ends = tuple(ExitReport(UpstreamExit(each, 0), age, False) for each in upstreams)
     return SuspectRequestTold(DIGEST, ends, 0, 0, 0.0, 0)
 
 
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -18,7 +18,7 @@
     RequestDigest,
     RequestQuarantine,
     SuspectRequestTold,
-    UpstreamEnd,
+    UpstreamExit,
     problem_of,
     request_digest,
 )
@@ -184,7 +184,7 @@
 
 
 GOOD = SuspectRequestTold(
-    FATAL, (ExitReport(UpstreamEnd("u-1", 0), 1.0, False),), 1, 0, 1.0, 0
+    FATAL, (ExitReport(UpstreamExit("u-1", 0), 1.0, False),), 1, 0, 1.0, 0
 )
 
 
@@ -194,9 +194,9 @@
         GOOD._replace(digest=RequestDigest("")),
         GOOD._replace(digest=RequestDigest("x" * 32)),
         GOOD._replace(ends=GOOD.ends * 17),
-        GOOD._replace(ends=(ExitReport(UpstreamEnd("u-1", 0), -1.0, False),)),
-        GOOD._replace(ends=(ExitReport(UpstreamEnd("u-1", -1), 1.0, False),)),
-        GOOD._replace(ends=(ExitReport(UpstreamEnd("u-1", 0), math.nan, False),)),
+        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", 0), -1.0, False),)),
+        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", -1), 1.0, False),)),
+        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", 0), math.nan, False),)),
         GOOD._replace(trial_age_seconds=math.inf),
         GOOD._replace(trials=2**40),
         GOOD._replace(probes=-1),
