--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -88,7 +88,7 @@
     """Whether the request was answered whole after it."""
 
 
-class SuspectRequestTold(NamedTuple):
+class SuspectRequestReport(NamedTuple):
     """Tell all that a gateway knows of a request under which upstreams ended."""
 
     digest: RequestDigest
@@ -105,7 +105,7 @@
 class SuspectRequestsTold(Message, frozen=True):
     """Tell of requests under which upstreams ended."""
 
-    suspects: tuple[SuspectRequestTold, ...]
+    suspects: tuple[SuspectRequestReport, ...]
 
 
 class Relayed(Message, frozen=True):
--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Self
 
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.gateway.messages import SuspectRequestTold
+from cowslipshelf_core.internal.gateway.messages import SuspectRequestReport
 from cowslipshelf_core.internal.gateway.request_digest import RequestDigest
 from cowslipshelf_core.internal.gateway.suspect_request import (
     QuarantineConfig,
@@ -141,12 +141,12 @@
 
     def told(
         self, digests: Iterable[RequestDigest], now: float
-    ) -> tuple[SuspectRequestTold, ...]:
+    ) -> tuple[SuspectRequestReport, ...]:
         """Write what is known of some requests for other gateways."""
         known = [digest for digest in digests if digest in self.suspects]
         return tuple(self.suspects[digest].told(digest, now) for digest in known)
 
-    def take(self, told: SuspectRequestTold, now: float) -> bool:
+    def take(self, told: SuspectRequestReport, now: float) -> bool:
         """Take in word of a request; return whether any of it is news."""
         suspect = self.suspects.setdefault(told.digest, SuspectRequest(now))
         news = suspect.take(told, now)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -12,7 +12,7 @@
 from cowslipshelf_core.identifiers import InstanceId, UpstreamId
 from cowslipshelf_core.internal.gateway.messages import (
     ExitReport,
-    SuspectRequestTold,
+    SuspectRequestReport,
     UpstreamExit,
 )
 from cowslipshelf_core.internal.gateway.request_digest import (
@@ -121,18 +121,18 @@
         spread = 1.0 + config.hold_spread * share_of(config.instance, digest)
         return self.last_event() + config.hold_seconds * growth * spread
 
-    def told(self, digest: RequestDigest, now: float) -> SuspectRequestTold:
+    def told(self, digest: RequestDigest, now: float) -> SuspectRequestReport:
         """Write what is known of it for another gateway."""
         ends = tuple(
             ExitReport(end, now - at, end in self.cleared)
             for end, at in self.ends.items()
         )
         age = now - self.tried_at if self.trials else 0.0
-        return SuspectRequestTold(
+        return SuspectRequestReport(
             digest, ends, self.trials, self.over, age, self.probes
         )
 
-    def take(self, told: SuspectRequestTold, now: float) -> bool:
+    def take(self, told: SuspectRequestReport, now: float) -> bool:
         """Take in what another gateway knows of it; return whether any of it is news.
 
         Of two times of one event the earlier one counts: each message adds its way.
@@ -161,7 +161,7 @@
     return drawn / 256**SHARE_BYTES
 
 
-def problem_of(told: SuspectRequestTold) -> str | None:
+def problem_of(told: SuspectRequestReport) -> str | None:
     """Say what is wrong with word of another gateway, if anything is."""
     if not is_request_digest(told.digest):
         return "the digest is none"
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cowslipshelf_core.gateway import SuspectRequestsTold, SuspectRequestTold
+from cowslipshelf_core.gateway import SuspectRequestReport, SuspectRequestsTold
 from cowslipshelf_daemon.internal.gateway.hint_file import HintFile
 
 FILE_NAME = "suspects"
@@ -46,7 +46,7 @@
         self.begin_write(SuspectRequestsDocument(time.time(), told), changes)
 
 
-def aged(suspect: SuspectRequestTold, seconds: float) -> SuspectRequestTold:
+def aged(suspect: SuspectRequestReport, seconds: float) -> SuspectRequestReport:
     """Return word of a request as it would be told some seconds later."""
     ends = tuple(
         each._replace(age_seconds=each.age_seconds + seconds) for each in suspect.ends
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -13,8 +13,8 @@
     QuarantineConfig,
     RequestDigest,
     RequestQuarantine,
+    SuspectRequestReport,
     SuspectRequestsTold,
-    SuspectRequestTold,
     Verdict,
     problem_of,
 )
@@ -165,7 +165,7 @@
                 continue
             self.take_one(sender, told)
 
-    def take_one(self, sender: InstanceId, told: SuspectRequestTold) -> None:
+    def take_one(self, sender: InstanceId, told: SuspectRequestReport) -> None:
         """Take in word of one request."""
         with self.lock:
             before = self.quarantine.ends_of(told.digest)
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -12,8 +12,8 @@
     Alone,
     ExitReport,
     HeldBack,
+    SuspectRequestReport,
     SuspectRequestsTold,
-    SuspectRequestTold,
     UpstreamExit,
     request_digest,
 )
@@ -162,12 +162,12 @@
     assert gateway.suspects.quarantine.verdict(DIGEST, time.monotonic()) == Alone(False)
 
 
-def told(*upstreams: str, age: float = 1.0) -> SuspectRequestTold:
+def told(*upstreams: str, age: float = 1.0) -> SuspectRequestReport:
     ends = tuple(ExitReport(UpstreamExit(each, 0), age, False) for each in upstreams)
-    return SuspectRequestTold(DIGEST, ends, 0, 0, 0.0, 0)
+    return SuspectRequestReport(DIGEST, ends, 0, 0, 0.0, 0)
 
 
-def written(suspect: SuspectRequestTold, at: float) -> SuspectRequestsDocument:
+def written(suspect: SuspectRequestReport, at: float) -> SuspectRequestsDocument:
     return SuspectRequestsDocument(at, SuspectRequestsTold((suspect,)))
 
 
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -17,7 +17,7 @@
     QuarantineConfig,
     RequestDigest,
     RequestQuarantine,
-    SuspectRequestTold,
+    SuspectRequestReport,
     UpstreamExit,
     problem_of,
     request_digest,
@@ -183,7 +183,7 @@
     assert held.worst(5) == {FATAL, OTHER}
 
 
-GOOD = SuspectRequestTold(
+GOOD = SuspectRequestReport(
     FATAL, (ExitReport(UpstreamExit("u-1", 0), 1.0, False),), 1, 0, 1.0, 0
 )
 
@@ -220,7 +220,7 @@
 def test_gateways_that_heard_the_same_words_believe_the_same(steps, random):
     """Guards against gateways that never agree which requests are held back."""
     gateways = [quarantine() for _ in range(4)]
-    words: list[SuspectRequestTold] = []
+    words: list[SuspectRequestReport] = []
     for now, (step, number, upstream) in enumerate(steps):
         gateway = gateways[number]
         match step:
@@ -253,7 +253,7 @@
 
     arrives: float
     to: int
-    told: SuspectRequestTold
+    told: SuspectRequestReport
 
 
 WAY_SECONDS = 0.3
