--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -83,7 +83,7 @@
 from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
 from cowslipshelf_core.internal.gateway.suspect_request import (
     QuarantineConfig,
-    problem_of,
+    suspect_report_problem,
 )
 from cowslipshelf_core.internal.gateway.upstream_choice import (
     UpstreamCandidate,
@@ -163,7 +163,7 @@
     "packed",
     "pass_seconds",
     "place_prompt",
-    "problem_of",
+    "suspect_report_problem",
     "read_chunks",
     "read_seconds",
     "request_digest",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -161,7 +161,7 @@
     return drawn / 256**SHARE_BYTES
 
 
-def problem_of(told: SuspectRequestReport) -> str | None:
+def suspect_report_problem(told: SuspectRequestReport) -> str | None:
     """Say what is wrong with word of another gateway, if anything is."""
     if not is_request_digest(told.digest):
         return "the digest is none"
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -16,7 +16,7 @@
     SuspectRequestReport,
     SuspectRequestsTold,
     Verdict,
-    problem_of,
+    suspect_report_problem,
 )
 from cowslipshelf_core.identifiers import CustomerName, InstanceId, UpstreamId
 from cowslipshelf_host.logs import part_logger
@@ -159,7 +159,7 @@
     def take(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
         """Take in what another process tells, or what this one knew before."""
         for told in message.suspects[:MOST_TAKEN]:
-            problem = problem_of(told)
+            problem = suspect_report_problem(told)
             if problem is not None:
                 LOG.warning("Word of a suspect refused.", peer=sender, problem=problem)
                 continue
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -19,8 +19,8 @@
     RequestQuarantine,
     SuspectRequestReport,
     UpstreamExit,
-    problem_of,
     request_digest,
+    suspect_report_problem,
 )
 
 CONFIG = QuarantineConfig("gateway-1", hold_spread=0.0)
@@ -203,8 +203,8 @@
     ],
 )
 def test_odd_word_of_another_gateway_is_refused_with_its_reason(told):
-    assert problem_of(GOOD) is None
-    assert problem_of(told)
+    assert suspect_report_problem(GOOD) is None
+    assert suspect_report_problem(told)
 
 
 UPSTREAMS = st.sampled_from(["u-1", "u-2", "u-3", "u-4"])
