--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -8,7 +8,7 @@
 from cowslipshelf_cli.internal.commands import Losses
 from cowslipshelf_cli.internal.failures import CommandFailedError
 from cowslipshelf_cli.internal.writing import Writer
-from cowslipshelf_core.gateway import PromptSize, worth_of
+from cowslipshelf_core.gateway import PromptSize, answer_value
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
 LATE_LOSS = 0.75
@@ -94,7 +94,7 @@
         return Loss(NO_ROUTE, 1.0, 1.0, cause_without_attempt(own))
     first = begun[0]
     whole = Loss(
-        str(first.get("route")), worth_of(PromptSize(first.get("tokens") or 0, 0))
+        str(first.get("route")), answer_value(PromptSize(first.get("tokens") or 0, 0))
     )
     ended = fields_of(own, ENDED)
     if not ended:
--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -45,10 +45,10 @@
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
     admission_priority,
+    answer_value,
     pass_seconds,
     read_chunks,
     read_seconds,
-    worth_of,
 )
 from cowslipshelf_core.internal.gateway.prompt_placement import (
     EnginesChosen,
@@ -168,5 +168,5 @@
     "read_seconds",
     "request_digest",
     "unpacked",
-    "worth_of",
+    "answer_value",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -34,7 +34,7 @@
     attempt_id: AttemptId
     parts: tuple[EnginePart, ...]
     value: float
-    """What is lost if it is late; see `worth_of`."""
+    """What is lost if it is late; see `answer_value`."""
     objective_seconds: float
     """Time to the first event that is still on time."""
     pause_seconds: float
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -39,7 +39,7 @@
     return model.steps_per_pass * step
 
 
-def worth_of(size: PromptSize) -> float:
+def answer_value(size: PromptSize) -> float:
     """Return what an answer is taken to be worth, in short questions.
 
     Operators give no worth. Longer prompts are worth more to both users, nearly in
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -31,9 +31,9 @@
     writer_share,
 )
 from cowslipshelf_core.internal.gateway.prompt_cost import (
+    answer_value,
     read_chunks,
     read_seconds,
-    worth_of,
 )
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
@@ -105,7 +105,7 @@
     work = EngineWork(
         asked.attempt_id,
         (),
-        worth_of(asked.size),
+        answer_value(asked.size),
         asked.objective_seconds,
         asked.pause_seconds or UNKNOWN_PAUSE_SECONDS,
     )
