--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -15,7 +15,7 @@
 from cowslipshelf_core.internal.gateway.configuration_checks import (
     configuration_problem,
 )
-from cowslipshelf_core.internal.gateway.engine_forecast import leaves_after
+from cowslipshelf_core.internal.gateway.engine_forecast import abandon_seconds
 from cowslipshelf_core.internal.gateway.engine_tracker import EngineTracker, EngineView
 from cowslipshelf_core.internal.gateway.memory_lease import (
     MemoryLease,
@@ -159,7 +159,7 @@
     "choose_service",
     "choose_upstream",
     "configuration_problem",
-    "leaves_after",
+    "abandon_seconds",
     "packed",
     "pass_seconds",
     "place_prompt",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
@@ -100,7 +100,7 @@
     It may make a pause that is too long, or the caller leave. One that is late already
     keeps a late answer's worth, and can only lose that.
     """
-    silence = leaves_after(work.objective_seconds, work.pause_seconds)
+    silence = abandon_seconds(work.objective_seconds, work.pause_seconds)
     leaves = pass_time > LEAVE_FROM * silence
     if late:
         return LATE_SHARE if leaves else 0.0
@@ -108,7 +108,7 @@
     return delayed + (LOST_COST if leaves else 0.0)
 
 
-def leaves_after(objective_seconds: float, pause_seconds: float) -> float:
+def abandon_seconds(objective_seconds: float, pause_seconds: float) -> float:
     """Return the silence after which a caller leaves, in seconds."""
     return max(
         LEAVE_SECONDS,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.gateway import EngineModel, PromptSize, leaves_after
+from cowslipshelf_core.gateway import EngineModel, PromptSize, abandon_seconds
 
 
 class Lengths(NamedTuple):
@@ -38,7 +38,7 @@
     @property
     def leave_seconds(self) -> float:
         """Return the silence after which a caller leaves."""
-        return leaves_after(self.objective_seconds, self.pause_seconds)
+        return abandon_seconds(self.objective_seconds, self.pause_seconds)
 
 
 class Fleet(NamedTuple):
