--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -47,7 +47,7 @@
     admission_priority,
     answer_value,
     pass_seconds,
-    read_chunks,
+    prefill_chunks,
     read_seconds,
 )
 from cowslipshelf_core.internal.gateway.prompt_placement import (
@@ -164,7 +164,7 @@
     "pass_seconds",
     "place_prompt",
     "suspect_report_problem",
-    "read_chunks",
+    "prefill_chunks",
     "read_seconds",
     "request_digest",
     "unpacked",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -24,7 +24,7 @@
     return whole / parts
 
 
-def read_chunks(model: EngineModel, tokens: int, parts: int = 1) -> int:
+def prefill_chunks(model: EngineModel, tokens: int, parts: int = 1) -> int:
     """Return in how many pieces a part is read."""
     return max(1, math.ceil(tokens / parts / model.chunk_tokens))
 
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -32,7 +32,7 @@
 )
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     answer_value,
-    read_chunks,
+    prefill_chunks,
     read_seconds,
 )
 
@@ -189,7 +189,9 @@
 def part_of(placing: Placing, parts: int) -> Part:
     """Return an even part of the prompt."""
     model, tokens = placing.model, placing.asked.size.prompt_tokens
-    return Part(read_seconds(model, tokens, parts), read_chunks(model, tokens, parts))
+    return Part(
+        read_seconds(model, tokens, parts), prefill_chunks(model, tokens, parts)
+    )
 
 
 def best_writer(placing: Placing, part: Part, engines: list[Seen]) -> Share:
