--- a/benchmarks/configuration_reading.py
+++ b/benchmarks/configuration_reading.py
@@ -15,7 +15,7 @@
 
 from common.slow_links import many_routes
 from cowslipshelf_adapter.configuration import ConfigurationReader
-from cowslipshelf_core.gateway import RouteTable, packed, unpacked
+from cowslipshelf_core.gateway import RouteTable, compress_configuration, unpacked
 
 ROUTES = (250, 1000, 2000, 4450, 8000)
 ROUNDS = 7
@@ -43,7 +43,7 @@
         RouteTable.from_configuration(configuration)
         in_force.append(time.perf_counter() - began)
 
-    small = packed(after)
+    small = compress_configuration(after)
     in_force: list[float] = []
     for _ in range(ROUNDS):
         accepted()
@@ -53,7 +53,7 @@
         "packed_kb": len(small) / 1e3,
         "read_whole_ms": least_milliseconds(lambda: ConfigurationReader().read(after)),
         "read_changed_ms": min(in_force) * 1e3,
-        "pack_ms": least_milliseconds(lambda: packed(after)),
+        "pack_ms": least_milliseconds(lambda: compress_configuration(after)),
     }
 
 
--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -1,7 +1,10 @@
 """Offer what decides on requests that are served by route."""
 
 from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
-from cowslipshelf_core.internal.gateway.compression import packed, unpacked
+from cowslipshelf_core.internal.gateway.compression import (
+    compress_configuration,
+    unpacked,
+)
 from cowslipshelf_core.internal.gateway.configuration import (
     CallerLimits,
     EngineModel,
@@ -160,7 +163,7 @@
     "choose_upstream",
     "configuration_problem",
     "abandon_seconds",
-    "packed",
+    "compress_configuration",
     "pass_seconds",
     "place_prompt",
     "suspect_report_problem",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
@@ -14,7 +14,7 @@
 """Bound on what is unpacked: twice the largest configuration that is taken."""
 
 
-def packed(body: bytes) -> bytes:
+def compress_configuration(body: bytes) -> bytes:
     """Return a configuration as it travels and is held, an eleventh of its size."""
     return MARK + zlib.compress(body, FASTEST)
 
--- a/packages/core/src/cowslipshelf_core/messages.py
+++ b/packages/core/src/cowslipshelf_core/messages.py
@@ -108,7 +108,7 @@
     digest: str
     """Equal for equal contents, whatever their order and white space."""
     body: bytes
-    """What the operator sent, packed; see `packed`."""
+    """What the operator sent, packed; see `compress_configuration`."""
 
 
 class FetchRoutes(Message, frozen=True):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -17,7 +17,11 @@
     TakeHeartbeat,
     TakeLeaving,
 )
-from cowslipshelf_core.gateway import UpstreamHeartbeat, packed, unpacked
+from cowslipshelf_core.gateway import (
+    UpstreamHeartbeat,
+    compress_configuration,
+    unpacked,
+)
 from cowslipshelf_core.identifiers import UpstreamName
 from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
@@ -211,4 +215,6 @@
 
 def document_packed(document: RoutesDocument) -> RoutesDocument:
     """Return a configuration as it travels and is held."""
-    return RoutesDocument(document.version, document.digest, packed(document.body))
+    return RoutesDocument(
+        document.version, document.digest, compress_configuration(document.body)
+    )
--- a/tests/cover/gateway_core/test_compression.py
+++ b/tests/cover/gateway_core/test_compression.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_core.gateway import packed, unpacked
+from cowslipshelf_core.gateway import compress_configuration, unpacked
 
 
 @given(st.binary())
 def test_what_was_packed_is_unpacked_to_the_letter(body):
-    assert unpacked(packed(body)).ok_value == body
+    assert unpacked(compress_configuration(body)).ok_value == body
 
 
 def test_what_an_older_version_holds_as_written_is_still_read():
@@ -19,7 +19,7 @@
 
 @given(st.binary(min_size=1), st.data())
 def test_what_is_cut_short_is_never_taken_for_whole(body, data):
-    small = packed(body)
+    small = compress_configuration(body)
     kept = data.draw(st.integers(2, len(small) - 1))
     assert unpacked(small[:kept]).is_err()
 
@@ -41,4 +41,4 @@
         b'{"name":"r-%d","path_prefix":"/%d/","kind":"stream"}' % (n, n)
         for n in range(1000)
     )
-    assert len(packed(routes)) * 8 < len(routes)
+    assert len(compress_configuration(routes)) * 8 < len(routes)
