--- a/benchmarks/configuration_reading.py
+++ b/benchmarks/configuration_reading.py
@@ -15,7 +15,11 @@
 
 from common.slow_links import many_routes
 from cowslipshelf_adapter.configuration import ConfigurationReader
-from cowslipshelf_core.gateway import RouteTable, compress_configuration, unpacked
+from cowslipshelf_core.gateway import (
+    RouteTable,
+    compress_configuration,
+    decompress_configuration,
+)
 
 ROUTES = (250, 1000, 2000, 4450, 8000)
 ROUNDS = 7
@@ -39,7 +43,9 @@
         reader = ConfigurationReader()
         reader.read_accepted(before)
         began = time.perf_counter()
-        configuration = reader.read_accepted(unpacked(small).ok_value).ok_value
+        configuration = reader.read_accepted(
+            decompress_configuration(small).ok_value
+        ).ok_value
         RouteTable.from_configuration(configuration)
         in_force.append(time.perf_counter() - began)
 
--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -3,7 +3,7 @@
 from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
 from cowslipshelf_core.internal.gateway.compression import (
     compress_configuration,
-    unpacked,
+    decompress_configuration,
 )
 from cowslipshelf_core.internal.gateway.configuration import (
     CallerLimits,
@@ -170,6 +170,6 @@
     "prefill_chunks",
     "read_seconds",
     "request_digest",
-    "unpacked",
+    "decompress_configuration",
     "answer_value",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
@@ -19,7 +19,7 @@
     return MARK + zlib.compress(body, FASTEST)
 
 
-def unpacked(data: bytes) -> Result[bytes, str]:
+def decompress_configuration(data: bytes) -> Result[bytes, str]:
     """Return a configuration as its operator wrote it, or why it can't be read."""
     if not data.startswith(MARK):
         return Ok(data)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -20,7 +20,7 @@
 from cowslipshelf_core.gateway import (
     UpstreamHeartbeat,
     compress_configuration,
-    unpacked,
+    decompress_configuration,
 )
 from cowslipshelf_core.identifiers import UpstreamName
 from cowslipshelf_core.messages import RoutesDocument
@@ -156,7 +156,7 @@
 
     async def show(self, document: RoutesDocument, responder: Responder) -> None:
         """Answer with a configuration as its operator wrote it."""
-        match unpacked(document.body):
+        match decompress_configuration(document.body):
             case Ok(body):
                 await responder.whole(DONE, [JSON], body)
             case Err(problem):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from cowslipshelf_core.dialect import Dialect
-from cowslipshelf_core.gateway import RoutesFetch, unpacked
+from cowslipshelf_core.gateway import RoutesFetch, decompress_configuration
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
@@ -99,7 +99,9 @@
         """Put a newer configuration in force and tell of it; return whether it is."""
         if document.version <= self.view.document.version:
             return False
-        read = unpacked(document.body).and_then(self.dialect.read_accepted)
+        read = decompress_configuration(document.body).and_then(
+            self.dialect.read_accepted
+        )
         if read.is_err():
             # It was checked before it was accepted; only a gateway of another
             # version can disagree, and it keeps what it has.
