--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -96,7 +96,10 @@
     HealthEstimate,
     UpstreamHealth,
 )
-from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
+from cowslipshelf_core.internal.gateway.upstream_start import (
+    START_UNKNOWN,
+    UpstreamStart,
+)
 from cowslipshelf_core.internal.gateway.work_gaps import WorkGapDetector
 
 __all__ = [
@@ -123,7 +126,7 @@
     "ListedSuspect",
     "MemoryLease",
     "MemoryLeaseConfig",
-    "NOT_TOLD",
+    "START_UNKNOWN",
     "NoEngine",
     "PeerTable",
     "PeerTableConfig",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -25,7 +25,10 @@
     UpstreamId,
     UpstreamName,
 )
-from cowslipshelf_core.internal.gateway.upstream_start import NOT_TOLD, UpstreamStart
+from cowslipshelf_core.internal.gateway.upstream_start import (
+    START_UNKNOWN,
+    UpstreamStart,
+)
 
 NUMBER_OF_LEAVING = 1 << 62
 """Sequence number of an upstream that has left: no heartbeat can be newer."""
@@ -68,7 +71,7 @@
 
     heartbeat: UpstreamHeartbeat
     age_seconds: float
-    began_ms: int = NOT_TOLD
+    began_ms: int = START_UNKNOWN
 
     @classmethod
     def from_heartbeat(cls, heartbeat: UpstreamHeartbeat, age_seconds: float) -> Self:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
@@ -11,7 +11,7 @@
 
 MARK = "#"
 """Parts the name from the start; no name that arrives in a path can hold it."""
-NOT_TOLD = 0
+START_UNKNOWN = 0
 """Stands for the time of a start of which the upstream said nothing."""
 
 
@@ -19,7 +19,7 @@
     """Be one start of an upstream; starts of one upstream compare by their time."""
 
     name: UpstreamName
-    began_ms: int = NOT_TOLD
+    began_ms: int = START_UNKNOWN
     """Milliseconds since 1970, by the clock of the upstream's instance."""
 
     @classmethod
@@ -33,11 +33,11 @@
     @property
     def upstream_id(self) -> UpstreamId:
         """Return the id of this start."""
-        if self.began_ms == NOT_TOLD:
+        if self.began_ms == START_UNKNOWN:
             return UpstreamId(self.name)
         return UpstreamId(f"{self.name}{MARK}{self.began_ms}")
 
     @property
     def is_told(self) -> bool:
         """Tell whether the upstream said when it began."""
-        return self.began_ms != NOT_TOLD
+        return self.began_ms != START_UNKNOWN
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -9,7 +9,7 @@
 from typing import Self
 
 from cowslipshelf_core.gateway import (
-    NOT_TOLD,
+    START_UNKNOWN,
     AnswerTimes,
     EngineTracker,
     EngineWork,
@@ -214,7 +214,7 @@
         if known is not None:
             self.forget_if_over(known, seen.of_start, 0.0)
         LOG.info(
-            "Upstream left.", upstream=start.upstream_id, told=began_ms != NOT_TOLD
+            "Upstream left.", upstream=start.upstream_id, told=began_ms != START_UNKNOWN
         )
         return seen
 
