--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -10,9 +10,9 @@
     Helper,
     MemoryTicket,
     OutgoingRequest,
+    ParsedConfiguration,
     PutConfiguration,
     ReadConfiguration,
-    ReadDocument,
     TakeHeartbeat,
     TakeLeaving,
 )
@@ -29,7 +29,7 @@
     "OutgoingRequest",
     "PutConfiguration",
     "ReadConfiguration",
-    "ReadDocument",
+    "ParsedConfiguration",
     "TakeHeartbeat",
     "TakeLeaving",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -104,7 +104,7 @@
 ControlCall = PutConfiguration | ReadConfiguration | TakeHeartbeat | TakeLeaving
 
 
-class ReadDocument(NamedTuple):
+class ParsedConfiguration(NamedTuple):
     """Be a configuration in both of its forms."""
 
     document: RoutesDocument
@@ -120,7 +120,7 @@
     def control_call(self, method: str, path: str) -> ControlCall | None:
         """Return what an operator or upstream asks for."""
 
-    def read_configuration(self, body: bytes) -> Result[ReadDocument, str]:
+    def read_configuration(self, body: bytes) -> Result[ParsedConfiguration, str]:
         """Decode a configuration, or say what can't be read in it."""
 
     def read_accepted(self, body: bytes) -> Result[RouteConfiguration, str]:
