--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -13,7 +13,7 @@
     ParsedConfiguration,
     PutConfiguration,
     ReadConfiguration,
-    TakeHeartbeat,
+    RecordHeartbeat,
     TakeLeaving,
 )
 
@@ -30,6 +30,6 @@
     "PutConfiguration",
     "ReadConfiguration",
     "ParsedConfiguration",
-    "TakeHeartbeat",
+    "RecordHeartbeat",
     "TakeLeaving",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeHeartbeat:
+class RecordHeartbeat:
     """Bring an upstream's heartbeat."""
 
     name: UpstreamName
@@ -101,7 +101,7 @@
     name: UpstreamName
 
 
-ControlCall = PutConfiguration | ReadConfiguration | TakeHeartbeat | TakeLeaving
+ControlCall = PutConfiguration | ReadConfiguration | RecordHeartbeat | TakeLeaving
 
 
 class ParsedConfiguration(NamedTuple):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -14,7 +14,7 @@
     Dialect,
     PutConfiguration,
     ReadConfiguration,
-    TakeHeartbeat,
+    RecordHeartbeat,
     TakeLeaving,
 )
 from cowslipshelf_core.gateway import (
@@ -73,7 +73,7 @@
                 await self.put_configuration(request, responder)
             case ReadConfiguration():
                 await self.read_configuration(responder)
-            case TakeHeartbeat(name):
+            case RecordHeartbeat(name):
                 await self.take_heartbeat(name, request, responder)
             case TakeLeaving(name):
                 await self.take_leaving(name, request, responder)
