--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -14,7 +14,7 @@
     PutConfiguration,
     ReadConfiguration,
     RecordHeartbeat,
-    TakeLeaving,
+    RemoveUpstream,
 )
 
 __all__ = [
@@ -31,5 +31,5 @@
     "ReadConfiguration",
     "ParsedConfiguration",
     "RecordHeartbeat",
-    "TakeLeaving",
+    "RemoveUpstream",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -95,13 +95,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeLeaving:
+class RemoveUpstream:
     """Say that an upstream leaves for good."""
 
     name: UpstreamName
 
 
-ControlCall = PutConfiguration | ReadConfiguration | RecordHeartbeat | TakeLeaving
+ControlCall = PutConfiguration | ReadConfiguration | RecordHeartbeat | RemoveUpstream
 
 
 class ParsedConfiguration(NamedTuple):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -15,7 +15,7 @@
     PutConfiguration,
     ReadConfiguration,
     RecordHeartbeat,
-    TakeLeaving,
+    RemoveUpstream,
 )
 from cowslipshelf_core.gateway import (
     UpstreamHeartbeat,
@@ -75,7 +75,7 @@
                 await self.read_configuration(responder)
             case RecordHeartbeat(name):
                 await self.take_heartbeat(name, request, responder)
-            case TakeLeaving(name):
+            case RemoveUpstream(name):
                 await self.take_leaving(name, request, responder)
             case None:
                 await responder.whole(UNKNOWN, [])
--- a/tests/cover/adapter/test_wire.py
+++ b/tests/cover/adapter/test_wire.py
@@ -14,7 +14,7 @@
     PutConfiguration,
     ReadConfiguration,
     RecordHeartbeat,
-    TakeLeaving,
+    RemoveUpstream,
 )
 from cowslipshelf_core.gateway import PromptSize
 
@@ -130,7 +130,7 @@
         ("PUT", "/api/config", PutConfiguration()),
         ("GET", "/api/config", ReadConfiguration()),
         ("PUT", "/api/runners/i-1", RecordHeartbeat("i-1")),
-        ("DELETE", "/api/runners/i-1", TakeLeaving("i-1")),
+        ("DELETE", "/api/runners/i-1", RemoveUpstream("i-1")),
         ("PUT", "/api/runners/", None),
         ("POST", "/api/config", None),
         ("GET", "/else", None),
