--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -65,7 +65,7 @@
     step_seconds_per_writer: float
     step_seconds_per_context_token: float
     """Added to each step for each token of context of a request that writes."""
-    read_seconds_per_token: float
+    prefill_seconds_per_token: float
     seconds_per_pair: float
     """Added for each pair of a prompt token and an earlier one."""
     chunk_tokens: int
--- a/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
@@ -38,7 +38,7 @@
             pairs = self.whole_tokens**2 / 2 / self.parts * tokens / self.tokens
         else:
             pairs = ((self.read_tokens + tokens) ** 2 - self.read_tokens**2) / 2
-        linear = tokens * model.read_seconds_per_token
+        linear = tokens * model.prefill_seconds_per_token
         return linear + pairs * model.seconds_per_pair
 
 
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -78,7 +78,7 @@
     step_seconds=1.31e-3,
     step_seconds_per_writer=1.834e-6,
     step_seconds_per_context_token=2.13e-9,
-    read_seconds_per_token=1 / 154_000,
+    prefill_seconds_per_token=1 / 154_000,
     seconds_per_pair=0.162e-9,
     chunk_tokens=2048,
 )
