--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -62,7 +62,7 @@
     steps_per_pass: int
     """Token steps of a pass in which at least one request writes."""
     step_seconds: float
-    step_seconds_per_writer: float
+    step_seconds_per_decode: float
     step_seconds_per_context_token: float
     """Added to each step for each token of context of a request that writes."""
     prefill_seconds_per_token: float
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -33,7 +33,7 @@
     """Return the time of a pass that reads nothing, with some requests writing."""
     step = (
         model.step_seconds
-        + writers * model.step_seconds_per_writer
+        + writers * model.step_seconds_per_decode
         + context_tokens * model.step_seconds_per_context_token
     )
     return model.steps_per_pass * step
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -236,7 +236,7 @@
     """Each placing fails, by a configuration that gives no time to a step."""
     model = ENGINE._replace(
         step_seconds=0.0,
-        step_seconds_per_writer=0.0,
+        step_seconds_per_decode=0.0,
         step_seconds_per_context_token=0.0,
     )
     board = EngineTracker()
