--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -66,7 +66,7 @@
     step_seconds_per_context_token: float
     """Added to each step for each token of context of a request that writes."""
     prefill_seconds_per_token: float
-    seconds_per_pair: float
+    prefill_seconds_per_pair: float
     """Added for each pair of a prompt token and an earlier one."""
     chunk_tokens: int
     """Most prompt tokens read in one step."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -20,7 +20,10 @@
     its length and are most of the cost above a hundred thousand tokens.
     """
     pairs = tokens * tokens / 2
-    whole = tokens * model.prefill_seconds_per_token + pairs * model.seconds_per_pair
+    whole = (
+        tokens * model.prefill_seconds_per_token
+        + pairs * model.prefill_seconds_per_pair
+    )
     return whole / parts
 
 
--- a/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
@@ -39,7 +39,7 @@
         else:
             pairs = ((self.read_tokens + tokens) ** 2 - self.read_tokens**2) / 2
         linear = tokens * model.prefill_seconds_per_token
-        return linear + pairs * model.seconds_per_pair
+        return linear + pairs * model.prefill_seconds_per_pair
 
 
 @dataclass(slots=True)
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -79,7 +79,7 @@
     step_seconds_per_decode=1.834e-6,
     step_seconds_per_context_token=2.13e-9,
     prefill_seconds_per_token=1 / 154_000,
-    seconds_per_pair=0.162e-9,
+    prefill_seconds_per_pair=0.162e-9,
     chunk_tokens=2048,
 )
 GROWN_ENGINE = ENGINE._replace(slots=6, memory_tokens=344_250, steps_per_pass=38)
--- a/tests/cover/adapter/test_configuration.py
+++ b/tests/cover/adapter/test_configuration.py
@@ -83,7 +83,7 @@
     assert engine.step_seconds == pytest.approx(1.31e-3)
     assert engine.step_seconds_per_context_token == pytest.approx(2.13e-9)
     assert engine.prefill_seconds_per_token == pytest.approx(1 / 154_000)
-    assert engine.seconds_per_pair == pytest.approx(1.62e-10)
+    assert engine.prefill_seconds_per_pair == pytest.approx(1.62e-10)
     assert read.configuration.limits.body_bytes == 100
     assert read.configuration.limits.idle_seconds == 15.0
     assert read.configuration.customers[0].keys == ("k1", "k2")
