--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -51,7 +51,7 @@
     answer_value,
     pass_seconds,
     prefill_chunks,
-    read_seconds,
+    prefill_seconds,
 )
 from cowslipshelf_core.internal.gateway.prompt_placement import (
     EnginesChosen,
@@ -171,7 +171,7 @@
     "place_prompt",
     "suspect_report_problem",
     "prefill_chunks",
-    "read_seconds",
+    "prefill_seconds",
     "request_digest",
     "decompress_configuration",
     "answer_value",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
@@ -33,7 +33,7 @@
 class Pending(NamedTuple):
     """Be a part that is still to be read."""
 
-    read_seconds: float
+    prefill_seconds: float
     chunks: float
 
 
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -74,7 +74,7 @@
 
     def place(self, work: EngineWork, part: EnginePart, at: float) -> None:
         """Note a part that was placed at a time."""
-        followed = FollowedPart(work, part, at, part.read_seconds, part.chunks)
+        followed = FollowedPart(work, part, at, part.prefill_seconds, part.chunks)
         self.due.append(
             DueChange(at, lambda: self.parts.update({work.attempt_id: followed}))
         )
--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -18,7 +18,7 @@
     """Be what one engine does of an attempt."""
 
     upstream_id: UpstreamId
-    read_seconds: float
+    prefill_seconds: float
     """Time that reading takes on an engine that does nothing else."""
     chunks: int
     """Pieces in which the part is read, one in each step."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -21,7 +21,7 @@
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
     pass_seconds,
-    read_seconds,
+    prefill_seconds,
 )
 
 FULL_COST = 0.6
@@ -97,12 +97,12 @@
 class Part(NamedTuple):
     """Be an even part of a prompt."""
 
-    read_seconds: float
+    prefill_seconds: float
     chunks: int
 
     def on(self, seen: Seen) -> Pending:
         """Return what it is on an engine, as slow as that lately was."""
-        return Pending(self.read_seconds * seen.candidate.slowness, self.chunks)
+        return Pending(self.prefill_seconds * seen.candidate.slowness, self.chunks)
 
 
 class Share(NamedTuple):
@@ -201,7 +201,7 @@
     writers = len(seen.view.writers)
     full = FULL_COST * work.value * max(0, writers + 1 - model.slots)
     tokens = placing.asked.size.prompt_tokens
-    short = read_seconds(model, tokens) < SHORT_READ_SECONDS
+    short = prefill_seconds(model, tokens) < SHORT_READ_SECONDS
     empty = EMPTY_ENGINE_COST if short and not writers else 0.0
     return full + empty + work.value * held_up(seen.pace.writing_seconds, work)
 
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -13,7 +13,7 @@
     most_output_tokens: int
 
 
-def read_seconds(model: EngineModel, tokens: int, parts: int = 1) -> float:
+def prefill_seconds(model: EngineModel, tokens: int, parts: int = 1) -> float:
     """Return the time to read one of `parts` even parts of a prompt.
 
     Each part has an even share of the prompt's pairs, which grow with the square of
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -33,7 +33,7 @@
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     answer_value,
     prefill_chunks,
-    read_seconds,
+    prefill_seconds,
 )
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
@@ -140,7 +140,7 @@
     """Return how many engines to weigh; a prompt that fits none alone may need any."""
     if asked.needed_tokens > model.memory_tokens:
         return NO_BOUND
-    short = read_seconds(model, asked.size.prompt_tokens) < SHORT_READ_SECONDS
+    short = prefill_seconds(model, asked.size.prompt_tokens) < SHORT_READ_SECONDS
     return MOST_LOOKED_AT_FOR_SHORT if short else MOST_LOOKED_AT
 
 
@@ -151,7 +151,7 @@
 
 def is_short(asked: PromptAsked, model: EngineModel, parts: int) -> bool:
     """Tell whether parts are so short that more engines would gain nothing."""
-    seconds = read_seconds(model, asked.size.prompt_tokens, parts)
+    seconds = prefill_seconds(model, asked.size.prompt_tokens, parts)
     return seconds < SHORT_READ_SECONDS / 4
 
 
@@ -190,7 +190,7 @@
     """Return an even part of the prompt."""
     model, tokens = placing.model, placing.asked.size.prompt_tokens
     return Part(
-        read_seconds(model, tokens, parts), prefill_chunks(model, tokens, parts)
+        prefill_seconds(model, tokens, parts), prefill_chunks(model, tokens, parts)
     )
 
 
@@ -230,7 +230,7 @@
     parts = tuple(
         EnginePart(
             share.seen.candidate.upstream_id,
-            part.on(share.seen).read_seconds,
+            part.on(share.seen).prefill_seconds,
             part.chunks,
             share is writer,
             tokens,
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -19,7 +19,7 @@
     PromptSize,
     WorkHeld,
     place_prompt,
-    read_seconds,
+    prefill_seconds,
 )
 
 SHORT = PromptSize(5_000, 1_300)
@@ -70,7 +70,7 @@
     """
     load = Load(engines=14)
     chosen = load.place(PromptSize(250_000, 700), 0.0, objective=4.0, pause=1.0)
-    assert read_seconds(ENGINE, 250_000) > 4.0
+    assert prefill_seconds(ENGINE, 250_000) > 4.0
     assert len(chosen.helpers) >= 1
     assert chosen.first_token_seconds < 0.7 * 4.0
 
