--- a/benchmarks/suspect_requests.py
+++ b/benchmarks/suspect_requests.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.gateway import (
-    Alone,
+    AllowedAlone,
     HeldBack,
     QuarantineConfig,
     RequestDigest,
@@ -141,7 +141,7 @@
         if not free:
             return
         upstream = min(free, key=lambda n: (len(self.running[n]), self.random.random()))
-        trial = isinstance(verdict, Alone)
+        trial = isinstance(verdict, AllowedAlone)
         if trial:
             self.quarantine.begin_trial(digest, verdict, self.now)
         number = next(self.numbers)
--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -59,7 +59,7 @@
     place_prompt,
 )
 from cowslipshelf_core.internal.gateway.quarantine import (
-    Alone,
+    AllowedAlone,
     Free,
     HeldBack,
     ListedSuspect,
@@ -103,7 +103,7 @@
 from cowslipshelf_core.internal.gateway.work_gaps import WorkGapDetector
 
 __all__ = [
-    "Alone",
+    "AllowedAlone",
     "AnswerTimes",
     "CallerLimits",
     "Candidate",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
+class AllowedAlone:
     """Let a request run at one upstream, once, and at no other meanwhile."""
 
     probe: bool
@@ -42,7 +42,7 @@
     """When to come back, where that may help."""
 
 
-Verdict = Free | Alone | HeldBack
+Verdict = Free | AllowedAlone | HeldBack
 
 
 class ListedSuspect(NamedTuple):
@@ -82,7 +82,7 @@
         if suspect.is_tried(now, self.config):
             pause = None if held else self.config.alone_pause_seconds
             return HeldBack(suspect.upstreams(), self.config.trial_seconds, pause)
-        return Alone(held)
+        return AllowedAlone(held)
 
     def is_held(self, digest: RequestDigest) -> bool:
         """Tell whether so many upstreams ended that the request is held back."""
@@ -126,7 +126,9 @@
         suspect.changed_at = now
         return True
 
-    def begin_trial(self, digest: RequestDigest, verdict: Alone, now: float) -> None:
+    def begin_trial(
+        self, digest: RequestDigest, verdict: AllowedAlone, now: float
+    ) -> None:
         """Note that a request is tried."""
         suspect = self.suspects.get(digest)
         if suspect is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -10,7 +10,7 @@
 from cowslipshelf_callers import AnswerWriter, CallerGoneError
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
-from cowslipshelf_core.gateway import Alone, HeldBack, request_digest
+from cowslipshelf_core.gateway import AllowedAlone, HeldBack, request_digest
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 from cowslipshelf_core.messages import (
     AttemptRefused,
@@ -222,7 +222,7 @@
         if isinstance(verdict, HeldBack):
             self.handle(PlacementRefused(refusal_of(verdict)))
             return
-        self.on_trial = isinstance(verdict, Alone)
+        self.on_trial = isinstance(verdict, AllowedAlone)
         attempt_id = self.services.new_attempt_id()
         answer = self.services.routing.place(
             self.request, attempt_id, effect.excluded, self.seconds_left()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.gateway import (
-    Alone,
+    AllowedAlone,
     HeldBack,
     ListedSuspect,
     QuarantineConfig,
@@ -90,14 +90,14 @@
         """
         with self.lock:
             verdict = self.verdict(asked)
-            if isinstance(verdict, Alone):
+            if isinstance(verdict, AllowedAlone):
                 self.begin_trial(asked, verdict)
         return verdict
 
     @contextmanager
     def trial(self, asked: JudgedRequest, verdict: Verdict) -> Iterator[None]:
         """Keep a suspect from running elsewhere meanwhile."""
-        if not isinstance(verdict, Alone):
+        if not isinstance(verdict, AllowedAlone):
             yield
             return
         self.begin_trial(asked, verdict)
@@ -106,7 +106,7 @@
         finally:
             self.end_trial(asked)
 
-    def begin_trial(self, asked: JudgedRequest, verdict: Alone) -> None:
+    def begin_trial(self, asked: JudgedRequest, verdict: AllowedAlone) -> None:
         """Note that a suspect is tried here."""
         LOG.info(
             "Suspect tried.",
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from cowslipshelf_core.gateway import Alone, request_digest
+from cowslipshelf_core.gateway import AllowedAlone, request_digest
 from cowslipshelf_daemon.internal.suspect_requests import (
     JudgedRequest,
     SuspectRequests,
@@ -31,4 +31,4 @@
     for thread in threads:
         thread.join(10)
     assert len(verdicts) == THREADS
-    assert verdicts.count(Alone(probe=False)) == 1
+    assert verdicts.count(AllowedAlone(probe=False)) == 1
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -9,7 +9,7 @@
 from common.gateway_samples import GATEWAY_SETTINGS, configuration, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.gateway import (
-    Alone,
+    AllowedAlone,
     ExitReport,
     HeldBack,
     SuspectRequestReport,
@@ -128,7 +128,7 @@
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
         gateway.suspects.quarantine.upstream_ended(DIGEST, upstream, now)
-    gateway.suspects.quarantine.begin_trial(DIGEST, Alone(probe=False), now)
+    gateway.suspects.quarantine.begin_trial(DIGEST, AllowedAlone(probe=False), now)
     answer = gateway.ask()
     assert answer.status == 503
     assert answer.headers[b"retry-after"] == b"0.5"
@@ -159,7 +159,9 @@
         await asyncio.wait({serving})
 
     asyncio.run(leave())
-    assert gateway.suspects.quarantine.verdict(DIGEST, time.monotonic()) == Alone(False)
+    assert gateway.suspects.quarantine.verdict(
+        DIGEST, time.monotonic()
+    ) == AllowedAlone(False)
 
 
 def told(*upstreams: str, age: float = 1.0) -> SuspectRequestReport:
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cowslipshelf_core.gateway import (
-    Alone,
+    AllowedAlone,
     ExitReport,
     Free,
     HeldBack,
@@ -50,7 +50,7 @@
     ended(held, "u-1")
     assert held.verdict(FATAL, 0.0) == Free()
     ended(held, "u-2")
-    assert held.verdict(FATAL, 0.0) == Alone(probe=False)
+    assert held.verdict(FATAL, 0.0) == AllowedAlone(probe=False)
     ended(held, "u-3")
     verdict = held.verdict(FATAL, 1.0)
     assert isinstance(verdict, HeldBack)
@@ -108,7 +108,7 @@
     assert verdict.retry_after_seconds == CONFIG.alone_pause_seconds
     first.end_trial(FATAL)
     exchange([first, second], 0.2)
-    assert second.verdict(FATAL, 0.2) == Alone(probe=False)
+    assert second.verdict(FATAL, 0.2) == AllowedAlone(probe=False)
 
 
 def test_a_trial_whose_gateway_died_is_over_after_a_while():
@@ -116,7 +116,7 @@
     ended(held, "u-1", "u-2")
     held.begin_trial(FATAL, held.verdict(FATAL, 0.0), 0.0)
     assert isinstance(held.verdict(FATAL, CONFIG.trial_seconds - 0.1), HeldBack)
-    assert held.verdict(FATAL, CONFIG.trial_seconds) == Alone(probe=False)
+    assert held.verdict(FATAL, CONFIG.trial_seconds) == AllowedAlone(probe=False)
 
 
 def test_probes_of_what_is_held_back_come_ever_more_rarely():
@@ -129,7 +129,7 @@
         pauses.append(verdict.left_seconds)
         now += verdict.left_seconds
         verdict = held.verdict(FATAL, now)
-        assert verdict == Alone(probe=True)
+        assert verdict == AllowedAlone(probe=True)
         held.begin_trial(FATAL, verdict, now)
         held.upstream_ended(FATAL, f"probed-{number}", now)
         held.end_trial(FATAL)
@@ -230,7 +230,7 @@
                 gateway.answered(FATAL, float(now))
             case "tried":
                 verdict = gateway.verdict(FATAL, float(now))
-                if isinstance(verdict, Alone):
+                if isinstance(verdict, AllowedAlone):
                     gateway.begin_trial(FATAL, verdict, float(now))
             case "told":
                 words += gateway.told([FATAL], float(now))
@@ -295,11 +295,11 @@
         verdict = gateway.verdict(FATAL, now)
         if isinstance(verdict, HeldBack) or not self.serves[number]:
             return
-        if isinstance(verdict, Alone):
+        if isinstance(verdict, AllowedAlone):
             gateway.begin_trial(FATAL, verdict, now)
             self.tell(number, now)
         self.arrivals.append(now)
-        alone = isinstance(verdict, Alone)
+        alone = isinstance(verdict, AllowedAlone)
         self.running.append((now + RUN_SECONDS, number, alone))
 
     def restart(self, number: int, now: float) -> None:
