--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -59,8 +59,8 @@
     place_prompt,
 )
 from cowslipshelf_core.internal.gateway.quarantine import (
+    Allowed,
     AllowedAlone,
-    Free,
     HeldBack,
     ListedSuspect,
     RequestQuarantine,
@@ -115,7 +115,7 @@
     "EngineWork",
     "EnginesChosen",
     "FetchWork",
-    "Free",
+    "Allowed",
     "HealthEstimate",
     "HeartbeatSeen",
     "HeartbeatsSeen",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Free:
+class Allowed:
     """Let a request run."""
 
 
@@ -42,7 +42,7 @@
     """When to come back, where that may help."""
 
 
-Verdict = Free | AllowedAlone | HeldBack
+Verdict = Allowed | AllowedAlone | HeldBack
 
 
 class ListedSuspect(NamedTuple):
@@ -74,7 +74,7 @@
         suspect = self.suspects.get(digest)
         ends = 0 if suspect is None else len(suspect.open_ends())
         if ends < self.config.alone_ends:
-            return Free()
+            return Allowed()
         held = ends >= self.config.held_ends
         left = suspect.held_until(digest, self.config) - now if held else 0.0
         if left > 0.0:
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from cowslipshelf_core.gateway import (
+    Allowed,
     AllowedAlone,
     ExitReport,
-    Free,
     HeldBack,
     QuarantineConfig,
     RequestDigest,
@@ -48,7 +48,7 @@
 def test_a_request_is_held_back_after_three_ends_and_others_are_not():
     held = quarantine()
     ended(held, "u-1")
-    assert held.verdict(FATAL, 0.0) == Free()
+    assert held.verdict(FATAL, 0.0) == Allowed()
     ended(held, "u-2")
     assert held.verdict(FATAL, 0.0) == AllowedAlone(probe=False)
     ended(held, "u-3")
@@ -56,14 +56,14 @@
     assert isinstance(verdict, HeldBack)
     assert verdict.upstreams == ("u-1", "u-2", "u-3")
     assert verdict.retry_after_seconds is None
-    assert held.verdict(OTHER, 1.0) == Free()
+    assert held.verdict(OTHER, 1.0) == Allowed()
 
 
 def test_requests_that_shared_one_end_count_it_once():
     """Guards against a request of many callers blamed for one crash."""
     held = quarantine()
     ended(held, "u-1", "u-1", "u-1", "u-1")
-    assert held.verdict(FATAL, 0.0) == Free()
+    assert held.verdict(FATAL, 0.0) == Allowed()
 
 
 def test_an_upstream_that_keeps_its_id_counts_each_time_it_ends():
@@ -78,7 +78,7 @@
     held = quarantine()
     ended(held, "u-1", "u-2", "u-3")
     held.answered(FATAL, 1.0)
-    assert held.verdict(FATAL, 1.0) == Free()
+    assert held.verdict(FATAL, 1.0) == Allowed()
     ended(held, "u-4", "u-5", "u-6", now=2.0)
     assert isinstance(held.verdict(FATAL, 2.0), HeldBack)
 
@@ -93,8 +93,8 @@
     for told in late:
         behind.take(told, 2.0)
         held.take(told, 2.0)
-    assert behind.verdict(FATAL, 2.0) == Free()
-    assert held.verdict(FATAL, 2.0) == Free()
+    assert behind.verdict(FATAL, 2.0) == Allowed()
+    assert held.verdict(FATAL, 2.0) == Allowed()
 
 
 def test_a_suspect_runs_at_one_upstream_at_a_time():
@@ -151,7 +151,7 @@
     held.begin_trial(FATAL, held.verdict(FATAL, 20.0), 20.0)
     held.answered(FATAL, 21.0)
     held.end_trial(FATAL)
-    assert held.verdict(FATAL, 21.0) == Free()
+    assert held.verdict(FATAL, 21.0) == Allowed()
 
 
 def test_many_requests_with_an_end_each_make_no_room_for_a_worse_one():
