--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -44,7 +44,10 @@
     PeerTable,
     PeerTableConfig,
 )
-from cowslipshelf_core.internal.gateway.placement_cost import Candidate, PromptAsked
+from cowslipshelf_core.internal.gateway.placement_cost import (
+    EngineCandidate,
+    PromptAsked,
+)
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
     admission_priority,
@@ -106,7 +109,7 @@
     "AllowedAlone",
     "AnswerTimes",
     "CallerLimits",
-    "Candidate",
+    "EngineCandidate",
     "ExitReport",
     "EngineTracker",
     "EngineModel",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -38,7 +38,7 @@
 under way, half of it on average, and one that writes the event."""
 
 
-class Candidate(NamedTuple):
+class EngineCandidate(NamedTuple):
     """Be an engine that may be chosen."""
 
     upstream_id: UpstreamId
@@ -67,7 +67,7 @@
 class Seen(NamedTuple):
     """Be a candidate with what it is about to do."""
 
-    candidate: Candidate
+    candidate: EngineCandidate
     view: EngineView
     pace: EnginePace
     pending: list[Pending]
@@ -118,7 +118,7 @@
 
 
 def look_at(
-    candidate: Candidate, model: EngineModel, board: EngineTracker, now: float
+    candidate: EngineCandidate, model: EngineModel, board: EngineTracker, now: float
 ) -> Seen:
     """Work out what a candidate is about to do."""
     view = board.view(candidate.upstream_id, model, now)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -17,7 +17,7 @@
 from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
 from cowslipshelf_core.internal.gateway.placement_cost import (
     SHORT_READ_SECONDS,
-    Candidate,
+    EngineCandidate,
     Part,
     Placing,
     PromptAsked,
@@ -88,7 +88,7 @@
 
 def place_prompt(
     asked: PromptAsked,
-    candidates: list[Candidate],
+    candidates: list[EngineCandidate],
     model: EngineModel,
     board: EngineTracker,
     now: float,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -6,7 +6,7 @@
 
 from cowslipshelf_core.dialect import CallerFacts, Helper, MemoryTicket
 from cowslipshelf_core.gateway import (
-    Candidate,
+    EngineCandidate,
     EngineModel,
     EnginePart,
     EnginesChosen,
@@ -120,7 +120,7 @@
         if health.avoided and len(upstreams) > 1:
             continue
         candidates.append(
-            Candidate(upstream.upstream_id, health.slowness, health.failing)
+            EngineCandidate(upstream.upstream_id, health.slowness, health.failing)
         )
     asked = PromptAsked(
         AttemptId(uuid.uuid4().hex),
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from cowslipshelf_core.gateway import (
-    Candidate,
+    EngineCandidate,
     EngineModel,
     EnginePart,
     EnginesChosen,
@@ -50,7 +50,7 @@
 
     def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
         """Weigh the prompt's lateness against the harm to all others."""
-        candidates = [Candidate(engine) for engine in self.engines]
+        candidates = [EngineCandidate(engine) for engine in self.engines]
         return place_prompt(asked, candidates, self.model, self.board, now, self.random)
 
 
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -8,7 +8,7 @@
 
 from common.gateway_samples import ENGINE
 from cowslipshelf_core.gateway import (
-    Candidate,
+    EngineCandidate,
     EnginePart,
     EnginesChosen,
     EngineTracker,
@@ -33,7 +33,7 @@
 
     def __init__(self, engines: int, seed: int = 0) -> None:
         self.board = EngineTracker()
-        self.candidates = [Candidate(f"e-{number}") for number in range(engines)]
+        self.candidates = [EngineCandidate(f"e-{number}") for number in range(engines)]
         self.random = Random(seed)
         self.placed = 0
 
