--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -46,7 +46,7 @@
 )
 from cowslipshelf_core.internal.gateway.placement_cost import (
     EngineCandidate,
-    PromptAsked,
+    PromptToPlace,
 )
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
@@ -135,7 +135,7 @@
     "PeerTableConfig",
     "PeerChange",
     "UpstreamCandidate",
-    "PromptAsked",
+    "PromptToPlace",
     "PromptSize",
     "QuarantineConfig",
     "RegistryConfig",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -48,7 +48,7 @@
     """Share of the worth that is likely lost there, for failures seen lately."""
 
 
-class PromptAsked(NamedTuple):
+class PromptToPlace(NamedTuple):
     """Be a prompt that wants engines."""
 
     attempt_id: AttemptId
@@ -78,7 +78,7 @@
 class Placing(NamedTuple):
     """Be one prompt to be placed, with what is known of the engines."""
 
-    asked: PromptAsked
+    asked: PromptToPlace
     model: EngineModel
     seen: list[Seen]
     roomy: list[Seen]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -20,7 +20,7 @@
     EngineCandidate,
     Part,
     Placing,
-    PromptAsked,
+    PromptToPlace,
     Seen,
     Share,
     free_memory,
@@ -87,7 +87,7 @@
 
 
 def place_prompt(
-    asked: PromptAsked,
+    asked: PromptToPlace,
     candidates: list[EngineCandidate],
     model: EngineModel,
     board: EngineTracker,
@@ -136,7 +136,7 @@
     return best
 
 
-def most_looked_at(asked: PromptAsked, model: EngineModel) -> int:
+def most_looked_at(asked: PromptToPlace, model: EngineModel) -> int:
     """Return how many engines to weigh; a prompt that fits none alone may need any."""
     if asked.needed_tokens > model.memory_tokens:
         return NO_BOUND
@@ -149,7 +149,7 @@
     return max(0.1, min(each.view.backlog_seconds for each in seen))
 
 
-def is_short(asked: PromptAsked, model: EngineModel, parts: int) -> bool:
+def is_short(asked: PromptToPlace, model: EngineModel, parts: int) -> bool:
     """Tell whether parts are so short that more engines would gain nothing."""
     seconds = prefill_seconds(model, asked.size.prompt_tokens, parts)
     return seconds < SHORT_READ_SECONDS / 4
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -12,7 +12,7 @@
     EnginesChosen,
     EngineWork,
     NoEngine,
-    PromptAsked,
+    PromptToPlace,
     Route,
     UpstreamCandidate,
     UpstreamHeartbeat,
@@ -122,7 +122,7 @@
         candidates.append(
             EngineCandidate(upstream.upstream_id, health.slowness, health.failing)
         )
-    asked = PromptAsked(
+    asked = PromptToPlace(
         AttemptId(uuid.uuid4().hex),
         facts.prompt,
         route.objective_seconds,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
@@ -10,7 +10,7 @@
     EnginesChosen,
     EngineWork,
     NoEngine,
-    PromptAsked,
+    PromptToPlace,
     admission_priority,
 )
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
@@ -99,7 +99,7 @@
         outcome = Outcome(arrival)
         self.outcomes.append(outcome)
         kind = arrival.kind
-        asked = PromptAsked(
+        asked = PromptToPlace(
             AttemptId(arrival.request),
             arrival.size,
             kind.objective_seconds,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -13,7 +13,7 @@
     EngineTracker,
     EngineWork,
     NoEngine,
-    PromptAsked,
+    PromptToPlace,
     place_prompt,
 )
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
@@ -29,7 +29,7 @@
     board: EngineTracker = field(default_factory=EngineTracker)
 
     @abstractmethod
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose engines for a prompt."""
 
     def begin(self, work: EngineWork, owner: str, now: float) -> None:
@@ -48,7 +48,7 @@
 class LeastHarm(Policy):
     """Decide as the product's gateways do."""
 
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Weigh the prompt's lateness against the harm to all others."""
         candidates = [EngineCandidate(engine) for engine in self.engines]
         return place_prompt(asked, candidates, self.model, self.board, now, self.random)
@@ -61,7 +61,7 @@
     def pick(self) -> UpstreamId:
         """Choose the engine."""
 
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose one engine; what it can't hold is refused."""
         del now
         tokens = asked.size.prompt_tokens + asked.size.most_output_tokens
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -15,8 +15,8 @@
     EngineView,
     EngineWork,
     NoEngine,
-    PromptAsked,
     PromptSize,
+    PromptToPlace,
     WorkHeld,
     place_prompt,
     prefill_seconds,
@@ -41,7 +41,7 @@
         self, size: PromptSize, now: float, objective: float, pause: float
     ) -> EnginesChosen | NoEngine:
         self.placed += 1
-        asked = PromptAsked(f"a-{self.placed}", size, objective, pause, 10.0)
+        asked = PromptToPlace(f"a-{self.placed}", size, objective, pause, 10.0)
         chosen = place_prompt(
             asked, self.candidates, ENGINE, self.board, now, self.random
         )
@@ -160,7 +160,7 @@
     load = Load(engines=1)
     for _ in range(2):
         load.long(0.0)
-    asked = PromptAsked("late", SHORT, 0.3, 0.25, 2.0)
+    asked = PromptToPlace("late", SHORT, 0.3, 0.25, 2.0)
     chosen = place_prompt(asked, load.candidates, ENGINE, load.board, 0.1, load.random)
     assert isinstance(chosen, NoEngine)
     assert chosen.retry_after_seconds > 1.0
