--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -29,7 +29,7 @@
     prompt: PromptSize | None
 
 
-class Helper(NamedTuple):
+class PrefillHelper(NamedTuple):
     """Be an engine that reads a part of a prompt for another one."""
 
     address: str
@@ -46,7 +46,7 @@
     last_event_id: str | None
     priority: int | None = None
     """Zero to nine, where zero is admitted first."""
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
 
 
 class OutgoingRequest(NamedTuple):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -4,7 +4,7 @@
 import uuid
 from typing import NamedTuple
 
-from cowslipshelf_core.dialect import CallerFacts, Helper, MemoryTicket
+from cowslipshelf_core.dialect import CallerFacts, MemoryTicket, PrefillHelper
 from cowslipshelf_core.gateway import (
     EngineCandidate,
     EngineModel,
@@ -39,7 +39,7 @@
 
     upstream: UpstreamHeartbeat
     work: EngineWork | None = None
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
     tickets: tuple[MemoryTicket, ...] = ()
     """Memory that must be reserved before the request is sent."""
     first_token_seconds: float | None = None
@@ -139,7 +139,7 @@
         by_id[chosen.upstream_id],
         chosen.work,
         tuple(
-            Helper(by_id[helper].address, names.get(helper))
+            PrefillHelper(by_id[helper].address, names.get(helper))
             for helper in chosen.helpers
         ),
         tickets,
--- a/tests/cover/adapter/test_wire.py
+++ b/tests/cover/adapter/test_wire.py
@@ -9,8 +9,8 @@
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import (
     ForwardFacts,
-    Helper,
     MemoryTicket,
+    PrefillHelper,
     PutConfiguration,
     ReadConfiguration,
     RecordHeartbeat,
@@ -159,7 +159,7 @@
 
 
 def test_helpers_are_named_with_their_tickets():
-    helpers = (Helper("10.0.0.1:80", "t-1"), Helper("10.0.0.2:80"))
+    helpers = (PrefillHelper("10.0.0.1:80", "t-1"), PrefillHelper("10.0.0.2:80"))
     assert forwarded(helpers=helpers)[b"x-helpers"] == b"10.0.0.1:80/t-1,10.0.0.2:80"
 
 
