--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -114,7 +114,7 @@
 class Dialect(Protocol):
     """Translate between the protocol of the machines and the types above."""
 
-    def is_ready_question(self, method: str, path: str) -> bool:
+    def is_readiness_probe(self, method: str, path: str) -> bool:
         """Tell whether a request asks if this gateway is ready."""
 
     def control_call(self, method: str, path: str) -> ControlCall | None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -233,7 +233,7 @@
 
     async def answer_ready(self, request: HttpRequest, responder: Responder) -> None:
         """Tell whether callers should be sent here."""
-        if self.dialect.is_ready_question(request.method, request.path):
+        if self.dialect.is_readiness_probe(request.method, request.path):
             await responder.whole(200 if self.is_ready() else 503, [])
         else:
             await responder.whole(404, [])
