--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -72,7 +72,9 @@
         """Begin with the seeds only."""
         return cls(config, config.seeds, config.holds_replica)
 
-    def heard(self, sender: InstanceId, alive: PeerAlive, now: float) -> PeerChange:
+    def record_alive(
+        self, sender: InstanceId, alive: PeerAlive, now: float
+    ) -> PeerChange:
         """Take in a message; return what it says of the sender."""
         before = self.known.get(sender)
         self.known[sender] = KnownPeer(alive, now)
@@ -86,7 +88,7 @@
         silent = now - before.heard_at > self.config.silence_seconds
         return PeerChange.RETURNED if silent else PeerChange.NONE
 
-    def to_tell(self) -> tuple[InstanceId, ...]:
+    def gossip_targets(self) -> tuple[InstanceId, ...]:
         """List whom to tell that this gateway is there."""
         own = self.config.instance
         return tuple(dict.fromkeys(p for p in (*self.seeds, *self.known) if p != own))
@@ -102,20 +104,20 @@
             return False
         return now - known.heard_at <= self.config.silence_seconds
 
-    def near(self) -> tuple[InstanceId, ...]:
+    def local_targets(self) -> tuple[InstanceId, ...]:
         """List whom to tell that are in this data centre, or might be."""
-        return tuple(peer for peer in self.to_tell() if not self.is_far(peer))
+        return tuple(peer for peer in self.gossip_targets() if not self.is_remote(peer))
 
-    def is_far(self, peer: InstanceId) -> bool:
+    def is_remote(self, peer: InstanceId) -> bool:
         """Tell whether a gateway is known to be in another data centre."""
         known = self.known.get(peer)
         if known is None or known.alive is None:
             return False
         return known.alive.data_centre != self.config.data_centre
 
-    def neighbours(self, now: float) -> list[InstanceId]:
+    def local_peers(self, now: float) -> list[InstanceId]:
         """List the other gateways of this data centre that were heard lately."""
-        return [peer for peer in self.alive(now) if not self.is_far(peer)]
+        return [peer for peer in self.alive(now) if not self.is_remote(peer)]
 
     def relays(self, now: float, turn: int = 0) -> list[InstanceId]:
         """Choose one gateway of each other data centre, to pass messages on there.
@@ -125,7 +127,7 @@
         """
         far: dict[DataCentre, list[InstanceId]] = {}
         for peer in self.alive(now):
-            if self.is_far(peer):
+            if self.is_remote(peer):
                 far.setdefault(self.known[peer].alive.data_centre, []).append(peer)
         own = self.config.instance
         chosen = []
@@ -136,7 +138,7 @@
 
     def replicas(self) -> tuple[InstanceId, ...]:
         """List the gateways known to hold replicas, this one included."""
-        holders = [peer for peer, alive in self.spoken() if alive.holds_replica]
+        holders = [peer for peer, alive in self.last_messages() if alive.holds_replica]
         if self.holds_replica:
             holders.append(self.config.instance)
         return tuple(sorted(holders))
@@ -148,18 +150,18 @@
             sorted(self.replicas(), key=lambda p: (p != own, not self.is_alive(p, now)))
         )
 
-    def spoken(self) -> list[tuple[InstanceId, PeerAlive]]:
+    def last_messages(self) -> list[tuple[InstanceId, PeerAlive]]:
         """List the last word of every other gateway that has spoken."""
         return [(p, known.alive) for p, known in self.known.items() if known.alive]
 
-    def wants_own_replica(self) -> bool:
+    def should_hold_replica(self) -> bool:
         """Tell whether this gateway is to hold a replica beside those of the settings.
 
         Where no gateway has a disk, what was acknowledged lives as long as more than
         half of the replicas do. All gateways agree on who joins, without a word, as
         far as they know the same ones; one too many does no harm.
         """
-        spoken = self.spoken()
+        spoken = self.last_messages()
         holders = [alive for _, alive in spoken if alive.holds_replica]
         if self.config.has_disk or not holders:
             return False
@@ -176,7 +178,7 @@
             taken[candidates.pop(chosen)] += 1
         return False
 
-    def holders(
+    def peers_with_newer(
         self, version: ConfigurationVersion, now: float
     ) -> tuple[InstanceId, ...]:
         """List who was heard lately and holds a later configuration than a version.
@@ -190,9 +192,9 @@
             for peer in self.alive(now)
             if self.known[peer].alive.routes_version > version
         ]
-        return tuple(sorted(later, key=lambda p: (self.is_far(p), rank(own, p))))
+        return tuple(sorted(later, key=lambda p: (self.is_remote(p), rank(own, p))))
 
-    def own_message(
+    def alive_message(
         self,
         version: ConfigurationVersion,
         routes_bytes: int,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -132,7 +132,7 @@
     def is_behind(self) -> bool:
         """Tell whether another gateway has a later configuration than this one."""
         now = time.monotonic()
-        return bool(self.peers.holders(self.document.version, now))
+        return bool(self.peers.peers_with_newer(self.document.version, now))
 
     def take_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
         """Take in an upstream's heartbeat; return whether its phase is news."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -113,7 +113,7 @@
         """
         now = time.monotonic()
         peers = self.view.peers
-        self.send_to(peers.neighbours(now), message)
+        self.send_to(peers.local_peers(now), message)
         relayed = Relayed(self.view.settings.instance, message, True)
         self.send_to(peers.relays(now, turn), relayed)
 
@@ -128,12 +128,14 @@
         """Say that this gateway is there, to all that it knows and to the seeds."""
         peers = self.view.peers
         message = self.alive_message(self.words % PEERS_TOLD_EACH == 0)
-        self.send_to(peers.near() if near_only else peers.to_tell(), message)
+        self.send_to(
+            peers.local_targets() if near_only else peers.gossip_targets(), message
+        )
 
     def alive_message(self, with_peers: bool) -> PeerAlive:
         """Return a word that this gateway is there."""
         held = self.view.document
-        return self.view.peers.own_message(
+        return self.view.peers.alive_message(
             held.version, len(held.body), self.work_number, with_peers
         )
 
@@ -280,7 +282,7 @@
     def pass_on(self, sender: InstanceId, relayed: Relayed) -> None:
         """Pass a message on in this data centre."""
         onward = Relayed(relayed.origin, relayed.message, False)
-        neighbours = self.view.peers.neighbours(time.monotonic())
+        neighbours = self.view.peers.local_peers(time.monotonic())
         known = (sender, relayed.origin)
         self.send_to([peer for peer in neighbours if peer not in known], onward)
 
@@ -288,7 +290,7 @@
         """Note a gateway, and ask it for a newer configuration."""
         now = time.monotonic()
         sender = delivered.sender
-        news = self.view.peers.heard(sender, alive, now)
+        news = self.view.peers.record_alive(sender, alive, now)
         if news is PeerChange.RESTARTED:
             self.view.board.forget_owner(sender, now)
             self.progress.forget(sender)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -104,7 +104,7 @@
         if now < self.status_due or self.view.table is None:
             return
         self.status_due = now + STATUS_SECONDS
-        if self.view.peers.wants_own_replica():
+        if self.view.peers.should_hold_replica():
             LOG.info("Replica wanted here.", replicas=self.replicas)
             self.view.peers.holds_replica = True
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -53,7 +53,7 @@
         if self.fetch.is_awaited(lambda peer: peers.is_alive(peer, now), now):
             return
         have = self.view.document.version
-        holders = peers.holders(have, now)
+        holders = peers.peers_with_newer(have, now)
         known = [peers.known[peer].alive for peer in holders]
         size = max((alive.routes_bytes for alive in known), default=0)
         waits = self.view.table is None
--- a/tests/cover/gateway/test_behind.py
+++ b/tests/cover/gateway/test_behind.py
@@ -49,7 +49,7 @@
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     put(view, configuration)
     word = PeerAlive(Epoch("e"), DataCentre("here"), True, heard, ())
-    view.peers.heard("10.0.0.2", word, time.monotonic())
+    view.peers.record_alive("10.0.0.2", word, time.monotonic())
     return view
 
 
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -101,7 +101,7 @@
         read = MachinesDialect().read_configuration(held).ok_value
         view.put_in_force(read.document, read.configuration)
         alive = PeerAlive(Epoch("e"), DataCentre("here"), True, 9, ())
-        view.peers.heard(REPLICA, alive, time.monotonic())
+        view.peers.record_alive(REPLICA, alive, time.monotonic())
         self.client = ControlClient(None, self)
         post = LinkPost(None, self.instance)
         told = Gossip(view, post, self.client, MachinesDialect(), Metrics())
--- a/tests/cover/gateway_core/test_peer_table.py
+++ b/tests/cover/gateway_core/test_peer_table.py
@@ -20,8 +20,8 @@
 
 def test_a_gateway_learns_of_the_others_from_one_of_them():
     own = book("10.0.0.9", holds_replica=False)
-    own.heard("10.0.0.1", alive(peers=("10.0.0.4", "10.0.0.9")), 0.0)
-    assert set(own.to_tell()) == {*SEEDS, "10.0.0.4"}
+    own.record_alive("10.0.0.1", alive(peers=("10.0.0.4", "10.0.0.9")), 0.0)
+    assert set(own.gossip_targets()) == {*SEEDS, "10.0.0.4"}
     assert own.alive(0.0) == ["10.0.0.1"]
 
 
@@ -36,9 +36,9 @@
     third = book("10.0.0.3")
     assert second.founder() is None
     for each in (second, third):
-        each.heard("10.0.0.1", alive(holds_replica=False), 0.0)
-    first.heard("10.0.0.2", alive(), 0.0)
-    third.heard("10.0.0.2", alive(), 0.0)
+        each.record_alive("10.0.0.1", alive(holds_replica=False), 0.0)
+    first.record_alive("10.0.0.2", alive(), 0.0)
+    third.record_alive("10.0.0.2", alive(), 0.0)
     assert {each.founder() for each in (first, second, third)} == {"10.0.0.2"}
 
 
@@ -49,25 +49,25 @@
 def test_a_silent_gateway_is_told_on_until_it_is_forgotten():
     """Two halves never find each other again after a cut of ten seconds."""
     own = book("10.0.0.1")
-    own.heard("10.0.0.7", alive(), 0.0)
+    own.record_alive("10.0.0.7", alive(), 0.0)
     assert own.alive(10.0) == []
     own.forget_old(10.0)
-    assert "10.0.0.7" in own.to_tell()
+    assert "10.0.0.7" in own.gossip_targets()
     own.forget_old(31.0)
-    assert "10.0.0.7" not in own.to_tell()
+    assert "10.0.0.7" not in own.gossip_targets()
 
 
 def test_a_return_after_silence_is_news():
     own = book("10.0.0.1")
-    assert own.heard("10.0.0.7", alive(), 0.0) is PeerChange.RETURNED
-    assert own.heard("10.0.0.7", alive(), 1.0) is PeerChange.NONE
-    assert own.heard("10.0.0.7", alive(), 9.0) is PeerChange.RETURNED
+    assert own.record_alive("10.0.0.7", alive(), 0.0) is PeerChange.RETURNED
+    assert own.record_alive("10.0.0.7", alive(), 1.0) is PeerChange.NONE
+    assert own.record_alive("10.0.0.7", alive(), 9.0) is PeerChange.RETURNED
 
 
 def test_a_new_start_is_told_from_a_return():
     own = book("10.0.0.1")
-    own.heard("10.0.0.7", alive(), 0.0)
-    assert own.heard("10.0.0.7", alive(epoch="e-2"), 0.5) is PeerChange.RESTARTED
+    own.record_alive("10.0.0.7", alive(), 0.0)
+    assert own.record_alive("10.0.0.7", alive(epoch="e-2"), 0.5) is PeerChange.RESTARTED
 
 
 def far(data_centre: str) -> PeerAlive:
@@ -76,16 +76,16 @@
 
 def book_of_three_data_centres() -> PeerTable:
     own = book("10.0.0.1")
-    own.heard("10.0.0.2", alive(), 0.0)
+    own.record_alive("10.0.0.2", alive(), 0.0)
     for number in (1, 2, 3):
-        own.heard(f"10.1.0.{number}", far("there"), 0.0)
-        own.heard(f"10.2.0.{number}", far("yonder"), 0.0)
+        own.record_alive(f"10.1.0.{number}", far("there"), 0.0)
+        own.record_alive(f"10.2.0.{number}", far("yonder"), 0.0)
     return own
 
 
 def test_messages_go_to_all_near_gateways_and_to_one_in_each_other_data_centre():
     own = book_of_three_data_centres()
-    assert own.neighbours(0.0) == ["10.0.0.2"]
+    assert own.local_peers(0.0) == ["10.0.0.2"]
     relays = own.relays(0.0)
     assert sorted(relay[:4] for relay in relays) == ["10.1", "10.2"]
     assert own.relays(0.0) == relays
@@ -107,7 +107,7 @@
     silent = own.relays(0.0)[0]
     for peer, known in list(own.known.items()):
         if peer != silent:
-            own.heard(peer, known.alive, 5.0)
+            own.record_alive(peer, known.alive, 5.0)
     assert silent not in own.relays(5.0)
     assert len(own.relays(5.0)) == 2
 
@@ -134,10 +134,10 @@
 
 def tell_each_other(books: dict[str, PeerTable]) -> None:
     for sender, book_of_sender in books.items():
-        word = book_of_sender.own_message(1, 100, 0, False)
+        word = book_of_sender.alive_message(1, 100, 0, False)
         for receiver, book_of_receiver in books.items():
             if receiver != sender:
-                book_of_receiver.heard(sender, word, 0.0)
+                book_of_receiver.record_alive(sender, word, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     """A configuration is gone with three of many gateways that serve by it."""
     books = diskless_books(size)
     tell_each_other(books)
-    chosen = {name for name, each in books.items() if each.wants_own_replica()}
+    chosen = {name for name, each in books.items() if each.should_hold_replica()}
     for name in chosen:
         books[name].holds_replica = True
     tell_each_other(books)
@@ -159,7 +159,7 @@
         -(-expected // 3),
     }
     assert not any(
-        each.wants_own_replica() for each in books.values() if not each.holds_replica
+        each.should_hold_replica() for each in books.values() if not each.holds_replica
     )
 
 
@@ -167,9 +167,9 @@
     books = diskless_books(7)
     books["10.0.0.000"].config = books["10.0.0.000"].config._replace(has_disk=True)
     tell_each_other(books)
-    assert not any(each.wants_own_replica() for each in books.values())
+    assert not any(each.should_hold_replica() for each in books.values())
 
 
 def test_nobody_holds_a_replica_for_a_fleet_that_has_none():
     alone = diskless_books(7)["10.0.0.005"]
-    assert not alone.wants_own_replica()
+    assert not alone.should_hold_replica()
