--- a/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
@@ -33,13 +33,13 @@
         """Return a gateway's progress, none at first."""
         return self.of_owner.setdefault(owner, Progress())
 
-    def change_heard(self, owner: InstanceId, number: int) -> None:
+    def note_change(self, owner: InstanceId, number: int) -> None:
         """Note a change."""
         progress = self.progress(owner)
         progress.ahead.add(number)
         self.close_gap(progress)
 
-    def all_heard(self, owner: InstanceId, number: int) -> bool:
+    def note_snapshot(self, owner: InstanceId, number: int) -> bool:
         """Note all work of a gateway up to a change; tell whether it is new enough.
 
         Word of later changes may have come first, by the other way.
@@ -58,7 +58,7 @@
             progress.whole += 1
             progress.ahead.remove(progress.whole)
 
-    def is_behind(self, owner: InstanceId, told: int) -> bool:
+    def has_gap(self, owner: InstanceId, told: int) -> bool:
         """Take in a sign of life; tell whether something told before never came.
 
         Its newest changes may still be on their way, which is longer than that of a
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -258,7 +258,7 @@
             case HeartbeatsSeen() | WorkChanged() | SuspectRequestsTold() as message:
                 self.take_spread(delivered.sender, message)
             case WorkHeld(number=number) as message:
-                if self.progress.all_heard(delivered.sender, number):
+                if self.progress.note_snapshot(delivered.sender, number):
                     now = time.monotonic()
                     self.view.board.replace(delivered.sender, message, now)
             case FetchWork():
@@ -276,7 +276,7 @@
             case HeartbeatsSeen():
                 self.view.take_heartbeats(message)
             case WorkChanged(number=number):
-                self.progress.change_heard(origin, number)
+                self.progress.note_change(origin, number)
                 self.view.take_work(origin, message)
 
     def pass_on(self, sender: InstanceId, relayed: Relayed) -> None:
@@ -301,7 +301,7 @@
             # One that has just started waits for the configuration to serve at all.
             self.send(sender, self.alive_message(True))
             self.tell_everything_to(sender)
-        if self.progress.is_behind(sender, alive.work_number):
+        if self.progress.has_gap(sender, alive.work_number):
             LOG.info("Word of work was lost.", peer=sender, told=alive.work_number)
             self.send(sender, FetchWork())
         if alive.routes_version > self.view.document.version:
