--- a/packages/core/src/cowslipshelf_core/internal/gateway/routes_fetch.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/routes_fetch.py
@@ -35,7 +35,7 @@
     asked_at: float = 0.0
     seconds_per_byte: float = ASSUMED_SECONDS_PER_BYTE
 
-    def is_awaited(self, alive: Callable[[InstanceId], bool], now: float) -> bool:
+    def is_waiting(self, alive: Callable[[InstanceId], bool], now: float) -> bool:
         """Tell whether nobody else needs to be asked yet.
 
         Each word of a newer configuration asks so, and hundreds of gateways tell of
@@ -45,7 +45,7 @@
             return False
         return not self.asked or alive(self.asked[-1])
 
-    def next_asked(
+    def next_peer(
         self, holders: Sequence[InstanceId], size: int, waits: bool, now: float
     ) -> InstanceId | None:
         """Return whom to ask now, if anybody.
@@ -64,16 +64,16 @@
         chosen = next((peer for peer in holders if peer not in self.asked), None)
         if chosen is None:
             chosen = holders[len(self.asked) % len(holders)]
-        self.due = now + self.patience(size) * 2 ** min(len(self.asked), 8)
+        self.due = now + self.answer_timeout(size) * 2 ** min(len(self.asked), 8)
         self.asked.append(chosen)
         self.asked_at = now
         return chosen
 
-    def patience(self, size: int) -> float:
+    def answer_timeout(self, size: int) -> float:
         """Return how long a copy of a size may take, in seconds."""
         return ANSWER_SECONDS + PATIENCE_FACTOR * size * self.seconds_per_byte
 
-    def came(self, size: int, now: float) -> None:
+    def note_received(self, size: int, now: float) -> None:
         """Take in that a copy came; a slow one is remembered, and slowly forgotten."""
         if self.asked and size:
             pace = (now - self.asked_at) / size
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -50,14 +50,14 @@
         """Ask somebody for a newer configuration, if it is time to."""
         now = time.monotonic()
         peers = self.view.peers
-        if self.fetch.is_awaited(lambda peer: peers.is_alive(peer, now), now):
+        if self.fetch.is_waiting(lambda peer: peers.is_alive(peer, now), now):
             return
         have = self.view.document.version
         holders = peers.peers_with_newer(have, now)
         known = [peers.known[peer].alive for peer in holders]
         size = max((alive.routes_bytes for alive in known), default=0)
         waits = self.view.table is None
-        chosen = self.fetch.next_asked(holders, size, waits, now)
+        chosen = self.fetch.next_peer(holders, size, waits, now)
         if chosen is None:
             return
         LOG.info(
@@ -80,7 +80,7 @@
         elif sender != self.view.settings.instance:
             self.note_copy(sender, document)
         if document.body and self.take_routes(document):
-            self.fetch.came(len(document.body), time.monotonic())
+            self.fetch.note_received(len(document.body), time.monotonic())
 
     def note_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a copy of the configuration; those in vain fill links."""
