--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -196,7 +196,9 @@
         self.take(left, now)
         return HeartbeatSeen.from_heartbeat(left, 0.0)
 
-    def in_use(self, service: ServiceName, now: float) -> list[UpstreamHeartbeat]:
+    def ready_upstreams(
+        self, service: ServiceName, now: float
+    ) -> list[UpstreamHeartbeat]:
         """List the upstreams of a service that take new work, one at each address."""
         by_address: dict[str, KnownUpstream] = {}
         oldest = now - self.config.silence_seconds
@@ -224,11 +226,11 @@
             del self.latest[self.known.pop(upstream_id).start.name]
         return old
 
-    def all_seen(self, now: float) -> tuple[HeartbeatSeen, ...]:
+    def all_heartbeats(self, now: float) -> tuple[HeartbeatSeen, ...]:
         """List everything known, for an entry that may have missed some of it."""
-        return self.seen_of(self.known, now)
+        return self.heartbeats_of(self.known, now)
 
-    def seen_of(
+    def heartbeats_of(
         self, upstream_ids: Iterable[UpstreamId], now: float
     ) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams, with their age."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -269,7 +269,7 @@
 
     def upstreams_of(self, service: ServiceName) -> list[UpstreamHeartbeat]:
         """List the upstreams of a service that take new work."""
-        return self.registry.in_use(service, time.monotonic())
+        return self.registry.ready_upstreams(service, time.monotonic())
 
     def heartbeat_age(self, upstream: UpstreamHeartbeat) -> float:
         """Return how old the last word of an upstream is, in seconds."""
@@ -327,11 +327,11 @@
 
     def seen_of(self, upstream_ids: Iterable[UpstreamId]) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams."""
-        return self.registry.seen_of(upstream_ids, time.monotonic())
+        return self.registry.heartbeats_of(upstream_ids, time.monotonic())
 
     def all_heartbeats(self) -> tuple[HeartbeatSeen, ...]:
         """List every upstream known, for a gateway that may have missed some."""
-        return self.registry.all_seen(time.monotonic())
+        return self.registry.all_heartbeats(time.monotonic())
 
 
 def budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
--- a/tests/cover/gateway_core/test_registry.py
+++ b/tests/cover/gateway_core/test_registry.py
@@ -19,7 +19,7 @@
 
 
 def ids(known: UpstreamRegistry, now: float) -> list[str]:
-    return [each.upstream_id for each in known.in_use("s", now)]
+    return [each.upstream_id for each in known.ready_upstreams("s", now)]
 
 
 def test_an_upstream_that_left_is_not_brought_back_by_a_late_heartbeat():
@@ -88,6 +88,6 @@
     for now, (upstream_id, sequence) in enumerate(taken):
         first.take(heartbeat(upstream_id, sequence, address=upstream_id), float(now))
     now = float(len(taken))
-    for seen in first.all_seen(now):
+    for seen in first.all_heartbeats(now):
         second.take(seen.heartbeat, now - seen.age_seconds)
     assert sorted(ids(first, now)) == sorted(ids(second, now))
--- a/tests/cover/gateway_core/test_upstream_starts.py
+++ b/tests/cover/gateway_core/test_upstream_starts.py
@@ -31,7 +31,7 @@
 
 
 def in_use(known: UpstreamRegistry, now: float) -> list[str]:
-    return [each.upstream_id for each in known.in_use("s", now)]
+    return [each.upstream_id for each in known.ready_upstreams("s", now)]
 
 
 def test_the_id_of_a_start_holds_its_name_and_time():
@@ -74,7 +74,7 @@
     known.take(word(SECOND, 1), 1.0)
     assert not known.take(word(FIRST, 99, phase=phase, address="10.0.0.2:80"), 2.0)
     known.leave(UpstreamStart("u-1", FIRST), 2.0)
-    [left] = known.in_use("s", 2.0)
+    [left] = known.ready_upstreams("s", 2.0)
     assert left == word(SECOND, 1)
 
 
@@ -176,7 +176,7 @@
         entries[to].take(each, 1.0)
     for teller in entries:
         for listener in entries:
-            for seen in teller.all_seen(1.0):
+            for seen in teller.all_heartbeats(1.0):
                 listener.take(seen.of_start, 1.0)
     assert beliefs(entries[0]) == beliefs(entries[1]) == beliefs(entries[2])
 
