--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -81,7 +81,7 @@
         return cls(named, age_seconds, start.began_ms)
 
     @property
-    def of_start(self) -> UpstreamHeartbeat:
+    def with_start_id(self) -> UpstreamHeartbeat:
         """Return the heartbeat under the id of its start."""
         name = UpstreamName(self.heartbeat.upstream_id)
         start = UpstreamStart(name, self.began_ms)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -196,7 +196,7 @@
                 await self.refuse_word("Leaving refused.", problem, request, responder)
             case Ok(began_ms):
                 seen = self.view.take_leaving(name, began_ms)
-                self.gossip.tell_heartbeat(seen.of_start, urgent=True)
+                self.gossip.tell_heartbeat(seen.with_start_id, urgent=True)
                 await responder.whole(DONE, [JSON], b"{}")
 
     async def refuse_word(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -212,7 +212,7 @@
             start = UpstreamStart(name, unix_milliseconds())
         seen = self.registry.leave(start, time.monotonic())
         if known is not None:
-            self.forget_if_over(known, seen.of_start, 0.0)
+            self.forget_if_over(known, seen.with_start_id, 0.0)
         LOG.info(
             "Upstream left.", upstream=start.upstream_id, told=began_ms != START_UNKNOWN
         )
@@ -240,7 +240,7 @@
     def take_heartbeats(self, message: HeartbeatsSeen) -> None:
         """Take in heartbeats that another gateway passes on."""
         for seen in message.seen:
-            self.take_heartbeat(seen.of_start, seen.age_seconds)
+            self.take_heartbeat(seen.with_start_id, seen.age_seconds)
 
     def take_work(self, owner: InstanceId, message: WorkChanged) -> None:
         """Take in what another gateway does on engines."""
@@ -323,7 +323,7 @@
         silence = self.registry.config.silence_seconds
         recent = max(0.0, silence - RECALLED_SECONDS)
         for each in seen:
-            self.take_heartbeat(each.of_start, recent)
+            self.take_heartbeat(each.with_start_id, recent)
 
     def seen_of(self, upstream_ids: Iterable[UpstreamId]) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams."""
--- a/tests/cover/adapter/test_configuration.py
+++ b/tests/cover/adapter/test_configuration.py
@@ -258,7 +258,7 @@
         seen = HeartbeatSeen.from_heartbeat(read.ok_value, 0.0)
         data = msgspec.msgpack.encode(seen)
         again = msgspec.msgpack.decode(data, type=HeartbeatSeen)
-        assert again.of_start == read.ok_value
+        assert again.with_start_id == read.ok_value
 
 
 ROUTES = st.lists(
--- a/tests/cover/gateway_core/test_upstream_starts.py
+++ b/tests/cover/gateway_core/test_upstream_starts.py
@@ -121,9 +121,9 @@
     read = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=SeenBefore)
     assert read == SeenBefore(heartbeat("u-1", 3), 0.5)
     back = msgspec.msgpack.decode(msgspec.msgpack.encode(read), type=HeartbeatSeen)
-    assert back.of_start == heartbeat("u-1", 3)
+    assert back.with_start_id == heartbeat("u-1", 3)
     same = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=HeartbeatSeen)
-    assert same.of_start == word(SECOND, 3)
+    assert same.with_start_id == word(SECOND, 3)
 
 
 SAID = st.builds(
@@ -177,7 +177,7 @@
     for teller in entries:
         for listener in entries:
             for seen in teller.all_heartbeats(1.0):
-                listener.take(seen.of_start, 1.0)
+                listener.take(seen.with_start_id, 1.0)
     assert beliefs(entries[0]) == beliefs(entries[1]) == beliefs(entries[2])
 
 
