--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -102,7 +102,7 @@
         Late word of one that is gone must not hide the one that began there after it;
         where one of them doesn't tell of its start, the one heard last is there.
         """
-        if self.start.is_told and other.start.is_told:
+        if self.start.is_known and other.start.is_known:
             began, other_began = self.start.began_ms, other.start.began_ms
             if began != other_began:
                 return began > other_began
@@ -155,7 +155,7 @@
         """
         start = UpstreamStart.of(heartbeat.upstream_id)
         known = self.latest_start(heartbeat.upstream_id)
-        if known is not None and not start.is_told:
+        if known is not None and not start.is_known:
             start = known.start
             heartbeat = heartbeat._replace(upstream_id=start.upstream_id)
         if known is None or start > known.start:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
@@ -38,6 +38,6 @@
         return UpstreamId(f"{self.name}{MARK}{self.began_ms}")
 
     @property
-    def is_told(self) -> bool:
+    def is_known(self) -> bool:
         """Tell whether the upstream said when it began."""
         return self.began_ms != START_UNKNOWN
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -194,7 +194,7 @@
         if known.heartbeat.service != heartbeat.service:
             return f"the upstream is known to serve {known.heartbeat.service}"
         start = UpstreamStart.of(heartbeat.upstream_id)
-        if known.start.is_told and not start.is_told:
+        if known.start.is_known and not start.is_known:
             return "the time of the start is missing, and was told before"
         return None
 
@@ -206,9 +206,9 @@
         """
         start = UpstreamStart(name, began_ms)
         known = self.registry.latest_start(UpstreamId(name))
-        if not start.is_told and known is not None:
+        if not start.is_known and known is not None:
             start = known.start
-        elif not start.is_told:
+        elif not start.is_known:
             start = UpstreamStart(name, unix_milliseconds())
         seen = self.registry.leave(start, time.monotonic())
         if known is not None:
