--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -96,7 +96,7 @@
     heartbeat: UpstreamHeartbeat
     heard_at: float
 
-    def takes_address_from(self, other: "KnownUpstream") -> bool:
+    def replaces_at_address(self, other: "KnownUpstream") -> bool:
         """Tell whether this one is at an address that both name.
 
         Late word of one that is gone must not hide the one that began there after it;
@@ -108,7 +108,7 @@
                 return began > other_began
         return self.heard_at > other.heard_at
 
-    def join(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> None:
+    def merge(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> None:
         """Take in a heartbeat of this start, whether it is newer or came late."""
         phase = max(self.heartbeat.phase, heartbeat.phase, key=PHASES.index)
         if heartbeat.sequence > self.heartbeat.sequence:
@@ -164,7 +164,7 @@
         if start < known.start:
             return False
         before = known.heartbeat.phase
-        known.join(heartbeat, heard_at)
+        known.merge(heartbeat, heard_at)
         return known.heartbeat.phase is not before
 
     def begin(
@@ -206,7 +206,7 @@
             if known.heard_at < oldest:
                 continue
             held = by_address.get(known.heartbeat.address)
-            if held is None or known.takes_address_from(held):
+            if held is None or known.replaces_at_address(held):
                 by_address[known.heartbeat.address] = known
         return [
             known.heartbeat
