--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
@@ -21,7 +21,7 @@
     slots: int
     running: int
     """Requests that this gateway has there."""
-    failing: float
+    failure_rate: float
     slowness: float
     avoided: bool
     near: bool
@@ -40,7 +40,7 @@
 def expected_cost(candidate: UpstreamCandidate) -> float:
     """Return a cost that grows with load, failures, slowness and distance."""
     load = (candidate.running + 1) / max(1, candidate.slots)
-    cost = load * candidate.slowness + FAILING_COST * candidate.failing
+    cost = load * candidate.slowness + FAILING_COST * candidate.failure_rate
     if candidate.avoided:
         cost += AVOIDED_COST
     if not candidate.near:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
@@ -21,7 +21,7 @@
     """Be what is believed of an upstream."""
 
     slowness: float
-    failing: float
+    failure_rate: float
     """Share of requests that are likely to fail."""
     avoided: bool
 
@@ -31,7 +31,7 @@
     """Hold the observations of one upstream."""
 
     slowness: float = 1.0
-    failing: float = 0.0
+    failure_rate: float = 0.0
     seen_at: float = -math.inf
     lost_in_a_row: int = 0
     avoid_until: float = -math.inf
@@ -49,7 +49,7 @@
         """Note an answer, whether it failed, and its slowness against expectation."""
         record = self.fade(upstream_id, now)
         record.lost_in_a_row = 0
-        record.failing += SMOOTHING * (float(failed) - record.failing)
+        record.failure_rate += SMOOTHING * (float(failed) - record.failure_rate)
         if slowness is not None:
             bounded = min(MOST_SLOWNESS, max(1.0, slowness))
             record.slowness += SMOOTHING * (bounded - record.slowness)
@@ -57,7 +57,7 @@
     def lost(self, upstream_id: UpstreamId, now: float) -> None:
         """Note a connection that could not be made, or ended without an answer."""
         record = self.fade(upstream_id, now)
-        record.failing += SMOOTHING * (1.0 - record.failing)
+        record.failure_rate += SMOOTHING * (1.0 - record.failure_rate)
         pause = AVOID_SECONDS[min(record.lost_in_a_row, len(AVOID_SECONDS) - 1)]
         record.lost_in_a_row += 1
         record.avoid_until = now + pause
@@ -66,7 +66,7 @@
         """Let old observations lose weight, and return the record."""
         record = self.records.setdefault(upstream_id, UpstreamRecord())
         kept = math.exp((record.seen_at - now) / MEMORY_SECONDS)
-        record.failing *= kept
+        record.failure_rate *= kept
         record.slowness = 1.0 + (record.slowness - 1.0) * kept
         record.seen_at = now
         return record
@@ -76,7 +76,9 @@
         if upstream_id not in self.records:
             return HealthEstimate(1.0, 0.0, False)
         record = self.fade(upstream_id, now)
-        return HealthEstimate(record.slowness, record.failing, now < record.avoid_until)
+        return HealthEstimate(
+            record.slowness, record.failure_rate, now < record.avoid_until
+        )
 
     def forget(self, upstream_id: UpstreamId) -> None:
         """Forget an upstream that has gone."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -93,7 +93,7 @@
                 upstream.upstream_id,
                 upstream.slots,
                 view.running.get(upstream.upstream_id, 0),
-                health.failing,
+                health.failure_rate,
                 health.slowness,
                 health.avoided,
                 upstream.data_centre == view.settings.data_centre,
@@ -120,7 +120,7 @@
         if health.avoided and len(upstreams) > 1:
             continue
         candidates.append(
-            EngineCandidate(upstream.upstream_id, health.slowness, health.failing)
+            EngineCandidate(upstream.upstream_id, health.slowness, health.failure_rate)
         )
     asked = PromptToPlace(
         AttemptId(uuid.uuid4().hex),
--- a/tests/cover/gateway_core/test_upstream_health.py
+++ b/tests/cover/gateway_core/test_upstream_health.py
@@ -21,10 +21,10 @@
     for number in range(8):
         health.answered("bad", bool(number % 2), None, number * 0.2)
         health.answered("good", False, None, number * 0.2)
-    failing = health.seen("bad", 1.6).failing
+    failure_rate = health.seen("bad", 1.6).failure_rate
     chosen = [
         choose_upstream(
-            [candidate("bad", failing=failing), candidate("good", running=1)],
+            [candidate("bad", failure_rate=failure_rate), candidate("good", running=1)],
             Random(seed),
         )
         for seed in range(20)
@@ -37,7 +37,7 @@
     health.lost("u", 0.0)
     assert health.seen("u", 0.1).avoided
     assert not health.seen("u", 1.0).avoided
-    assert health.seen("u", 40.0).failing < 0.01
+    assert health.seen("u", 40.0).failure_rate < 0.01
 
 
 def test_repeated_losses_keep_an_upstream_away_for_longer():
@@ -48,6 +48,6 @@
 
 
 def test_the_only_upstream_is_used_whatever_is_believed_of_it():
-    only = candidate(heartbeat().upstream_id, failing=1.0, avoided=True)
+    only = candidate(heartbeat().upstream_id, failure_rate=1.0, avoided=True)
     assert choose_upstream([only], Random(0)) == only.upstream_id
     assert choose_upstream([], Random(0)) is None
