--- a/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
@@ -23,12 +23,12 @@
 class MemoryLeaseConfig(NamedTuple):
     """Bound how long memory may outlast the request that used it."""
 
-    free_seconds: float = 4.0
+    release_seconds: float = 4.0
 
     @property
     def renew_seconds(self) -> float:
         """Return the pause between two renewals."""
-        return RENEW_SHARE * self.free_seconds
+        return RENEW_SHARE * self.release_seconds
 
 
 @dataclass(slots=True)
@@ -49,6 +49,6 @@
 
     def hold_seconds(self, now: float) -> float:
         """Return for how long memory may be held from now on; zero if no longer."""
-        free_seconds = self.config.free_seconds
-        ends_at = self.heard_at + SILENCE_SHARE * free_seconds
-        return max(0.0, min(HOLD_SHARE * free_seconds, ends_at - now))
+        release_seconds = self.config.release_seconds
+        ends_at = self.heard_at + SILENCE_SHARE * release_seconds
+        return max(0.0, min(HOLD_SHARE * release_seconds, ends_at - now))
