--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -146,7 +146,7 @@
         latest = self.latest.get(UpstreamStart.of(upstream_id).name)
         return None if latest is None else self.known[latest]
 
-    def take(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> bool:
+    def record(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> bool:
         """Take in a heartbeat heard at a time; return whether it changes the phase.
 
         An upstream that is new here, or has started again, counts as a change of
@@ -159,7 +159,7 @@
             start = known.start
             heartbeat = heartbeat._replace(upstream_id=start.upstream_id)
         if known is None or start > known.start:
-            self.begin(start, heartbeat, heard_at)
+            self.add_start(start, heartbeat, heard_at)
             return True
         if start < known.start:
             return False
@@ -167,7 +167,7 @@
         known.merge(heartbeat, heard_at)
         return known.heartbeat.phase is not before
 
-    def begin(
+    def add_start(
         self, start: UpstreamStart, heartbeat: UpstreamHeartbeat, heard_at: float
     ) -> None:
         """Know a start, in place of any earlier one of its upstream."""
@@ -193,7 +193,7 @@
                 NUMBER_OF_LEAVING,
             )
         left = leaving._replace(phase=UpstreamPhase.LEFT, sequence=NUMBER_OF_LEAVING)
-        self.take(left, now)
+        self.record(left, now)
         return HeartbeatSeen.from_heartbeat(left, 0.0)
 
     def ready_upstreams(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -137,7 +137,7 @@
     def take_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
         """Take in an upstream's heartbeat; return whether its phase is news."""
         known = self.registry.latest_start(heartbeat.upstream_id)
-        changed = self.registry.take(heartbeat, time.monotonic() - age)
+        changed = self.registry.record(heartbeat, time.monotonic() - age)
         if changed:
             self.wake_waiting()
             LOG.info(
--- a/tests/cover/gateway_core/test_registry.py
+++ b/tests/cover/gateway_core/test_registry.py
@@ -29,24 +29,24 @@
     arrives seconds later at another gateway and is passed on.
     """
     known = registry()
-    known.take(heartbeat(sequence=4), 0.0)
+    known.record(heartbeat(sequence=4), 0.0)
     known.leave(UpstreamStart("u-1"), 1.0)
-    assert not known.take(heartbeat(sequence=5), 2.0)
+    assert not known.record(heartbeat(sequence=5), 2.0)
     assert ids(known, 2.0) == []
 
 
 def test_one_that_leaves_before_it_was_heard_of_stays_away():
     known = registry()
     known.leave(UpstreamStart("u-1"), 1.0)
-    known.take(heartbeat(sequence=5), 2.0)
+    known.record(heartbeat(sequence=5), 2.0)
     assert ids(known, 2.0) == []
 
 
 def test_one_that_drains_takes_nothing_new_whatever_it_says_later():
     known = registry()
-    known.take(heartbeat(sequence=1), 0.0)
-    assert known.take(heartbeat(sequence=2, phase=UpstreamPhase.LEAVING), 1.0)
-    known.take(heartbeat(sequence=3), 2.0)
+    known.record(heartbeat(sequence=1), 0.0)
+    assert known.record(heartbeat(sequence=2, phase=UpstreamPhase.LEAVING), 1.0)
+    known.record(heartbeat(sequence=3), 2.0)
     assert ids(known, 2.0) == []
 
 
@@ -57,14 +57,14 @@
     id's last heartbeat still counts for some seconds.
     """
     known = registry()
-    known.take(heartbeat("old", sequence=9), 0.0)
-    known.take(heartbeat("new", sequence=1), 1.0)
+    known.record(heartbeat("old", sequence=9), 0.0)
+    known.record(heartbeat("new", sequence=1), 1.0)
     assert ids(known, 1.0) == ["new"]
 
 
 def test_silence_takes_an_upstream_out_of_use():
     known = registry()
-    known.take(heartbeat(), 0.0)
+    known.record(heartbeat(), 0.0)
     assert ids(known, SILENCE) == ["u-1"]
     assert ids(known, SILENCE + 0.1) == []
 
@@ -77,7 +77,7 @@
     ]
     known = registry()
     for number in order:
-        known.take(heartbeat(sequence=number, phase=phases[number]), 1.0)
+        known.record(heartbeat(sequence=number, phase=phases[number]), 1.0)
     assert known.known["u-1"].heartbeat.sequence == 5
     assert ids(known, 1.0) == []
 
@@ -86,8 +86,8 @@
 def test_telling_everything_brings_another_gateway_to_the_same_beliefs(taken):
     first, second = registry(), registry()
     for now, (upstream_id, sequence) in enumerate(taken):
-        first.take(heartbeat(upstream_id, sequence, address=upstream_id), float(now))
+        first.record(heartbeat(upstream_id, sequence, address=upstream_id), float(now))
     now = float(len(taken))
     for seen in first.all_heartbeats(now):
-        second.take(seen.heartbeat, now - seen.age_seconds)
+        second.record(seen.heartbeat, now - seen.age_seconds)
     assert sorted(ids(first, now)) == sorted(ids(second, now))
--- a/tests/cover/gateway_core/test_upstream_starts.py
+++ b/tests/cover/gateway_core/test_upstream_starts.py
@@ -50,8 +50,8 @@
     all below the last number of its former start were taken for late ones.
     """
     known = registry()
-    known.take(word(FIRST, last), 0.0)
-    assert known.take(word(SECOND, 1), 60.0)
+    known.record(word(FIRST, last), 0.0)
+    assert known.record(word(SECOND, 1), 60.0)
     assert in_use(known, 60.0) == [f"u-1#{SECOND}"]
     assert len(known.known) == 1
 
@@ -59,8 +59,8 @@
 @pytest.mark.parametrize("phase", [UpstreamPhase.LEAVING, UpstreamPhase.LEFT])
 def test_one_that_was_leaving_returns_with_its_next_start(phase):
     known = registry()
-    known.take(word(FIRST, 7, phase=phase), 0.0)
-    assert known.take(word(SECOND, 1), 1.0)
+    known.record(word(FIRST, 7, phase=phase), 0.0)
+    assert known.record(word(SECOND, 1), 1.0)
     assert in_use(known, 1.0) == [f"u-1#{SECOND}"]
 
 
@@ -71,8 +71,8 @@
     Heartbeats of the former start, held up by a cut, arrive after the new start's.
     """
     known = registry()
-    known.take(word(SECOND, 1), 1.0)
-    assert not known.take(word(FIRST, 99, phase=phase, address="10.0.0.2:80"), 2.0)
+    known.record(word(SECOND, 1), 1.0)
+    assert not known.record(word(FIRST, 99, phase=phase, address="10.0.0.2:80"), 2.0)
     known.leave(UpstreamStart("u-1", FIRST), 2.0)
     [left] = known.ready_upstreams("s", 2.0)
     assert left == word(SECOND, 1)
@@ -84,17 +84,17 @@
     Entries of the version before pass its heartbeats on without its start.
     """
     known = registry()
-    known.take(word(SECOND, 3), 0.0)
-    known.take(heartbeat("u-1", 4), SILENCE)
+    known.record(word(SECOND, 3), 0.0)
+    known.record(heartbeat("u-1", 4), SILENCE)
     assert in_use(known, SILENCE + 1.0) == [f"u-1#{SECOND}"]
-    known.take(heartbeat("u-1", 5, UpstreamPhase.LEAVING), SILENCE)
+    known.record(heartbeat("u-1", 5, UpstreamPhase.LEAVING), SILENCE)
     assert in_use(known, SILENCE + 1.0) == []
 
 
 def test_an_upstream_that_never_tells_its_start_is_known_by_its_name():
     known = registry()
-    assert known.take(heartbeat("u-1", 4), 0.0)
-    assert not known.take(heartbeat("u-1", 5), 1.0)
+    assert known.record(heartbeat("u-1", 4), 0.0)
+    assert not known.record(heartbeat("u-1", 5), 1.0)
     assert in_use(known, 1.0) == ["u-1"]
 
 
@@ -107,8 +107,8 @@
     known = registry()
     gone = heartbeat(UpstreamStart("gone", FIRST).upstream_id)
     there = heartbeat(UpstreamStart("there", SECOND).upstream_id)
-    known.take(there, 1.0)
-    known.take(gone, 2.0)
+    known.record(there, 1.0)
+    known.record(gone, 2.0)
     assert in_use(known, 2.0) == [there.upstream_id]
 
 
@@ -154,9 +154,9 @@
     said, turned = both
     first, second = registry(), registry()
     for each in said:
-        first.take(each, 1.0)
+        first.record(each, 1.0)
     for each in turned:
-        second.take(each, 1.0)
+        second.record(each, 1.0)
     assert beliefs(first) == beliefs(second)
 
 
@@ -169,15 +169,15 @@
     entries = [registry() for _ in range(3)]
     passed_on = []
     for at, each in said:
-        entries[at].take(each, 1.0)
+        entries[at].record(each, 1.0)
         passed_on += [(to, each) for to in range(3) if to != at]
     arriving = data.draw(st.lists(st.sampled_from(passed_on))) if passed_on else []
     for to, each in arriving:
-        entries[to].take(each, 1.0)
+        entries[to].record(each, 1.0)
     for teller in entries:
         for listener in entries:
             for seen in teller.all_heartbeats(1.0):
-                listener.take(seen.with_start_id, 1.0)
+                listener.record(seen.with_start_id, 1.0)
     assert beliefs(entries[0]) == beliefs(entries[1]) == beliefs(entries[2])
 
 
@@ -188,8 +188,8 @@
     for good.
     """
     known = registry()
-    known.take(word(SECOND, 5), 0.0)
-    assert not known.take(word(FIRST, 1), 1.0)
+    known.record(word(SECOND, 5), 0.0)
+    assert not known.record(word(FIRST, 1), 1.0)
     known.forget_old(121.0)
-    assert known.take(word(FIRST, 100), 121.0)
+    assert known.record(word(FIRST, 100), 121.0)
     assert in_use(known, 121.0) == [f"u-1#{FIRST}"]
