--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_health.py
@@ -43,7 +43,7 @@
 
     records: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
 
-    def answered(
+    def record_answer(
         self, upstream_id: UpstreamId, failed: bool, slowness: float | None, now: float
     ) -> None:
         """Note an answer, whether it failed, and its slowness against expectation."""
@@ -54,7 +54,7 @@
             bounded = min(MOST_SLOWNESS, max(1.0, slowness))
             record.slowness += SMOOTHING * (bounded - record.slowness)
 
-    def lost(self, upstream_id: UpstreamId, now: float) -> None:
+    def record_lost(self, upstream_id: UpstreamId, now: float) -> None:
         """Note a connection that could not be made, or ended without an answer."""
         record = self.fade(upstream_id, now)
         record.failure_rate += SMOOTHING * (1.0 - record.failure_rate)
@@ -71,7 +71,7 @@
         record.seen_at = now
         return record
 
-    def seen(self, upstream_id: UpstreamId, now: float) -> HealthEstimate:
+    def estimate(self, upstream_id: UpstreamId, now: float) -> HealthEstimate:
         """Return what is believed of an upstream now."""
         if upstream_id not in self.records:
             return HealthEstimate(1.0, 0.0, False)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -131,7 +131,7 @@
                 seconds=round(now - began, 3),
                 usual=round(usual, 3),
             )
-            self.view.health.lost(upstream.upstream_id, now)
+            self.view.health.record_lost(upstream.upstream_id, now)
 
     def learn(
         self, placement: Placement, outcome: AttemptOutcome, seconds: float
@@ -141,14 +141,14 @@
         now = time.monotonic()
         match outcome:
             case NotReached() | Broken() | NotRun(HTTPStatus.MISDIRECTED_REQUEST):
-                self.view.health.lost(upstream_id, now)
+                self.view.health.record_lost(upstream_id, now)
             case FailedThere():
-                self.view.health.answered(upstream_id, True, None, now)
+                self.view.health.record_answer(upstream_id, True, None, now)
             case NotRun():
-                self.view.health.answered(upstream_id, True, None, now)
+                self.view.health.record_answer(upstream_id, True, None, now)
             case Answered(pace=pace):
                 slowness = self.slowness_of(placement, pace, seconds)
-                self.view.health.answered(upstream_id, False, slowness, now)
+                self.view.health.record_answer(upstream_id, False, slowness, now)
 
     def slowness_of(
         self, placement: Placement, pace: StreamPace | None, seconds: float
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -87,7 +87,7 @@
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
-        health = view.health.seen(upstream.upstream_id, now)
+        health = view.health.estimate(upstream.upstream_id, now)
         candidates.append(
             UpstreamCandidate(
                 upstream.upstream_id,
@@ -116,7 +116,7 @@
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
-        health = view.health.seen(upstream.upstream_id, now)
+        health = view.health.estimate(upstream.upstream_id, now)
         if health.avoided and len(upstreams) > 1:
             continue
         candidates.append(
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -169,7 +169,7 @@
     """
     outcomes, _, view = run(PlayedConnection(status, b"data: x\n\n"))
     assert isinstance(outcomes[0], NotRun) is avoided
-    assert view.health.seen("u-1", time.monotonic()).avoided is avoided
+    assert view.health.estimate("u-1", time.monotonic()).avoided is avoided
 
 
 class HangingConnection(PlayedConnection):
@@ -200,7 +200,7 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.4):
                 await runner.run(task(), Placement(heartbeat()))
-        return view.health.seen("u-1", time.monotonic()).avoided
+        return view.health.estimate("u-1", time.monotonic()).avoided
 
     assert asyncio.run(wait_in_vain()) is answered_before
 
--- a/tests/cover/gateway_core/test_upstream_health.py
+++ b/tests/cover/gateway_core/test_upstream_health.py
@@ -19,9 +19,9 @@
     """Every third booking fails although two of three upstreams are well."""
     health = UpstreamHealth()
     for number in range(8):
-        health.answered("bad", bool(number % 2), None, number * 0.2)
-        health.answered("good", False, None, number * 0.2)
-    failure_rate = health.seen("bad", 1.6).failure_rate
+        health.record_answer("bad", bool(number % 2), None, number * 0.2)
+        health.record_answer("good", False, None, number * 0.2)
+    failure_rate = health.estimate("bad", 1.6).failure_rate
     chosen = [
         choose_upstream(
             [candidate("bad", failure_rate=failure_rate), candidate("good", running=1)],
@@ -34,17 +34,17 @@
 
 def test_an_upstream_that_failed_once_is_believed_again():
     health = UpstreamHealth()
-    health.lost("u", 0.0)
-    assert health.seen("u", 0.1).avoided
-    assert not health.seen("u", 1.0).avoided
-    assert health.seen("u", 40.0).failure_rate < 0.01
+    health.record_lost("u", 0.0)
+    assert health.estimate("u", 0.1).avoided
+    assert not health.estimate("u", 1.0).avoided
+    assert health.estimate("u", 40.0).failure_rate < 0.01
 
 
 def test_repeated_losses_keep_an_upstream_away_for_longer():
     health = UpstreamHealth()
     for number in range(4):
-        health.lost("u", float(number))
-    assert health.seen("u", 5.0).avoided
+        health.record_lost("u", float(number))
+    assert health.estimate("u", 5.0).avoided
 
 
 def test_the_only_upstream_is_used_whatever_is_believed_of_it():
