--- a/packages/core/src/cowslipshelf_core/internal/gateway/answer_times.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/answer_times.py
@@ -46,7 +46,7 @@
         times.deviation += DEVIATION_WEIGHT * (abs(error) - times.deviation)
         times.mean += MEAN_WEIGHT * error
 
-    def longest_wait(self, service: ServiceName) -> float | None:
+    def answer_timeout(self, service: ServiceName) -> float | None:
         """Return how long an answer is worth waiting for; nothing where not known."""
         times = self.services.get(service)
         if times is None or times.answers < ANSWERS_NEEDED:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -118,7 +118,7 @@
         """
         upstream = placement.upstream
         now = time.monotonic()
-        usual = self.view.times.longest_wait(upstream.service)
+        usual = self.view.times.answer_timeout(upstream.service)
         if placement.first_token_seconds is not None or usual is None:
             return
         if task.route.name not in self.view.times.answered_routes:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/patience.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/patience.py
@@ -34,4 +34,4 @@
         )
     if route.kind is RouteKind.STREAM:
         return Patience()
-    return Patience(first=times.longest_wait(service))
+    return Patience(first=times.answer_timeout(service))
