--- a/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
@@ -43,7 +43,7 @@
         """Begin as a request is about to be sent, for which nothing is used yet."""
         return cls(config, now)
 
-    def heard(self, heard_at: float) -> None:
+    def record_alive(self, heard_at: float) -> None:
         """Note that the engine lived at a time."""
         self.heard_at = max(self.heard_at, heard_at)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -114,7 +114,7 @@
         request = self.dialect.ask_report(user.upstream_id, user.address)
         status = await self.exchange(user.upstream_id, user.address, request)
         if status is not None and status < HTTPStatus.MULTIPLE_CHOICES:
-            lease.heard(asked_at)
+            lease.record_alive(asked_at)
 
     def release_soon(self, tickets: tuple[MemoryTicket, ...]) -> None:
         """Give memory back in a task of its own, which a caller's leaving spares."""
--- a/tests/cover/gateway_core/test_memory_lease.py
+++ b/tests/cover/gateway_core/test_memory_lease.py
@@ -19,7 +19,7 @@
         now += pause
         if sign:
             last_sign = now
-            lease.heard(now)
+            lease.record_alive(now)
         seconds = lease.hold_seconds(now)
         if seconds:
             held_until = max(held_until, now + seconds)
@@ -36,12 +36,12 @@
     for share in shares:
         now += config.renew_seconds * (1.0 + share)
         assert held_until > now
-        lease.heard(now)
+        lease.record_alive(now)
         held_until = now + lease.hold_seconds(now)
 
 
 def test_a_sign_that_comes_late_takes_nothing_back():
     lease = MemoryLease.from_config(MemoryLeaseConfig(4.0), 10.0)
-    lease.heard(11.0)
-    lease.heard(9.0)
+    lease.record_alive(11.0)
+    lease.record_alive(9.0)
     assert lease.heard_at == 11.0
