--- a/benchmarks/suspect_requests.py
+++ b/benchmarks/suspect_requests.py
@@ -161,7 +161,7 @@
         if cut and self.reading.cuts:
             self.note(run, upstream, 1)
         if not cut:
-            self.quarantine.answered(run.digest, self.now)
+            self.quarantine.record_answer(run.digest, self.now)
         self.close(run)
         if cut:
             self.try_again(run)
@@ -192,7 +192,7 @@
     def note(self, run: Run, upstream: int, shared: int) -> None:
         """Note an end under a request."""
         name = f"{upstream}-{self.starts[upstream]}-{shared}"
-        self.quarantine.upstream_ended(run.digest, name, self.now)
+        self.quarantine.record_exit(run.digest, name, self.now)
 
     def close(self, run: Run) -> None:
         """Let a suspect be tried again."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -86,28 +86,28 @@
 
     def is_held(self, digest: RequestDigest) -> bool:
         """Tell whether so many upstreams ended that the request is held back."""
-        return self.ends_of(digest) >= self.config.held_ends
+        return self.exit_count(digest) >= self.config.held_ends
 
     def is_urgent(self, digest: RequestDigest) -> bool:
         """Tell whether all gateways must hear of a request at once."""
         suspect = self.suspects.get(digest)
         return suspect is not None and len(suspect.ends) >= self.config.alone_ends
 
-    def ends_of(self, digest: RequestDigest) -> int:
+    def exit_count(self, digest: RequestDigest) -> int:
         """Count the ends that speak against a request."""
         suspect = self.suspects.get(digest)
         return 0 if suspect is None else len(suspect.open_ends())
 
-    def upstreams_of(self, digest: RequestDigest) -> tuple[UpstreamId, ...]:
+    def exited_upstreams(self, digest: RequestDigest) -> tuple[UpstreamId, ...]:
         """Name the upstreams whose ends speak against a request."""
         suspect = self.suspects.get(digest)
         return () if suspect is None else suspect.upstreams()
 
-    def held(self) -> list[RequestDigest]:
+    def held_requests(self) -> list[RequestDigest]:
         """List the requests that are held back."""
         return [digest for digest in self.suspects if self.is_held(digest)]
 
-    def upstream_ended(
+    def record_exit(
         self, digest: RequestDigest, upstream_id: UpstreamId, now: float
     ) -> bool:
         """Note that an upstream ended under a request; return whether it is news."""
@@ -115,10 +115,10 @@
         news = suspect.note_end(upstream_id, now)
         if news:
             suspect.changed_at = now
-            self.keep_bounds()
+            self.evict_excess()
         return news
 
-    def answered(self, digest: RequestDigest, now: float) -> bool:
+    def record_answer(self, digest: RequestDigest, now: float) -> bool:
         """Note a whole answer; return whether it cleared a suspect."""
         suspect = self.suspects.get(digest)
         if suspect is None or not suspect.clear():
@@ -141,20 +141,20 @@
         if suspect is not None:
             suspect.over = suspect.trials
 
-    def told(
+    def reports(
         self, digests: Iterable[RequestDigest], now: float
     ) -> tuple[SuspectRequestReport, ...]:
         """Write what is known of some requests for other gateways."""
         known = [digest for digest in digests if digest in self.suspects]
         return tuple(self.suspects[digest].told(digest, now) for digest in known)
 
-    def take(self, told: SuspectRequestReport, now: float) -> bool:
+    def merge_report(self, told: SuspectRequestReport, now: float) -> bool:
         """Take in word of a request; return whether any of it is news."""
         suspect = self.suspects.setdefault(told.digest, SuspectRequest(now))
         news = suspect.take(told, now)
         if news:
             suspect.changed_at = max(suspect.changed_at, suspect.last_event())
-            self.keep_bounds()
+            self.evict_excess()
         return news
 
     def forget_old(self, now: float) -> list[RequestDigest]:
@@ -172,7 +172,7 @@
         bound = config.forget_held_seconds if held else config.forget_seconds
         return now - self.suspects[digest].changed_at > bound
 
-    def worst(self, most: int) -> frozenset[RequestDigest]:
+    def most_suspect(self, most: int) -> frozenset[RequestDigest]:
         """Name the requests against which most speaks."""
         if len(self.suspects) <= most:
             return frozenset(self.suspects)
@@ -180,7 +180,7 @@
 
     def listed(self, now: float) -> tuple[ListedSuspect, ...]:
         """List the requests against which something speaks, the worst first."""
-        open_ones = [each for each in self.suspects if self.ends_of(each)]
+        open_ones = [each for each in self.suspects if self.exit_count(each)]
         open_ones.sort(key=self.weight, reverse=True)
         return tuple(self.describe(digest, now) for digest in open_ones)
 
@@ -192,7 +192,7 @@
         age = now - suspect.last_event()
         return ListedSuspect(digest, suspect.upstreams(), held, age, max(0.0, left))
 
-    def keep_bounds(self) -> None:
+    def evict_excess(self) -> None:
         """Forget the requests against which least speaks, the oldest first.
 
         Who sends many requests that each end one upstream must not make room for one
@@ -203,4 +203,4 @@
 
     def weight(self, digest: RequestDigest) -> tuple[int, float]:
         """Order requests by what speaks against them."""
-        return self.ends_of(digest), self.suspects[digest].changed_at
+        return self.exit_count(digest), self.suspects[digest].changed_at
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -113,7 +113,7 @@
             request=asked.request,
             digest=asked.digest,
             customer=asked.customer,
-            upstreams=self.quarantine.upstreams_of(asked.digest),
+            upstreams=self.quarantine.exited_upstreams(asked.digest),
             probe=verdict.probe,
         )
         with self.lock:
@@ -130,7 +130,7 @@
         """Note that an upstream ended under a request."""
         now = time.monotonic()
         with self.lock:
-            if not self.quarantine.upstream_ended(asked.digest, upstream_id, now):
+            if not self.quarantine.record_exit(asked.digest, upstream_id, now):
                 return
         self.metrics.count(UPSTREAM_ENDS)
         LOG.info(
@@ -139,14 +139,14 @@
             digest=asked.digest,
             customer=asked.customer,
             upstream=upstream_id,
-            ends=self.quarantine.ends_of(asked.digest),
+            ends=self.quarantine.exit_count(asked.digest),
         )
         self.tell(asked.digest)
 
     def answered(self, asked: JudgedRequest) -> None:
         """Clear a request that an upstream has answered whole."""
         with self.lock:
-            cleared = self.quarantine.answered(asked.digest, time.monotonic())
+            cleared = self.quarantine.record_answer(asked.digest, time.monotonic())
         if cleared:
             LOG.info("Suspect cleared.", request=asked.request, digest=asked.digest)
             self.tell(asked.digest)
@@ -168,17 +168,17 @@
     def take_one(self, sender: InstanceId, told: SuspectRequestReport) -> None:
         """Take in word of one request."""
         with self.lock:
-            before = self.quarantine.ends_of(told.digest)
-            if not self.quarantine.take(told, time.monotonic()):
+            before = self.quarantine.exit_count(told.digest)
+            if not self.quarantine.merge_report(told, time.monotonic()):
                 return
             self.changes += 1
-            ends = self.quarantine.ends_of(told.digest)
+            ends = self.quarantine.exit_count(told.digest)
         if ends != before:
             LOG.info(
                 "Suspect heard of.",
                 peer=sender,
                 digest=told.digest,
-                upstreams=self.quarantine.upstreams_of(told.digest),
+                upstreams=self.quarantine.exited_upstreams(told.digest),
                 ends=ends,
                 before=before,
             )
@@ -186,7 +186,7 @@
     def release(self, digest: RequestDigest, by: str) -> bool:
         """Clear a request on somebody's word; return whether anything was known."""
         with self.lock:
-            released = self.quarantine.answered(digest, time.monotonic())
+            released = self.quarantine.record_answer(digest, time.monotonic())
         if released:
             LOG.info("Suspect released.", digest=digest, by=by)
             self.tell(digest)
@@ -201,7 +201,7 @@
         """Forget what is too old to matter, and show how many are held back."""
         with self.lock:
             forgotten = self.quarantine.forget_old(time.monotonic())
-            held = len(self.quarantine.held())
+            held = len(self.quarantine.held_requests())
         for digest in forgotten:
             LOG.info("Request let go.", digest=digest)
         self.metrics.gauge(HELD, held)
@@ -209,7 +209,7 @@
     def told(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
         """Write what is known of some requests."""
         with self.lock:
-            suspects = self.quarantine.told(digests, time.monotonic())
+            suspects = self.quarantine.reports(digests, time.monotonic())
         return SuspectRequestsTold(suspects)
 
     def told_all(self) -> SuspectRequestsTold:
@@ -219,4 +219,4 @@
     def told_worst(self, most: int) -> SuspectRequestsTold:
         """Write what is known of the requests against which most speaks."""
         with self.lock:
-            return self.told(self.quarantine.worst(most))
+            return self.told(self.quarantine.most_suspect(most))
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -18,7 +18,7 @@
     """Guards against a suspect that one entry hands to several upstreams at once."""
     suspects = SuspectRequests("entry-1", Metrics(), lambda _digest: None)
     for upstream in ("u-1", "u-2"):
-        suspects.quarantine.upstream_ended(DIGEST, upstream, time.monotonic())
+        suspects.quarantine.record_exit(DIGEST, upstream, time.monotonic())
     barrier, verdicts = threading.Barrier(THREADS), []
 
     def claim(number: int) -> None:
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -127,7 +127,7 @@
     gateway = PlayedGateway()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
-        gateway.suspects.quarantine.upstream_ended(DIGEST, upstream, now)
+        gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
     gateway.suspects.quarantine.begin_trial(DIGEST, AllowedAlone(probe=False), now)
     answer = gateway.ask()
     assert answer.status == 503
@@ -140,7 +140,7 @@
     gateway = PlayedGateway()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
-        gateway.suspects.quarantine.upstream_ended(DIGEST, upstream, now)
+        gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
 
     async def never_end(task, placement) -> AttemptOutcome:
         await asyncio.Event().wait()
@@ -178,7 +178,7 @@
     gateway = PlayedGateway()
     odd = told("u-1", "u-2", "u-3", age=float("nan"))
     gateway.suspects.take("peer", SuspectRequestsTold((odd, told("u-1"))))
-    assert gateway.suspects.quarantine.ends_of(DIGEST) == 1
+    assert gateway.suspects.quarantine.exit_count(DIGEST) == 1
 
 
 def test_a_restart_recalls_what_is_held_back(tmp_path):
@@ -190,7 +190,7 @@
     assert recalled.ends[0].age_seconds == pytest.approx(6.0, abs=1.0)
     suspects = SuspectRequests("10.0.0.1", Metrics(), lambda _digest: None)
     suspects.take("10.0.0.1", told_again)
-    assert suspects.quarantine.ends_of(DIGEST) == 1
+    assert suspects.quarantine.exit_count(DIGEST) == 1
 
 
 def test_a_time_of_day_that_was_put_back_makes_no_end_lie_in_the_future(tmp_path):
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -34,15 +34,15 @@
 
 def ended(held: RequestQuarantine, *upstreams: str, now: float = 0.0) -> None:
     for upstream in upstreams:
-        held.upstream_ended(FATAL, upstream, now)
+        held.record_exit(FATAL, upstream, now)
 
 
 def exchange(gateways: list[RequestQuarantine], now: float, digest=FATAL) -> None:
     """Let each gateway hear all that the others know."""
     for sender in gateways:
-        for told in sender.told([digest], now):
+        for told in sender.reports([digest], now):
             for receiver in gateways:
-                receiver.take(told, now)
+                receiver.merge_report(told, now)
 
 
 def test_a_request_is_held_back_after_three_ends_and_others_are_not():
@@ -77,7 +77,7 @@
 def test_a_whole_answer_clears_what_came_before_it_only():
     held = quarantine()
     ended(held, "u-1", "u-2", "u-3")
-    held.answered(FATAL, 1.0)
+    held.record_answer(FATAL, 1.0)
     assert held.verdict(FATAL, 1.0) == Allowed()
     ended(held, "u-4", "u-5", "u-6", now=2.0)
     assert isinstance(held.verdict(FATAL, 2.0), HeldBack)
@@ -86,13 +86,13 @@
 def test_a_late_word_of_an_end_does_not_undo_that_it_was_cleared():
     held, behind = quarantine(), quarantine()
     ended(held, "u-1", "u-2", "u-3")
-    late = held.told([FATAL], 0.0)
+    late = held.reports([FATAL], 0.0)
     exchange([held, behind], 0.0)
-    held.answered(FATAL, 1.0)
+    held.record_answer(FATAL, 1.0)
     exchange([held, behind], 1.0)
     for told in late:
-        behind.take(told, 2.0)
-        held.take(told, 2.0)
+        behind.merge_report(told, 2.0)
+        held.merge_report(told, 2.0)
     assert behind.verdict(FATAL, 2.0) == Allowed()
     assert held.verdict(FATAL, 2.0) == Allowed()
 
@@ -131,7 +131,7 @@
         verdict = held.verdict(FATAL, now)
         assert verdict == AllowedAlone(probe=True)
         held.begin_trial(FATAL, verdict, now)
-        held.upstream_ended(FATAL, f"probed-{number}", now)
+        held.record_exit(FATAL, f"probed-{number}", now)
         held.end_trial(FATAL)
     assert pauses == pytest.approx([20.0, 160.0, 1280.0])
 
@@ -149,7 +149,7 @@
     held = quarantine()
     ended(held, "u-1", "u-2", "u-3")
     held.begin_trial(FATAL, held.verdict(FATAL, 20.0), 20.0)
-    held.answered(FATAL, 21.0)
+    held.record_answer(FATAL, 21.0)
     held.end_trial(FATAL)
     assert held.verdict(FATAL, 21.0) == Allowed()
 
@@ -160,7 +160,7 @@
     ended(held, "u-1", "u-2", "u-3")
     for number in range(100):
         digest = request_digest("c", "POST", "host", "/x", b"%d" % number)
-        held.upstream_ended(digest, f"v-{number}", float(number))
+        held.record_exit(digest, f"v-{number}", float(number))
     assert len(held.suspects) == 10
     assert isinstance(held.verdict(FATAL, 1.0), HeldBack)
 
@@ -168,7 +168,7 @@
 def test_what_is_old_is_forgotten_and_what_is_held_back_much_later():
     held = quarantine()
     ended(held, "u-1", "u-2", "u-3")
-    held.upstream_ended(OTHER, "u-1", 0.0)
+    held.record_exit(OTHER, "u-1", 0.0)
     assert held.forget_old(CONFIG.forget_seconds + 1.0) == []
     assert list(held.suspects) == [FATAL]
     assert held.forget_old(CONFIG.forget_held_seconds + 1.0) == [FATAL]
@@ -178,9 +178,9 @@
 def test_the_worst_are_those_with_most_ends():
     held = quarantine()
     ended(held, "u-1", "u-2", "u-3")
-    held.upstream_ended(OTHER, "u-1", 0.0)
-    assert held.worst(1) == {FATAL}
-    assert held.worst(5) == {FATAL, OTHER}
+    held.record_exit(OTHER, "u-1", 0.0)
+    assert held.most_suspect(1) == {FATAL}
+    assert held.most_suspect(5) == {FATAL, OTHER}
 
 
 GOOD = SuspectRequestReport(
@@ -225,20 +225,20 @@
         gateway = gateways[number]
         match step:
             case "ended":
-                gateway.upstream_ended(FATAL, upstream, float(now))
+                gateway.record_exit(FATAL, upstream, float(now))
             case "answered":
-                gateway.answered(FATAL, float(now))
+                gateway.record_answer(FATAL, float(now))
             case "tried":
                 verdict = gateway.verdict(FATAL, float(now))
                 if isinstance(verdict, AllowedAlone):
                     gateway.begin_trial(FATAL, verdict, float(now))
             case "told":
-                words += gateway.told([FATAL], float(now))
+                words += gateway.reports([FATAL], float(now))
     now = float(len(steps))
-    words += [told for gateway in gateways for told in gateway.told([FATAL], now)]
+    words += [told for gateway in gateways for told in gateway.reports([FATAL], now)]
     for gateway in gateways:
         for told in random.sample(words * 2, 2 * len(words)):
-            gateway.take(told, now)
+            gateway.merge_report(told, now)
     beliefs = [
         (set(g.suspects[FATAL].open_ends()), g.suspects[FATAL].trials, g.is_held(FATAL))
         for g in gateways
@@ -283,7 +283,7 @@
     ) -> None:
         """Send what one gateway knows to others, or to all; some of it is lost."""
         everybody = range(len(self.gateways))
-        for told in self.gateways[number].told([FATAL], now):
+        for told in self.gateways[number].reports([FATAL], now):
             for to in everybody if receivers is None else receivers:
                 if self.random.random() >= self.lost_share:
                     way = self.random.uniform(0.0, WAY_SECONDS)
@@ -320,14 +320,14 @@
         """Let words arrive and upstreams end."""
         for word in [word for word in self.words if word.arrives <= now]:
             self.words.remove(word)
-            self.gateways[word.to].take(word.told, now)
+            self.gateways[word.to].merge_report(word.told, now)
             self.serves[word.to] = True
         for run in [run for run in self.running if run[0] <= now]:
             self.running.remove(run)
             self.ends.append(now)
             _, number, alone = run
             gateway = self.gateways[number]
-            gateway.upstream_ended(FATAL, f"u-{len(self.ends)}", now)
+            gateway.record_exit(FATAL, f"u-{len(self.ends)}", now)
             if alone:
                 gateway.end_trial(FATAL)
             self.tell(number, now)
