--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -146,7 +146,7 @@
             if placed.owner == owner
         ]
 
-    def held_by(self, owner: InstanceId, now: float, number: int = 0) -> WorkHeld:
+    def snapshot_of(self, owner: InstanceId, now: float, number: int = 0) -> WorkHeld:
         """Return a gateway's attempts, up to a change, to be told to another one."""
         return WorkHeld(
             tuple(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -242,7 +242,7 @@
     def tell_work_held(self, peer: InstanceId) -> None:
         """Tell one gateway all that this one has on engines."""
         own, now = self.view.settings.instance, time.monotonic()
-        self.send(peer, self.view.board.held_by(own, now, self.work_number))
+        self.send(peer, self.view.board.snapshot_of(own, now, self.work_number))
 
     # Taking in.
 
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -250,7 +250,7 @@
     """The first prompts after a restart go to engines that are reading for seconds."""
     old, new = Load(engines=14), Load(engines=14)
     long = old.long(0.0)
-    new.board.replace("gateway", old.board.held_by("gateway", 0.3), 10.0)
+    new.board.replace("gateway", old.board.snapshot_of("gateway", 0.3), 10.0)
     for candidate in old.candidates:
         seen = old.board.view(candidate.upstream_id, ENGINE, 0.3)
         told = new.board.view(candidate.upstream_id, ENGINE, 10.0)
@@ -269,8 +269,8 @@
     short = old.short(0.0)
     old.board.first_token(short.work.attempt_id, 0.1)
     for board in (old.board, new.board):
-        board.replace("gateway", old.board.held_by("gateway", 2.0), 2.0)
-        board.replace("gateway", old.board.held_by("gateway", 3.0), 3.0)
+        board.replace("gateway", old.board.snapshot_of("gateway", 2.0), 2.0)
+        board.replace("gateway", old.board.snapshot_of("gateway", 3.0), 3.0)
         (writer,) = board.view("e-0", ENGINE, 3.0).writers
         assert not writer.late
         assert board.view("e-0", ENGINE, 3.0).writes
