--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -93,7 +93,7 @@
         if followed is None:
             return
         followed.left_seconds = followed.left_chunks = 0.0
-        if followed.part.writes:
+        if followed.part.decodes:
             followed.writing = True
             waited = at - followed.begun_at
             followed.late |= waited > followed.work.objective_seconds
@@ -186,7 +186,7 @@
 
     def begin_writing(self, followed: FollowedPart) -> None:
         """Let a prompt write that was read to its end by this engine alone."""
-        alone = followed.part.writes and len(followed.work.parts) == 1
+        alone = followed.part.decodes and len(followed.work.parts) == 1
         if alone and followed.is_read:
             followed.writing = True
 
@@ -197,8 +197,8 @@
         parts that came before included; own prompts are read in their order.
         """
         left = [followed for followed in self.parts.values() if not followed.is_read]
-        helping = [followed for followed in left if not followed.part.writes]
-        own = [followed for followed in left if followed.part.writes]
+        helping = [followed for followed in left if not followed.part.decodes]
+        own = [followed for followed in left if followed.part.decodes]
         return [*reversed(helping), *own]
 
     def pass_left(self, now: float) -> float:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -78,7 +78,7 @@
     """In the order in which they will be read."""
     in_pass: list[PartInPass] = field(default_factory=list)
     writers: list[Writer] = field(default_factory=list)
-    writes: bool = False
+    decodes: bool = False
     """Whether any of them writes already."""
     helping: int = 0
     """Parts that it reads for attempts which write elsewhere."""
@@ -200,16 +200,16 @@
         for followed in passes.parts.values():
             part = followed.part
             view.memory_tokens += part.memory_tokens
-            view.writes |= followed.writing
-            if part.writes:
+            view.decodes |= followed.writing
+            if part.decodes:
                 view.writers.append(Writer(followed.work, followed.late))
             placed = self.placed.get(followed.work.attempt_id)
             if placed is None or placed.first_token:
                 continue
-            view.helping += not part.writes
+            view.helping += not part.decodes
             if followed.is_read:
                 # What should be done by now and is not told as done is still to come.
-                overrun = OVERRUN_SECONDS if part.writes else 0.0
+                overrun = OVERRUN_SECONDS if part.decodes else 0.0
                 ready = max(view.pass_left_seconds, overrun)
                 view.in_pass.append(PartInPass(followed.work, ready))
         for followed in passes.unread():
--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -22,7 +22,7 @@
     """Time that reading takes on an engine that does nothing else."""
     chunks: int
     """Pieces in which the part is read, one in each step."""
-    writes: bool
+    decodes: bool
     """Whether this engine also writes the answer."""
     memory_tokens: int = 0
     """Memory that it holds for the prompt and its answer."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -127,7 +127,7 @@
         view.pass_left_seconds,
         seconds * candidate.slowness,
         model.steps_per_pass,
-        view.writes,
+        view.decodes,
     )
     pending = [Pending(each.left_seconds, each.left_chunks) for each in view.unread]
     return Seen(candidate, view, pace, pending, outlook(pending, pace))
@@ -160,7 +160,7 @@
     A prompt that its engine reads alone is written from the same pass on; where other
     engines' parts are waited for, the pass under way has to end.
     """
-    if not seen.pace.writes:
+    if not seen.pace.decodes:
         return seen.pace.writing_seconds
     return 0.0 if alone else MEAN_PASSES_WAITED * seen.pace.writing_seconds
 
@@ -214,7 +214,7 @@
     """
     before = seen.outlook.longest_pass_seconds
     longest = after.longest_pass_seconds
-    if not seen.pace.writes or longest <= before:
+    if not seen.pace.decodes or longest <= before:
         return 0.0
     harm = 0.0
     for work, late in seen.view.writers:
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -101,7 +101,7 @@
 
 
 def placement(attempt_id: str) -> Placement:
-    part = EnginePart("u-1", 0.1, 1, writes=True)
+    part = EnginePart("u-1", 0.1, 1, decodes=True)
     work = EngineWork(attempt_id, (part,), 1.0, 0.3, 0.25)
     return Placement(heartbeat(), work, first_token_seconds=0.1)
 
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -120,7 +120,7 @@
     chosen = []
     for seed in range(20):
         load = Load(engines=78, seed=seed)
-        part = EnginePart("e-5", 0.02, 1, writes=True)
+        part = EnginePart("e-5", 0.02, 1, decodes=True)
         load.board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
         load.board.first_token("w", 0.1)
         chosen.append(load.short(0.2).upstream_id)
@@ -240,10 +240,10 @@
         step_seconds_per_context_token=0.0,
     )
     board = EngineTracker()
-    part = EnginePart("e", 0.02, 1, writes=True)
+    part = EnginePart("e", 0.02, 1, decodes=True)
     board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
     board.first_token("w", 0.1)
-    assert board.view("e", model, 0.5).writes
+    assert board.view("e", model, 0.5).decodes
 
 
 def test_a_gateway_that_has_just_started_learns_what_runs():
@@ -273,7 +273,7 @@
         board.replace("gateway", old.board.snapshot_of("gateway", 3.0), 3.0)
         (writer,) = board.view("e-0", ENGINE, 3.0).writers
         assert not writer.late
-        assert board.view("e-0", ENGINE, 3.0).writes
+        assert board.view("e-0", ENGINE, 3.0).decodes
 
 
 def test_what_a_gateway_no_longer_tells_of_has_ended():
@@ -290,8 +290,8 @@
     one after the other, they starve the prompt that came first.
     """
     board = EngineTracker()
-    own = EnginePart("e", 1.0, 10, writes=True)
-    other = EnginePart("e", 0.5, 5, writes=False)
+    own = EnginePart("e", 1.0, 10, decodes=True)
+    other = EnginePart("e", 0.5, 5, decodes=False)
     board.begin(EngineWork("first", (own,), 1.0, 4.0, 1.0), "g", 0.0)
     board.begin(EngineWork("second", (other,), 1.0, 4.0, 1.0), "g", 0.2)
     board.begin(EngineWork("third", (other,), 1.0, 4.0, 1.0), "g", 0.4)
@@ -306,7 +306,7 @@
     """An engine that has seconds to read looks idle soon."""
     board = EngineTracker()
     for number in range(4):
-        part = EnginePart("e", 1.0, 10, writes=False)
+        part = EnginePart("e", 1.0, 10, decodes=False)
         work = EngineWork(f"a-{number}", (part,), 1.0, 4.0, 1.0)
         board.begin(work, "g", 0.0)
     assert board.view("e", ENGINE, 1.5).backlog_seconds == pytest.approx(2.5)
@@ -314,8 +314,8 @@
 
 def board_with_a_long_read_beside_a_writer() -> EngineTracker:
     board = EngineTracker()
-    own = EnginePart("e", 0.1, 1, writes=True)
-    other = EnginePart("e", 1.9, 30, writes=False)
+    own = EnginePart("e", 0.1, 1, decodes=True)
+    other = EnginePart("e", 1.9, 30, decodes=False)
     board.begin(EngineWork("own", (own,), 1.0, 0.3, 0.25), "g", 0.0)
     board.view("e", ENGINE, 0.0)
     assert board.excused_seconds("own", 0.05) == 0.0
@@ -343,11 +343,11 @@
     """
     for seed in range(20):
         load = Load(engines=2, seed=seed)
-        busy = EnginePart("e-0", 0.02, 1, writes=True)
+        busy = EnginePart("e-0", 0.02, 1, decodes=True)
         load.board.begin(EngineWork("w", (busy,), 1.5, 0.3, 0.25), "g", 0.0)
         load.board.first_token("w", 0.1)
         load.board.view("e-0", ENGINE, 0.15)
-        part = EnginePart("e-0", 1.2, 30, writes=False)
+        part = EnginePart("e-0", 1.2, 30, decodes=False)
         load.board.begin(EngineWork("long", (part,), 5.0, 4.0, 1.0), "g", 0.2)
         short = load.short(0.4)
         assert short.upstream_id == "e-1"
@@ -361,7 +361,7 @@
     """
     load = Load(engines=3)
     for number in range(3):
-        part = EnginePart(f"e-{number}", 0.02, 1, writes=True)
+        part = EnginePart(f"e-{number}", 0.02, 1, decodes=True)
         name = f"w-{number}"
         load.board.begin(EngineWork(name, (part,), 6.0, 0.3, 0.25), "g", 0.0)
         load.board.first_token(name, 0.9 if number == 1 else 0.1)
@@ -386,10 +386,10 @@
     which go ahead.
     """
     board = EngineTracker()
-    writer = EnginePart("writer", 0.5, 8, writes=True)
-    helper = EnginePart("helper", 0.5, 8, writes=False)
+    writer = EnginePart("writer", 0.5, 8, decodes=True)
+    helper = EnginePart("helper", 0.5, 8, decodes=False)
     board.begin(EngineWork("dossier", (writer, helper), 1.0, 4.0, 1.0), "g", 0.0)
-    ahead = EnginePart("helper", 3.0, 40, writes=False)
+    ahead = EnginePart("helper", 3.0, 40, decodes=False)
     board.begin(EngineWork("later", (ahead,), 1.0, 4.0, 1.0), "g", 0.1)
     for engine in ("writer", "helper"):
         board.view(engine, ENGINE, 0.2)
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -120,7 +120,7 @@
 
 def spread_prompt() -> Placement:
     """Place a prompt on one engine whose memory lies at another one too."""
-    parts = (EnginePart("u-1", 9.0, 1, writes=True), EnginePart("u-2", 9.0, 1, False))
+    parts = (EnginePart("u-1", 9.0, 1, decodes=True), EnginePart("u-2", 9.0, 1, False))
     work = EngineWork("w-1", parts, 9.0, 4.0, 1.0)
     ticket = MemoryTicket("u-2", HOLDER, "w-1-0", 150_000)
     head = heartbeat("u-1", address=HEAD)
