--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_forecast.py
@@ -53,7 +53,7 @@
     writing_seconds: float
     """Length of a pass that reads nothing."""
     steps_per_pass: int
-    decodes: bool
+    is_decoding: bool
     """Whether anybody writes there, which makes passes long."""
 
 
@@ -63,7 +63,7 @@
     A part is ready at the end of the pass that reads its last piece, and that pass
     goes on to read what comes after it, as far as its steps allow.
     """
-    if not pace.decodes:
+    if not pace.is_decoding:
         return read_alone(pending, pace)
     at, longest = pace.begins_seconds, pace.writing_seconds
     length, room = pace.writing_seconds, float(pace.steps_per_pass)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -60,7 +60,7 @@
     """Time until the end of the pass."""
 
 
-class Writer(NamedTuple):
+class DecodingAttempt(NamedTuple):
     """Be an attempt that writes on an engine, or will once it is read."""
 
     work: EngineWork
@@ -77,8 +77,8 @@
     unread: list[UnreadPart] = field(default_factory=list)
     """In the order in which they will be read."""
     in_pass: list[PartInPass] = field(default_factory=list)
-    writers: list[Writer] = field(default_factory=list)
-    decodes: bool = False
+    decoding_attempts: list[DecodingAttempt] = field(default_factory=list)
+    is_decoding: bool = False
     """Whether any of them writes already."""
     helping: int = 0
     """Parts that it reads for attempts which write elsewhere."""
@@ -200,9 +200,11 @@
         for followed in passes.parts.values():
             part = followed.part
             view.memory_tokens += part.memory_tokens
-            view.decodes |= followed.writing
+            view.is_decoding |= followed.writing
             if part.decodes:
-                view.writers.append(Writer(followed.work, followed.late))
+                view.decoding_attempts.append(
+                    DecodingAttempt(followed.work, followed.late)
+                )
             placed = self.placed.get(followed.work.attempt_id)
             if placed is None or placed.first_token:
                 continue
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -122,12 +122,12 @@
 ) -> Seen:
     """Work out what a candidate is about to do."""
     view = board.view(candidate.upstream_id, model, now)
-    seconds = pass_seconds(model, len(view.writers) + 1, view.memory_tokens)
+    seconds = pass_seconds(model, len(view.decoding_attempts) + 1, view.memory_tokens)
     pace = EnginePace(
         view.pass_left_seconds,
         seconds * candidate.slowness,
         model.steps_per_pass,
-        view.decodes,
+        view.is_decoding,
     )
     pending = [Pending(each.left_seconds, each.left_chunks) for each in view.unread]
     return Seen(candidate, view, pace, pending, outlook(pending, pace))
@@ -160,7 +160,7 @@
     A prompt that its engine reads alone is written from the same pass on; where other
     engines' parts are waited for, the pass under way has to end.
     """
-    if not seen.pace.decodes:
+    if not seen.pace.is_decoding:
         return seen.pace.writing_seconds
     return 0.0 if alone else MEAN_PASSES_WAITED * seen.pace.writing_seconds
 
@@ -198,11 +198,11 @@
 def sharing_cost(seen: Seen, placing: Placing) -> float:
     """Return what it costs to write the answer beside those that write there."""
     model, work = placing.model, placing.work
-    writers = len(seen.view.writers)
-    full = FULL_COST * work.value * max(0, writers + 1 - model.slots)
+    decoding = len(seen.view.decoding_attempts)
+    full = FULL_COST * work.value * max(0, decoding + 1 - model.slots)
     tokens = placing.asked.size.prompt_tokens
     short = prefill_seconds(model, tokens) < SHORT_READ_SECONDS
-    empty = EMPTY_ENGINE_COST if short and not writers else 0.0
+    empty = EMPTY_ENGINE_COST if short and not decoding else 0.0
     return full + empty + work.value * held_up(seen.pace.writing_seconds, work)
 
 
@@ -214,10 +214,10 @@
     """
     before = seen.outlook.longest_pass_seconds
     longest = after.longest_pass_seconds
-    if not seen.pace.decodes or longest <= before:
+    if not seen.pace.is_decoding or longest <= before:
         return 0.0
     harm = 0.0
-    for work, late in seen.view.writers:
+    for work, late in seen.view.decoding_attempts:
         more = held_up(longest, work, late) - held_up(before, work, late)
         harm += work.value * max(0.0, more)
     return harm
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -243,7 +243,7 @@
     part = EnginePart("e", 0.02, 1, decodes=True)
     board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
     board.first_token("w", 0.1)
-    assert board.view("e", model, 0.5).decodes
+    assert board.view("e", model, 0.5).is_decoding
 
 
 def test_a_gateway_that_has_just_started_learns_what_runs():
@@ -271,9 +271,9 @@
     for board in (old.board, new.board):
         board.replace("gateway", old.board.snapshot_of("gateway", 2.0), 2.0)
         board.replace("gateway", old.board.snapshot_of("gateway", 3.0), 3.0)
-        (writer,) = board.view("e-0", ENGINE, 3.0).writers
+        (writer,) = board.view("e-0", ENGINE, 3.0).decoding_attempts
         assert not writer.late
-        assert board.view("e-0", ENGINE, 3.0).decodes
+        assert board.view("e-0", ENGINE, 3.0).is_decoding
 
 
 def test_what_a_gateway_no_longer_tells_of_has_ended():
