--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -52,7 +52,7 @@
     PromptSize,
     admission_priority,
     answer_value,
-    pass_seconds,
+    decode_pass_seconds,
     prefill_chunks,
     prefill_seconds,
 )
@@ -170,7 +170,7 @@
     "configuration_problem",
     "abandon_seconds",
     "compress_configuration",
-    "pass_seconds",
+    "decode_pass_seconds",
     "place_prompt",
     "suspect_report_problem",
     "prefill_chunks",
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -14,7 +14,7 @@
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
 from cowslipshelf_core.internal.gateway.messages import EnginePart, EngineWork
-from cowslipshelf_core.internal.gateway.prompt_cost import pass_seconds
+from cowslipshelf_core.internal.gateway.prompt_cost import decode_pass_seconds
 
 ROUNDING_CHUNKS = 1e-9
 """Rest of a part that is only a rounding error."""
@@ -159,7 +159,7 @@
         """Return the time of a pass that reads nothing."""
         writers = sum(followed.writing for followed in self.parts.values())
         context = sum(each.part.memory_tokens for each in self.parts.values())
-        return pass_seconds(model, writers, context)
+        return decode_pass_seconds(model, writers, context)
 
     def read_alone(self, begins_at: float, now: float) -> bool:
         """Read without writers, whose passes are too short to count.
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -20,7 +20,7 @@
 from cowslipshelf_core.internal.gateway.messages import EngineWork
 from cowslipshelf_core.internal.gateway.prompt_cost import (
     PromptSize,
-    pass_seconds,
+    decode_pass_seconds,
     prefill_seconds,
 )
 
@@ -122,7 +122,9 @@
 ) -> Seen:
     """Work out what a candidate is about to do."""
     view = board.view(candidate.upstream_id, model, now)
-    seconds = pass_seconds(model, len(view.decoding_attempts) + 1, view.memory_tokens)
+    seconds = decode_pass_seconds(
+        model, len(view.decoding_attempts) + 1, view.memory_tokens
+    )
     pace = EnginePace(
         view.pass_left_seconds,
         seconds * candidate.slowness,
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -32,7 +32,7 @@
     return max(1, math.ceil(tokens / parts / model.chunk_tokens))
 
 
-def pass_seconds(model: EngineModel, writers: int, context_tokens: int) -> float:
+def decode_pass_seconds(model: EngineModel, writers: int, context_tokens: int) -> float:
     """Return the time of a pass that reads nothing, with some requests writing."""
     step = (
         model.step_seconds
--- a/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cowslipshelf_core.gateway import EngineModel, pass_seconds
+from cowslipshelf_core.gateway import EngineModel, decode_pass_seconds
 
 
 @dataclass(slots=True)
@@ -130,7 +130,7 @@
     def step_seconds(self) -> float:
         """Return the time of a step that reads nothing."""
         context = sum(each.context_tokens for each in self.writing)
-        whole = pass_seconds(self.model, len(self.writing), context)
+        whole = decode_pass_seconds(self.model, len(self.writing), context)
         return whole / self.model.steps_per_pass
 
     def fill_slots(self) -> None:
--- a/tests/cover/emulator/test_engine.py
+++ b/tests/cover/emulator/test_engine.py
@@ -3,7 +3,7 @@
 import pytest
 
 from common.gateway_samples import ENGINE
-from cowslipshelf_core.gateway import pass_seconds, prefill_seconds
+from cowslipshelf_core.gateway import decode_pass_seconds, prefill_seconds
 from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
 
 URGENT, USUAL = 3, 5
@@ -16,11 +16,11 @@
 def test_a_prompt_on_an_idle_engine_has_its_first_event_as_soon_as_it_is_read():
     alone = engine()
     alone.admit(Reading("a", 2_000, 68), USUAL)
-    step = pass_seconds(ENGINE, 1, 2_000) / ENGINE.steps_per_pass
+    step = decode_pass_seconds(ENGINE, 1, 2_000) / ENGINE.steps_per_pass
     seconds = alone.begin_pass()
     assert seconds == pytest.approx(prefill_seconds(ENGINE, 2_000) + step)
     assert alone.end_pass().events == ("a",)
-    assert alone.begin_pass() == pytest.approx(pass_seconds(ENGINE, 1, 2_034))
+    assert alone.begin_pass() == pytest.approx(decode_pass_seconds(ENGINE, 1, 2_034))
     assert alone.end_pass().finished == ("a",)
     assert alone.begin_pass() is None
 
