--- a/tests/cover/emulator/test_draws.py
+++ b/tests/cover/emulator/test_draws.py
@@ -3,7 +3,7 @@
 from statistics import mean
 from unittest.mock import patch
 
-from cowslipshelf_core.internal.gateway import engine_placing
+from cowslipshelf_core.internal.gateway import prompt_placement
 from cowslipshelf_emulator.internal.fleet import Delays, build
 from cowslipshelf_emulator.internal.load import NILEGATE_LARGE, draw
 from cowslipshelf_emulator.internal.measures import Figures, figures
@@ -24,7 +24,7 @@
 def play(seed: int, most_for_short: int) -> Figures:
     arrivals = draw(QUARTER, 20.0, 1.0, seed)
     patched = {"MOST_LOOKED_AT_FOR_SHORT": most_for_short}
-    with patch.multiple(engine_placing, **patched):
+    with patch.multiple(prompt_placement, **patched):
         fleet = build(QUARTER, LeastHarm, seed)
         fleet.delays = LATE_WORD
         return figures(fleet.play(arrivals))
@@ -38,8 +38,8 @@
     waits for a slot. Measured in this play, 24 engines weighed and 8: 0.960 and 0.989
     of short prompts in time, worth 0.978 and 0.994.
     """
-    many = [play(seed, engine_placing.MOST_LOOKED_AT) for seed in SEEDS]
-    few = [play(seed, engine_placing.MOST_LOOKED_AT_FOR_SHORT) for seed in SEEDS]
+    many = [play(seed, prompt_placement.MOST_LOOKED_AT) for seed in SEEDS]
+    few = [play(seed, prompt_placement.MOST_LOOKED_AT_FOR_SHORT) for seed in SEEDS]
     assert in_time(few) > in_time(many)
     assert mean(each.worth for each in few) > mean(each.worth for each in many)
 
