--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -39,7 +39,7 @@
     services: tuple[WeightedService, ...]
     priority: int = 0
     """Zero is the most urgent."""
-    most_attempts: int = 1
+    max_attempts: int = 1
     """Upstreams that one request may be sent to."""
     public: bool = False
     resumable: bool = False
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -239,7 +239,7 @@
         # Until the outcome is known, the upstream may be running it: a timeout in
         # between must not be answered with the promise that it did not.
         ran_before, progress.may_have_run = progress.may_have_run, True
-        may_repeat = task.route.repeatable and progress.sent < task.route.most_attempts
+        may_repeat = task.route.repeatable and progress.sent < task.route.max_attempts
         patience = patience_of(
             task.route,
             placement.upstream.service,
@@ -393,6 +393,6 @@
         case NotReached():
             return progress.unreached < MOST_UNREACHED
         case NotRun():
-            return progress.sent < task.route.most_attempts
+            return progress.sent < task.route.max_attempts
         case _:
-            return task.route.repeatable and progress.sent < task.route.most_attempts
+            return task.route.repeatable and progress.sent < task.route.max_attempts
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -69,7 +69,7 @@
     def __init__(self, *outcomes: AttemptOutcome, **changes) -> None:
         self.view = FleetView.from_settings(GATEWAY_SETTINGS)
         self.told: list[str] = []
-        usual = {"most_attempts": 3}
+        usual = {"max_attempts": 3}
         routes = configuration(route(**(usual | changes)))
         self.view.put_in_force(RoutesDocument(1, "", b""), routes)
         for number in range(8):
