--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -76,7 +76,7 @@
     """Describe the upstreams of a service."""
 
     name: ServiceName
-    most_connections: int
+    max_connections: int
     """Connections that one upstream accepts from all callers together."""
     engine: EngineModel | None = None
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -287,7 +287,7 @@
         service = None if known is None else services.get(known.heartbeat.service)
         if service is None:
             return 1
-        return max(1, service.most_connections // (2 * self.gateways()))
+        return max(1, service.max_connections // (2 * self.gateways()))
 
     def gateways(self) -> int:
         """Return how many gateways there seem to be, this one included."""
