--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -61,7 +61,7 @@
     @property
     def needed_tokens(self) -> int:
         """Return the memory that the prompt and its answer may take."""
-        return self.size.prompt_tokens + self.size.most_output_tokens
+        return self.size.prompt_tokens + self.size.max_output_tokens
 
 
 class Seen(NamedTuple):
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -10,7 +10,7 @@
     """Say how long a prompt is and how long its answer may be, in tokens."""
 
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
 
 
 def prefill_seconds(model: EngineModel, tokens: int, parts: int = 1) -> float:
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -64,7 +64,7 @@
     def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose one engine; what it can't hold is refused."""
         del now
-        tokens = asked.size.prompt_tokens + asked.size.most_output_tokens
+        tokens = asked.size.prompt_tokens + asked.size.max_output_tokens
         if tokens > self.model.memory_tokens:
             return NoEngine("too large for one engine", 1.0)
         part = EnginePart(self.pick(), 0.0, 1, True, tokens)
