--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -198,7 +198,7 @@
         Who sends many requests that each end one upstream must not make room for one
         that has ended more.
         """
-        while len(self.suspects) > self.config.most_suspects:
+        while len(self.suspects) > self.config.max_suspects:
             del self.suspects[min(self.suspects, key=self.weight)]
 
     def weight(self, digest: RequestDigest) -> tuple[int, float]:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -54,7 +54,7 @@
     """Age of its last end at which a request that is not held back is forgotten."""
     forget_held_seconds: float = 6 * 3600.0
     """Age at which one that is held back is forgotten."""
-    most_suspects: int = 2_000
+    max_suspects: int = 2_000
     """Requests that are remembered."""
 
 
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -156,7 +156,7 @@
 
 def test_many_requests_with_an_end_each_make_no_room_for_a_worse_one():
     """Guards against a customer that hides a request in a flood of others."""
-    held = quarantine(most_suspects=10)
+    held = quarantine(max_suspects=10)
     ended(held, "u-1", "u-2", "u-3")
     for number in range(100):
         digest = request_digest("c", "POST", "host", "/x", b"%d" % number)
