--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -225,7 +225,7 @@
             del self.known[peer]
         return old
 
-    def founder(self) -> InstanceId | None:
+    def bootstrap_instance(self) -> InstanceId | None:
         """Name the gateway that founds the cluster, once its choice is certain.
 
         All gateways of a first start have the same seeds. The lowest seed that holds a
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -200,7 +200,7 @@
             return
         if now - self.started < FOUND_AFTER_SECONDS:
             return
-        if self.view.peers.founder() == settings.instance:
+        if self.view.peers.bootstrap_instance() == settings.instance:
             self.founded = True
             LOG.info("Cluster founded.", replicas=self.replicas)
             self.actor.tell(FoundCluster())
--- a/tests/cover/gateway_core/test_peer_table.py
+++ b/tests/cover/gateway_core/test_peer_table.py
@@ -34,16 +34,18 @@
     first = book("10.0.0.1", holds_replica=False)
     second = book("10.0.0.2")
     third = book("10.0.0.3")
-    assert second.founder() is None
+    assert second.bootstrap_instance() is None
     for each in (second, third):
         each.record_alive("10.0.0.1", alive(holds_replica=False), 0.0)
     first.record_alive("10.0.0.2", alive(), 0.0)
     third.record_alive("10.0.0.2", alive(), 0.0)
-    assert {each.founder() for each in (first, second, third)} == {"10.0.0.2"}
+    assert {each.bootstrap_instance() for each in (first, second, third)} == {
+        "10.0.0.2"
+    }
 
 
 def test_one_that_has_not_heard_a_lower_seed_waits():
-    assert book("10.0.0.3").founder() is None
+    assert book("10.0.0.3").bootstrap_instance() is None
 
 
 def test_a_silent_gateway_is_told_on_until_it_is_forgotten():
