--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -41,7 +41,7 @@
 SPREAD_COST = 0.016
 """Charged for each further engine, in short questions; parts of a few milliseconds
 gain less than the extra passes cost."""
-MOST_LOOKED_AT = 24
+MAX_ENGINES_WEIGHED = 24
 """Engines that are weighed for a prompt that one engine can hold, drawn anew each time.
 A long one may be read by 16; weighing more costs a processor as much as it gains."""
 MOST_LOOKED_AT_FOR_SHORT = 8
@@ -141,7 +141,7 @@
     if asked.needed_tokens > model.memory_tokens:
         return NO_BOUND
     short = prefill_seconds(model, asked.size.prompt_tokens) < SHORT_READ_SECONDS
-    return MOST_LOOKED_AT_FOR_SHORT if short else MOST_LOOKED_AT
+    return MOST_LOOKED_AT_FOR_SHORT if short else MAX_ENGINES_WEIGHED
 
 
 def shortest_wait(seen: list[Seen]) -> float:
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -41,7 +41,7 @@
     "charge for a further engine": Switch((("prompt_placement.SPREAD_COST", 0.0),)),
     "draw of engines to weigh": Switch(
         (
-            ("prompt_placement.MOST_LOOKED_AT", 10_000),
+            ("prompt_placement.MAX_ENGINES_WEIGHED", 10_000),
             ("prompt_placement.MOST_LOOKED_AT_FOR_SHORT", 10_000),
         )
     ),
--- a/tests/cover/emulator/test_draws.py
+++ b/tests/cover/emulator/test_draws.py
@@ -38,7 +38,7 @@
     waits for a slot. Measured in this play, 24 engines weighed and 8: 0.960 and 0.989
     of short prompts in time, worth 0.978 and 0.994.
     """
-    many = [play(seed, prompt_placement.MOST_LOOKED_AT) for seed in SEEDS]
+    many = [play(seed, prompt_placement.MAX_ENGINES_WEIGHED) for seed in SEEDS]
     few = [play(seed, prompt_placement.MOST_LOOKED_AT_FOR_SHORT) for seed in SEEDS]
     assert in_time(few) > in_time(many)
     assert mean(each.worth for each in few) > mean(each.worth for each in many)
