--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -44,7 +44,7 @@
 MAX_ENGINES_WEIGHED = 24
 """Engines that are weighed for a prompt that one engine can hold, drawn anew each time.
 A long one may be read by 16; weighing more costs a processor as much as it gains."""
-MOST_LOOKED_AT_FOR_SHORT = 8
+MAX_ENGINES_WEIGHED_FOR_SHORT = 8
 """The same for a prompt that is read at once. Such prompts come by the hundred, and
 gateways that weigh the same engines meet on the cheapest one before they have heard of
 each other: each further one waits there for a slot. A few drawn at random are nearly as
@@ -141,7 +141,7 @@
     if asked.needed_tokens > model.memory_tokens:
         return NO_BOUND
     short = prefill_seconds(model, asked.size.prompt_tokens) < SHORT_READ_SECONDS
-    return MOST_LOOKED_AT_FOR_SHORT if short else MAX_ENGINES_WEIGHED
+    return MAX_ENGINES_WEIGHED_FOR_SHORT if short else MAX_ENGINES_WEIGHED
 
 
 def shortest_wait(seen: list[Seen]) -> float:
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -42,7 +42,7 @@
     "draw of engines to weigh": Switch(
         (
             ("prompt_placement.MAX_ENGINES_WEIGHED", 10_000),
-            ("prompt_placement.MOST_LOOKED_AT_FOR_SHORT", 10_000),
+            ("prompt_placement.MAX_ENGINES_WEIGHED_FOR_SHORT", 10_000),
         )
     ),
     "late writers count less": Switch(
--- a/tests/cover/emulator/test_draws.py
+++ b/tests/cover/emulator/test_draws.py
@@ -23,7 +23,7 @@
 
 def play(seed: int, most_for_short: int) -> Figures:
     arrivals = draw(QUARTER, 20.0, 1.0, seed)
-    patched = {"MOST_LOOKED_AT_FOR_SHORT": most_for_short}
+    patched = {"MAX_ENGINES_WEIGHED_FOR_SHORT": most_for_short}
     with patch.multiple(prompt_placement, **patched):
         fleet = build(QUARTER, LeastHarm, seed)
         fleet.delays = LATE_WORD
@@ -39,7 +39,7 @@
     of short prompts in time, worth 0.978 and 0.994.
     """
     many = [play(seed, prompt_placement.MAX_ENGINES_WEIGHED) for seed in SEEDS]
-    few = [play(seed, prompt_placement.MOST_LOOKED_AT_FOR_SHORT) for seed in SEEDS]
+    few = [play(seed, prompt_placement.MAX_ENGINES_WEIGHED_FOR_SHORT) for seed in SEEDS]
     assert in_time(few) > in_time(many)
     assert mean(each.worth for each in few) > mean(each.worth for each in many)
 
