--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -38,7 +38,7 @@
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
 """Numbers of engines that are tried for one prompt; the engines take 16 helpers."""
-SPREAD_COST = 0.016
+EXTRA_ENGINE_COST = 0.016
 """Charged for each further engine, in short questions; parts of a few milliseconds
 gain less than the extra passes cost."""
 MAX_ENGINES_WEIGHED = 24
@@ -125,7 +125,7 @@
     best: EnginesChosen | None = None
     choose = choose_parts if placing.roomy else share_memory
     for parts in PART_COUNTS:
-        least = SPREAD_COST * (parts - 1)
+        least = EXTRA_ENGINE_COST * (parts - 1)
         if parts > len(placing.seen) or (best is not None and best.cost <= least):
             break
         if parts > 1 and is_short(placing.asked, placing.model, parts // 2):
@@ -225,7 +225,7 @@
         worth * lateness(first_token / placing.asked.objective_seconds)
         + worth * max(share.seen.candidate.penalty for share in shares)
         + sum(share.harm for share in shares)
-        + SPREAD_COST * len(helpers)
+        + EXTRA_ENGINE_COST * len(helpers)
     )
     parts = tuple(
         EnginePart(
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -38,7 +38,9 @@
     "harm to those who wait": Switch((("placement_cost.harm_to_waiting", nothing),)),
     "cost of sharing an engine": Switch((("placement_cost.sharing_cost", nothing),)),
     "charge for an empty engine": Switch((("placement_cost.EMPTY_ENGINE_COST", 0.0),)),
-    "charge for a further engine": Switch((("prompt_placement.SPREAD_COST", 0.0),)),
+    "charge for a further engine": Switch(
+        (("prompt_placement.EXTRA_ENGINE_COST", 0.0),)
+    ),
     "draw of engines to weigh": Switch(
         (
             ("prompt_placement.MAX_ENGINES_WEIGHED", 10_000),
