--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -170,7 +170,7 @@
 def writer_share(seen: Seen, part: Part, placing: Placing) -> Share:
     """Say what it comes to that an engine reads a part and writes the answer."""
     after = outlook([*seen.pending, part.on(seen)], seen.pace)
-    harm = harm_to_writers(seen, after) + sharing_cost(seen, placing)
+    harm = harm_to_decoding(seen, after) + sharing_cost(seen, placing)
     ready = after.ready_seconds[-1]
     first_token = ready + until_written(seen, alone=True)
     return Share(seen, ready, harm, harm + own_cost(seen, first_token, placing))
@@ -179,7 +179,7 @@
 def helper_share(seen: Seen, part: Part, placing: Placing) -> Share:
     """Say what it comes to that an engine reads a part for another one."""
     after = outlook([part.on(seen), *seen.pending], seen.pace)
-    harm = harm_to_writers(seen, after) + harm_to_waiting(seen, after, placing)
+    harm = harm_to_decoding(seen, after) + harm_to_waiting(seen, after, placing)
     # An engine that helps as many as it has slots refuses any more.
     refused = seen.view.helping >= placing.model.slots
     rank = harm + own_cost(seen, after.ready_seconds[0], placing)
@@ -208,7 +208,7 @@
     return full + empty + work.value * held_up(seen.pace.writing_seconds, work)
 
 
-def harm_to_writers(seen: Seen, after: Outlook) -> float:
+def harm_to_decoding(seen: Seen, after: Outlook) -> float:
     """Return what longer passes cost those who write on an engine.
 
     A pass with writers has one step for each of the tokens of an event, and each
