--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -179,7 +179,7 @@
 def helper_share(seen: Seen, part: Part, placing: Placing) -> Share:
     """Say what it comes to that an engine reads a part for another one."""
     after = outlook([part.on(seen), *seen.pending], seen.pace)
-    harm = harm_to_decoding(seen, after) + harm_to_waiting(seen, after, placing)
+    harm = harm_to_decoding(seen, after) + harm_to_queued(seen, after, placing)
     # An engine that helps as many as it has slots refuses any more.
     refused = seen.view.helping >= placing.model.slots
     rank = harm + own_cost(seen, after.ready_seconds[0], placing)
@@ -225,7 +225,7 @@
     return harm
 
 
-def harm_to_waiting(seen: Seen, after: Outlook, placing: Placing) -> float:
+def harm_to_queued(seen: Seen, after: Outlook, placing: Placing) -> float:
     """Return what a part that goes ahead costs those whose parts wait there."""
     later = zip(
         seen.view.unread,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -35,7 +35,7 @@
     ALL_ON: Switch(),
     "several engines for one prompt": Switch((("prompt_placement.PART_COUNTS", (1,)),)),
     "harm to those who write": Switch((("placement_cost.harm_to_decoding", nothing),)),
-    "harm to those who wait": Switch((("placement_cost.harm_to_waiting", nothing),)),
+    "harm to those who wait": Switch((("placement_cost.harm_to_queued", nothing),)),
     "cost of sharing an engine": Switch((("placement_cost.sharing_cost", nothing),)),
     "charge for an empty engine": Switch((("placement_cost.EMPTY_ENGINE_COST", 0.0),)),
     "charge for a further engine": Switch(
