--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class EnginePasses:
+class EngineSimulation:
     """Be one engine as its published model says that it goes on."""
 
     parts: dict[AttemptId, FollowedPart] = field(default_factory=dict)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -11,7 +11,7 @@
 
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
-from cowslipshelf_core.internal.gateway.engine_simulation import EnginePasses
+from cowslipshelf_core.internal.gateway.engine_simulation import EngineSimulation
 from cowslipshelf_core.internal.gateway.messages import (
     EngineWork,
     HeldWork,
@@ -96,7 +96,7 @@
     """Hold the attempts on engines, by attempt and by engine."""
 
     placed: dict[AttemptId, PlacedWork] = field(default_factory=dict)
-    passes: dict[UpstreamId, EnginePasses] = field(default_factory=dict)
+    passes: dict[UpstreamId, EngineSimulation] = field(default_factory=dict)
 
     def begin(self, work: EngineWork, owner: InstanceId, now: float) -> None:
         """Note an attempt that was placed by a gateway."""
@@ -104,7 +104,7 @@
             return
         self.placed[work.attempt_id] = PlacedWork(work, owner, now)
         for part in work.parts:
-            passes = self.passes.setdefault(part.upstream_id, EnginePasses())
+            passes = self.passes.setdefault(part.upstream_id, EngineSimulation())
             passes.place(work, part, now)
 
     def first_token(self, attempt_id: AttemptId, now: float) -> None:
@@ -124,7 +124,7 @@
         for passes in self.passes_of(placed.work):
             passes.end(attempt_id, now)
 
-    def passes_of(self, work: EngineWork) -> Iterator[EnginePasses]:
+    def passes_of(self, work: EngineWork) -> Iterator[EngineSimulation]:
         """Go through the engines of an attempt; some may be forgotten by now."""
         for part in work.parts:
             if part.upstream_id in self.passes:
