--- a/packages/core/src/cowslipshelf_core/gateway.py
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -1,4 +1,4 @@
-"""Offer what decides on requests that are served by route."""
+"""Export the decision logic of gateways, which serve requests by configured routes."""
 
 from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
 from cowslipshelf_core.internal.gateway.compression import (
--- a/packages/core/src/cowslipshelf_core/internal/gateway/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serve requests by route: matching, upstreams that announce themselves, placing."""
+"""Decide for a gateway: routes, upstream registry, placement, peers and retries."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/answer_times.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/answer_times.py
@@ -1,4 +1,4 @@
-"""Learn how long a service takes to answer, to tell slow upstreams from silent ones."""
+"""Estimate how long each service takes to answer, to detect upstreams that hang."""
 
 from dataclasses import dataclass, field
 
@@ -6,14 +6,15 @@
 
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
-"""Weights of one answer, as TCP has them for its retransmission timer (RFC 6298)."""
-DEVIATIONS_WAITED = 8.0
-"""Deviations beyond the mean that an answer is waited for. TCP takes four, for a round
-trip; work varies more, and one answer in a hundred takes five times the mean."""
-LEAST_WAITED_SECONDS = 0.25
-"""Shortest wait: below it, a pause of the interpreter or a lost packet looks alike."""
-ANSWERS_NEEDED = 10
-"""Answers before which a service's times are not judged by."""
+"""Smoothing weights of one answer, as in TCP's retransmission timer (RFC 6298)."""
+TIMEOUT_DEVIATIONS = 8.0
+"""Deviations above the mean after which an answer times out. TCP uses four for round
+trips; request durations vary more, and one in a hundred takes five times the mean."""
+MIN_TIMEOUT_SECONDS = 0.25
+"""Lower bound on the timeout: a pause of the interpreter or a lost packet delays an
+answer by about as long."""
+MIN_ANSWERS = 10
+"""Answers needed before a service's times are used."""
 
 
 @dataclass(slots=True)
@@ -27,15 +28,15 @@
 
 @dataclass(slots=True)
 class AnswerTimes:
-    """Hold the answer times of all services."""
+    """Track the answer times of all services."""
 
     services: dict[ServiceName, ServiceTimes] = field(default_factory=dict)
     answered_routes: set[str] = field(default_factory=set)
-    """Routes of which an answer was seen. A route may ask for work that takes longer
-    than its callers wait; the silence of a sound upstream is then no sign."""
+    """Routes that were answered at least once. A route's work may take longer than its
+    callers wait, and then a healthy upstream is silent too."""
 
     def add(self, service: ServiceName, seconds: float) -> None:
-        """Note a whole answer."""
+        """Record the duration of a complete answer."""
         times = self.services.setdefault(service, ServiceTimes())
         times.answers += 1
         if times.answers == 1:
@@ -47,16 +48,16 @@
         times.mean += MEAN_WEIGHT * error
 
     def answer_timeout(self, service: ServiceName) -> float | None:
-        """Return how long an answer is worth waiting for; nothing where not known."""
+        """Return the timeout for an answer in seconds, or None with too few answers."""
         times = self.services.get(service)
-        if times is None or times.answers < ANSWERS_NEEDED:
+        if times is None or times.answers < MIN_ANSWERS:
             return None
-        wait = times.mean + DEVIATIONS_WAITED * times.deviation
-        return max(LEAST_WAITED_SECONDS, wait)
+        wait = times.mean + TIMEOUT_DEVIATIONS * times.deviation
+        return max(MIN_TIMEOUT_SECONDS, wait)
 
     def slowness(self, service: ServiceName, seconds: float) -> float | None:
-        """Return how many times longer than usual an answer took."""
+        """Return an answer's duration as a multiple of the service's mean."""
         times = self.services.get(service)
-        if times is None or times.answers < ANSWERS_NEEDED:
+        if times is None or times.answers < MIN_ANSWERS:
             return None
         return seconds / max(times.mean, 1e-3)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""Define what operators configure for requests that are served by route."""
+"""Define the configuration of routes, services and customers that operators set."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class RouteKind(StrEnum):
-    """Say what may be repeated on a route."""
+    """Classify a route by whether its requests may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,14 +19,14 @@
 
 
 class WeightedService(NamedTuple):
-    """Give a service its share of a route's requests."""
+    """Assign a service its share of a route's requests."""
 
     service: ServiceName
     weight: float
 
 
 class Route(NamedTuple):
-    """Say which requests go to which services, and on what terms."""
+    """Map the requests of a host and path prefix to services."""
 
     name: str
     host: str
@@ -35,41 +35,41 @@
     kind: RouteKind
     timeout_seconds: float
     objective_seconds: float
-    """Time to the answer, or to a stream's first event, that earns full credit."""
+    """Latency objective: time to the answer, or to a stream's first event."""
     services: tuple[WeightedService, ...]
     priority: int = 0
     """Zero is the most urgent."""
     max_attempts: int = 1
-    """Upstreams that one request may be sent to."""
+    """Most upstreams that one request is sent to."""
     public: bool = False
     resumable: bool = False
     pause_seconds: float | None = None
-    """Longest pause between two events of a stream that is still on time."""
+    """Latency objective for the pause between two events of a stream."""
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         streams = self.kind is RouteKind.STREAM and self.resumable
         return streams or self.kind is RouteKind.IDEMPOTENT
 
 
 class EngineModel(NamedTuple):
-    """Say what work costs on the engines of a service."""
+    """Model the time that prefill and decode take on the engines of a service."""
 
     slots: int
     """Requests in one batch."""
     memory_tokens: int
     steps_per_pass: int
-    """Token steps of a pass in which at least one request writes."""
+    """Token steps of a pass in which at least one request decodes."""
     step_seconds: float
     step_seconds_per_decode: float
     step_seconds_per_context_token: float
-    """Added to each step for each token of context of a request that writes."""
+    """Added to each step for each token of context of a decoding request."""
     prefill_seconds_per_token: float
     prefill_seconds_per_pair: float
-    """Added for each pair of a prompt token and an earlier one."""
+    """Prefill time added for each pair of a prompt token and an earlier one."""
     chunk_tokens: int
-    """Most prompt tokens read in one step."""
+    """Most prompt tokens prefilled in one step."""
 
 
 class ServiceConfiguration(NamedTuple):
@@ -77,12 +77,12 @@
 
     name: ServiceName
     max_connections: int
-    """Connections that one upstream accepts from all callers together."""
+    """Connections that one upstream accepts from all gateways together."""
     engine: EngineModel | None = None
 
 
 class CallerLimits(NamedTuple):
-    """Bound what a caller may send, and how long it may take or stay idle."""
+    """Limit what a caller may send, and how long it may take or stay idle."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -91,16 +91,16 @@
 
 
 class GatewayCustomer(NamedTuple):
-    """Name a customer with the keys that its callers send."""
+    """Identify a customer by the keys that its callers send."""
 
     name: CustomerName
     keys: tuple[str, ...]
     priority: int | None = None
-    """Goes before the priority of the route."""
+    """Overrides the priority of the route."""
 
 
 class RouteConfiguration(NamedTuple):
-    """Be one whole configuration; the highest version is in force."""
+    """Hold a whole configuration; gateways apply the highest version."""
 
     version: ConfigurationVersion
     routes: tuple[Route, ...] = ()
--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration_checks.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Check that a configuration can be put in force."""
+"""Check that a configuration is valid."""
 
 from collections.abc import Iterator
 
@@ -9,12 +9,12 @@
 
 
 def configuration_problem(configuration: RouteConfiguration) -> str | None:
-    """Return the first reason for which a configuration is invalid, or nothing."""
-    return next(problems(configuration), None)
+    """Return the first problem of a configuration, or None if it is valid."""
+    return next(configuration_problems(configuration), None)
 
 
-def problems(configuration: RouteConfiguration) -> Iterator[str]:
-    """List every reason for which a configuration is invalid."""
+def configuration_problems(configuration: RouteConfiguration) -> Iterator[str]:
+    """Yield every problem of a configuration."""
     services = {service.name for service in configuration.services}
     places: set[tuple[str, str]] = set()
     for route in configuration.routes:
@@ -30,7 +30,7 @@
 
 
 def route_problems(route: Route) -> Iterator[str]:
-    """List what is wrong with a route by itself."""
+    """Yield the problems of one route, without regard to others."""
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         yield f"route {route.name}: the prefix must begin and end with a slash"
     if route.timeout_seconds <= 0:
@@ -42,7 +42,7 @@
 
 
 def key_problems(configuration: RouteConfiguration) -> Iterator[str]:
-    """List the keys that two customers share, without showing them."""
+    """Yield the pairs of customers that share a key, without the key itself."""
     holders: dict[str, str] = {}
     for customer in configuration.customers:
         for key in customer.keys:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/dialect.py
@@ -1,7 +1,8 @@
-"""Define what a gateway needs to know of the protocol that its peers speak.
+"""Define the interface between a gateway and the adapter of the outside protocol.
 
-The names of headers, paths and fields belong to whoever runs the machines. An adapter
-decodes them into these types and encodes them from these types; nothing else sees them.
+Callers, upstreams and operators use header names, paths and fields that are defined
+elsewhere. An adapter decodes them into these types and encodes them from these types;
+no other code depends on them.
 """
 
 from dataclasses import dataclass
@@ -20,7 +21,7 @@
 
 
 class CallerFacts(NamedTuple):
-    """Be what a caller's headers say of its request."""
+    """Hold what a caller's headers say about its request."""
 
     attempt_id: str
     key: str | None
@@ -30,27 +31,28 @@
 
 
 class PrefillHelper(NamedTuple):
-    """Be an engine that reads a part of a prompt for another one."""
+    """Identify an engine that prefills a part of a prompt for another engine."""
 
     address: str
     ticket: str | None = None
-    """Names memory that was reserved there for the prompt."""
+    """Name of the memory reserved there for the prompt."""
 
 
 class ForwardFacts(NamedTuple):
-    """Be what an upstream is told beside the caller's own request."""
+    """Hold what a gateway sends to an upstream besides the caller's request."""
 
     upstream_id: UpstreamId
     customer: CustomerName | None
     left_seconds: float
+    """Time until the request's deadline."""
     last_event_id: str | None
     priority: int | None = None
-    """Zero to nine, where zero is admitted first."""
+    """From zero, which is admitted first, to nine."""
     helpers: tuple[PrefillHelper, ...] = ()
 
 
 class OutgoingRequest(NamedTuple):
-    """Be a request as an upstream gets it."""
+    """Hold a request as it is sent to an upstream."""
 
     method: str
     target: str
@@ -59,7 +61,7 @@
 
 
 class MemoryTicket(NamedTuple):
-    """Name memory of an engine that is to be reserved for one prompt."""
+    """Identify memory to reserve on an engine for one prompt."""
 
     upstream_id: UpstreamId
     address: str
@@ -68,35 +70,35 @@
 
 
 class AnswerFacts(NamedTuple):
-    """Be what an upstream's headers say of its answer."""
+    """Hold what an upstream's headers say about its answer."""
 
     attempt_id: str | None
     not_run: bool
-    """Whether the upstream promises that the request did not run."""
+    """Whether the upstream guarantees that the request did not run."""
     keep_alive_seconds: float | None
-    """Time for which it keeps an idle connection open."""
+    """Time for which the upstream keeps an idle connection open."""
 
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """Ask for a configuration to be put in force."""
+    """Request that a configuration be applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """Ask for the configuration in force."""
+    """Request the applied configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordHeartbeat:
-    """Bring an upstream's heartbeat."""
+    """Deliver an upstream's heartbeat."""
 
     name: UpstreamName
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveUpstream:
-    """Say that an upstream leaves for good."""
+    """Announce that an upstream shuts down."""
 
     name: UpstreamName
 
@@ -105,23 +107,23 @@
 
 
 class ParsedConfiguration(NamedTuple):
-    """Be a configuration in both of its forms."""
+    """Hold a configuration as its document and as decoded types."""
 
     document: RoutesDocument
     configuration: RouteConfiguration
 
 
 class Dialect(Protocol):
-    """Translate between the protocol of the machines and the types above."""
+    """Translate between the outside protocol and the types above."""
 
     def is_readiness_probe(self, method: str, path: str) -> bool:
-        """Tell whether a request asks if this gateway is ready."""
+        """Return whether a request is a readiness probe of this gateway."""
 
     def control_call(self, method: str, path: str) -> ControlCall | None:
-        """Return what an operator or upstream asks for."""
+        """Decode a call of an operator or upstream; None for a caller's request."""
 
     def read_configuration(self, body: bytes) -> Result[ParsedConfiguration, str]:
-        """Decode a configuration, or say what can't be read in it."""
+        """Decode and check a configuration, or return the reason why it is invalid."""
 
     def read_accepted(self, body: bytes) -> Result[RouteConfiguration, str]:
         """Decode a configuration that was checked when it was accepted."""
@@ -129,12 +131,13 @@
     def read_heartbeat(
         self, name: UpstreamName, body: bytes
     ) -> Result[UpstreamHeartbeat, str]:
-        """Decode a heartbeat, or say what can't be read in it."""
+        """Decode a heartbeat, or return the reason why it is invalid."""
 
     def read_leaving(self, body: bytes) -> Result[int, str]:
-        """Decode when the start that leaves began, in milliseconds since 1970.
+        """Decode the start time of an upstream that shuts down.
 
-        Zero where that is not told; an error says what can't be read.
+        In milliseconds since 1970, zero if the upstream does not send it; an error is
+        the reason why the body is invalid.
         """
 
     def caller_facts(self, headers: Headers) -> CallerFacts:
@@ -147,19 +150,19 @@
         """Decode the headers of an upstream's answer."""
 
     def answer_headers(self, headers: Headers) -> Headers:
-        """Return the headers of an upstream's answer that its caller gets."""
+        """Return the headers of an upstream's answer to pass on to its caller."""
 
     def reserve_memory(self, ticket: MemoryTicket, seconds: float) -> OutgoingRequest:
-        """Ask an engine to set memory aside for a time, or to go on doing so."""
+        """Build the request to reserve memory on an engine, or to renew it."""
 
     def release_memory(self, ticket: MemoryTicket) -> OutgoingRequest:
-        """Tell an engine that its memory is wanted no more."""
+        """Build the request to release memory on an engine."""
 
     def ask_report(self, upstream_id: UpstreamId, address: str) -> OutgoingRequest:
-        """Ask an engine how it is, which it answers whatever it works on."""
+        """Build a status request, which an engine answers whatever it works on."""
 
     def is_memory_granted(self, status: int) -> bool:
-        """Tell whether an engine has set the memory aside."""
+        """Return whether an answer's status means that memory was reserved."""
 
     def refusal_headers(self, attempt_id: str) -> Headers:
-        """Return the headers that go with an answer of our own."""
+        """Return the headers of an answer that the gateway itself gives."""
