--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -1,9 +1,9 @@
-"""Follow what an engine does, pass by pass, from what was placed on it.
+"""Simulate the passes of an engine from the attempts that were placed on it.
 
-A pass takes up what is unread when it begins; whoever comes later waits for its end,
-however urgent. With writers a pass reads up to a chunk in each of its steps, so one
-that reads long prompts lasts up to seconds, and the time that is left of it decides
-whether a short prompt is in time there.
+A pass prefills the parts that are pending when it begins; later ones wait for its end,
+however urgent. A pass that also decodes prefills up to one chunk in each step, so with
+long prompts it lasts up to seconds, and the rest of it decides whether a short prompt
+is in time there.
 """
 
 import math
@@ -17,32 +17,32 @@
 from cowslipshelf_core.internal.gateway.prompt_cost import decode_pass_seconds
 
 ROUNDING_CHUNKS = 1e-9
-"""Rest of a part that is only a rounding error."""
-LEAST_PASS_SECONDS = 1e-4
-"""Length of a pass whose steps take no time by their model: following such an engine
-would come to no end. A real pass takes four hundred times as long."""
+"""A smaller rest of a part is a rounding error."""
+MIN_PASS_SECONDS = 1e-4
+"""Length of a pass whose steps take no time in their model: the simulation of such an
+engine would not end. A real pass takes four hundred times as long."""
 
 
 @dataclass(slots=True)
-class FollowedPart:
-    """Be what an engine does of one attempt."""
+class TrackedPart:
+    """Hold the simulated progress of one attempt on an engine."""
 
     work: EngineWork
     part: EnginePart
     begun_at: float
     left_seconds: float
     left_chunks: float
-    writing: bool = False
+    decoding: bool = False
     late: bool = False
-    """Whether its first event or a pause came too late already."""
+    """Whether its first event or a later one came too late already."""
 
     @property
-    def is_read(self) -> bool:
-        """Tell whether nothing is left to read, the pass under way included."""
+    def is_prefilled(self) -> bool:
+        """Return whether the prefill is done by the end of the current pass."""
         return self.left_chunks <= 0.0
 
-    def read(self, chunks: float) -> float:
-        """Read so many chunks; return the time that it takes."""
+    def prefill(self, chunks: float) -> float:
+        """Prefill a number of chunks; return the time that it takes."""
         seconds = self.left_seconds * chunks / self.left_chunks
         self.left_seconds -= seconds
         self.left_chunks -= chunks
@@ -51,131 +51,139 @@
         return seconds
 
 
-class DueChange(NamedTuple):
-    """Be a change that happened since the engine was last looked at."""
+class PendingChange(NamedTuple):
+    """Hold a change that the simulation has not reached yet."""
 
     at: float
-    make: Callable[[], None]
+    apply: Callable[[], None]
 
 
 @dataclass(slots=True)
 class EngineSimulation:
-    """Be one engine as its published model says that it goes on."""
+    """Simulate one engine by the model of its service."""
 
-    parts: dict[AttemptId, FollowedPart] = field(default_factory=dict)
+    parts: dict[AttemptId, TrackedPart] = field(default_factory=dict)
     """In the order in which they were placed."""
-    due: list[DueChange] = field(default_factory=list)
+    pending_changes: list[PendingChange] = field(default_factory=list)
     clock: float = -math.inf
     pass_ends_at: float = -math.inf
     model: EngineModel | None = None
-    """As it was when the engine was last looked at."""
+    """Model used when the simulation last advanced."""
 
-    # Changes, which are made in the order of their times.
+    # Reported changes, applied in the order of their times.
 
     def place(self, work: EngineWork, part: EnginePart, at: float) -> None:
-        """Note a part that was placed at a time."""
-        followed = FollowedPart(work, part, at, part.prefill_seconds, part.chunks)
-        self.due.append(
-            DueChange(at, lambda: self.parts.update({work.attempt_id: followed}))
+        """Add a part that was placed at a time."""
+        tracked = TrackedPart(work, part, at, part.prefill_seconds, part.chunks)
+        self.pending_changes.append(
+            PendingChange(at, lambda: self.parts.update({work.attempt_id: tracked}))
         )
 
     def first_token(self, attempt_id: AttemptId, at: float) -> None:
-        """Note that all parts of an attempt have been read."""
-        self.due.append(DueChange(at, lambda: self.note_written(attempt_id, at)))
+        """Record that all parts of an attempt have been prefilled."""
+        self.pending_changes.append(
+            PendingChange(at, lambda: self.finish_prefill(attempt_id, at))
+        )
 
     def end(self, attempt_id: AttemptId, at: float) -> None:
-        """Note that an attempt is over."""
-        self.due.append(DueChange(at, lambda: self.parts.pop(attempt_id, None)))
+        """Record that an attempt has ended."""
+        self.pending_changes.append(
+            PendingChange(at, lambda: self.parts.pop(attempt_id, None))
+        )
 
-    def note_written(self, attempt_id: AttemptId, at: float) -> None:
-        """Let an attempt write; an engine that only helped is done with it."""
-        followed = self.parts.get(attempt_id)
-        if followed is None:
+    def finish_prefill(self, attempt_id: AttemptId, at: float) -> None:
+        """Start an attempt's decode, or drop it if this engine only helped."""
+        tracked = self.parts.get(attempt_id)
+        if tracked is None:
             return
-        followed.left_seconds = followed.left_chunks = 0.0
-        if followed.part.decodes:
-            followed.writing = True
-            waited = at - followed.begun_at
-            followed.late |= waited > followed.work.objective_seconds
-            self.meet_pass(at)
-        elif not followed.part.memory_tokens:
+        tracked.left_seconds = tracked.left_chunks = 0.0
+        if tracked.part.decodes:
+            tracked.decoding = True
+            waited = at - tracked.begun_at
+            tracked.late |= waited > tracked.work.objective_seconds
+            self.sync_pass_end(at)
+        elif not tracked.part.memory_tokens:
             del self.parts[attempt_id]
 
-    def meet_pass(self, at: float) -> None:
-        """Set the clock by an event, with which a pass has just ended.
+    def sync_pass_end(self, at: float) -> None:
+        """Correct the end of the current pass by an event, which ends a pass.
 
-        Only where nothing is read, as else its word may come late of a pass that is
-        over; so the passes of an engine that only writes are met within milliseconds.
+        Not while parts are pending, since the report of the event may belong to an
+        earlier pass. So the passes of an engine that only decodes are known within
+        milliseconds.
         """
-        if not self.unread():
+        if not self.pending_parts():
             self.pass_ends_at = min(self.pass_ends_at, at)
 
-    # The passes.
+    # Passes.
 
-    def follow(self, model: EngineModel, now: float) -> None:
-        """Let the engine go on until a time."""
+    def advance(self, model: EngineModel, now: float) -> None:
+        """Simulate up to a time, applying the changes on the way."""
         self.model = model
-        due, self.due = sorted(self.due, key=lambda change: change.at), []
-        for change in due:
+        changes, self.pending_changes = (
+            sorted(self.pending_changes, key=lambda change: change.at),
+            [],
+        )
+        for change in changes:
             self.run_until(model, change.at)
-            change.make()
+            change.apply()
         self.run_until(model, now)
 
     def run_until(self, model: EngineModel, now: float) -> None:
-        """Begin every pass that begins before a time; late word changes nothing."""
+        """Simulate every pass that begins up to a time; never go back in time."""
         while self.pass_ends_at <= now:
             begins_at = max(self.pass_ends_at, self.clock)
-            if any(followed.writing for followed in self.parts.values()):
+            if any(tracked.decoding for tracked in self.parts.values()):
                 self.begin_pass(model, begins_at, now)
-            elif not self.read_alone(begins_at, now):
+            elif not self.prefill_only(begins_at, now):
                 break
         self.clock = max(self.clock, now)
 
     def begin_pass(self, model: EngineModel, begins_at: float, now: float) -> None:
-        """Begin a pass with writers; where nothing is read, skip to the last one."""
-        unread = self.unread()
+        """Begin a pass that decodes; with no prefills pending, skip to the last one."""
+        pending = self.pending_parts()
         chunks = float(model.steps_per_pass)
-        reading = 0.0
-        for followed in unread:
-            taken = min(chunks, followed.left_chunks)
-            reading += followed.read(taken)
+        prefilling = 0.0
+        for tracked in pending:
+            taken = min(chunks, tracked.left_chunks)
+            prefilling += tracked.prefill(taken)
             chunks -= taken
-            self.begin_writing(followed)
+            self.start_decoding(tracked)
             if chunks <= 0.0:
                 break
-        seconds = max(LEAST_PASS_SECONDS, reading + self.writing_seconds(model))
-        self.note_late(seconds)
-        if not unread:
+        seconds = max(MIN_PASS_SECONDS, prefilling + self.decode_seconds(model))
+        self.mark_late(seconds)
+        if not pending:
             seconds *= math.floor(max(0.0, now - begins_at) / seconds) + 1
         self.pass_ends_at = begins_at + seconds
 
-    def note_late(self, seconds: float) -> None:
-        """Note who is held up for too long by a pass."""
-        for followed in self.parts.values():
-            if followed.writing and seconds > followed.work.pause_seconds:
-                followed.late = True
+    def mark_late(self, seconds: float) -> None:
+        """Mark the attempts for which a pass makes a pause too long."""
+        for tracked in self.parts.values():
+            if tracked.decoding and seconds > tracked.work.pause_seconds:
+                tracked.late = True
 
-    def writing_seconds(self, model: EngineModel) -> float:
-        """Return the time of a pass that reads nothing."""
-        writers = sum(followed.writing for followed in self.parts.values())
+    def decode_seconds(self, model: EngineModel) -> float:
+        """Return the time of a pass that prefills nothing."""
+        decoding = sum(tracked.decoding for tracked in self.parts.values())
         context = sum(each.part.memory_tokens for each in self.parts.values())
-        return decode_pass_seconds(model, writers, context)
+        return decode_pass_seconds(model, decoding, context)
 
-    def read_alone(self, begins_at: float, now: float) -> bool:
-        """Read without writers, whose passes are too short to count.
+    def prefill_only(self, begins_at: float, now: float) -> bool:
+        """Prefill while nothing decodes, when passes are too short to matter.
 
-        Returns whether somebody begins to write before `now`.
+        Returns whether an attempt begins to decode before `now`.
         """
         left = now - begins_at
-        for followed in self.unread():
-            seconds = min(left, followed.left_seconds)
-            if followed.left_seconds <= left:
-                followed.read(followed.left_chunks)
+        for tracked in self.pending_parts():
+            seconds = min(left, tracked.left_seconds)
+            if tracked.left_seconds <= left:
+                tracked.prefill(tracked.left_chunks)
             else:
-                followed.read(followed.left_chunks * seconds / followed.left_seconds)
+                tracked.prefill(tracked.left_chunks * seconds / tracked.left_seconds)
             left -= seconds
-            self.begin_writing(followed)
-            if followed.writing:
+            self.start_decoding(tracked)
+            if tracked.decoding:
                 self.pass_ends_at = now - left
                 return True
             if left <= 0.0:
@@ -184,31 +192,31 @@
         self.clock = now
         return False
 
-    def begin_writing(self, followed: FollowedPart) -> None:
-        """Let a prompt write that was read to its end by this engine alone."""
-        alone = followed.part.decodes and len(followed.work.parts) == 1
-        if alone and followed.is_read:
-            followed.writing = True
+    def start_decoding(self, tracked: TrackedPart) -> None:
+        """Start the decode of an attempt that this engine alone has prefilled."""
+        alone = tracked.part.decodes and len(tracked.work.parts) == 1
+        if alone and tracked.is_prefilled:
+            tracked.decoding = True
 
-    def unread(self) -> list[FollowedPart]:
-        """Return what no pass has taken up yet, in the order of reading.
+    def pending_parts(self) -> list[TrackedPart]:
+        """Return the parts that no pass has finished, in the order of their prefill.
 
-        A part that is read for another engine goes ahead of all that is unread, such
-        parts that came before included; own prompts are read in their order.
+        A part for another engine goes before all others, also before such parts that
+        came earlier; the engine's own prompts keep their order.
         """
-        left = [followed for followed in self.parts.values() if not followed.is_read]
-        helping = [followed for followed in left if not followed.part.decodes]
-        own = [followed for followed in left if followed.part.decodes]
+        left = [tracked for tracked in self.parts.values() if not tracked.is_prefilled]
+        helping = [tracked for tracked in left if not tracked.part.decodes]
+        own = [tracked for tracked in left if tracked.part.decodes]
         return [*reversed(helping), *own]
 
-    def pass_left(self, now: float) -> float:
-        """Return the time that is left of the pass under way."""
+    def time_to_pass_end(self, now: float) -> float:
+        """Return the time until the current pass ends."""
         return max(0.0, self.pass_ends_at - now)
 
-    def reading_left(self, now: float) -> float:
-        """Return the time until all that was placed here will have been read."""
+    def prefill_left_seconds(self, now: float) -> float:
+        """Return the time until all parts placed here are prefilled."""
         if self.model is None:
             return 0.0
-        self.follow(self.model, now)
-        unread = sum(followed.left_seconds for followed in self.unread())
-        return self.pass_left(now) + unread
+        self.advance(self.model, now)
+        pending = sum(tracked.left_seconds for tracked in self.pending_parts())
+        return self.time_to_pass_end(now) + pending
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -1,4 +1,4 @@
-"""Weigh what it costs everybody that an engine reads a part of a prompt."""
+"""Estimate what it costs all prompts if an engine prefills a part of a new one."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 from cowslipshelf_core.internal.gateway.configuration import EngineModel
 from cowslipshelf_core.internal.gateway.engine_forecast import (
     EnginePace,
-    Outlook,
-    Pending,
-    held_up,
+    Forecast,
+    PrefillWork,
+    forecast,
     lateness,
-    outlook,
+    pause_cost,
 )
 from cowslipshelf_core.internal.gateway.engine_tracker import (
     EngineTracker,
     EngineView,
-    UnreadPart,
+    PendingPart,
 )
 from cowslipshelf_core.internal.gateway.messages import EngineWork
 from cowslipshelf_core.internal.gateway.prompt_cost import (
@@ -24,32 +24,32 @@
     prefill_seconds,
 )
 
-FULL_COST = 0.6
-"""Cost of each request beyond the slots, as a share of the worth: it waits until one
-of those that run has ended."""
+FULL_ENGINE_COST = 0.6
+"""Cost of each request beyond the slots, as a share of its value: it waits until a
+running one has ended."""
 EMPTY_ENGINE_COST = 0.08
-"""Charged to a short prompt that would be the first on an engine, in short questions,
-so that empty ones stay free for long reads. Below what any lateness costs."""
-SHORT_READ_SECONDS = 0.12
-"""A prompt read faster than this keeps within the pauses of those who write (250 ms,
-of which a pass takes 50 to 100), so it may share engines with them."""
-MEAN_PASSES_WAITED = 1.5
-"""Passes of a writing engine from the last part read to the first event: the pass
-under way, half of it on average, and one that writes the event."""
+"""Charged to a short prompt that would be the first on an engine, in short prompts, to
+keep empty engines free for long prefills. Below what any lateness costs."""
+SHORT_PREFILL_SECONDS = 0.12
+"""A prompt prefilled faster than this fits into the allowed pauses of decoding requests
+(250 ms, of which a pass takes 50 to 100), so it may share engines with them."""
+MEAN_PASSES_TO_FIRST_EVENT = 1.5
+"""Passes of a decoding engine from the last part prefilled to the first event: the rest
+of the current pass, half of it on average, and one that decodes the event."""
 
 
 class EngineCandidate(NamedTuple):
-    """Be an engine that may be chosen."""
+    """Describe an engine that may be chosen."""
 
     upstream_id: UpstreamId
     slowness: float = 1.0
-    """How many times longer than its model says it lately took."""
+    """Recent durations as a multiple of those of the engine's model."""
     penalty: float = 0.0
-    """Share of the worth that is likely lost there, for failures seen lately."""
+    """Share of a prompt's value that is likely lost there, from recent failures."""
 
 
 class PromptToPlace(NamedTuple):
-    """Be a prompt that wants engines."""
+    """Describe a prompt to be placed on engines."""
 
     attempt_id: AttemptId
     size: PromptSize
@@ -64,64 +64,66 @@
         return self.size.prompt_tokens + self.size.max_output_tokens
 
 
-class Seen(NamedTuple):
-    """Be a candidate with what it is about to do."""
+class AssessedEngine(NamedTuple):
+    """Hold a candidate with the forecast of its present work."""
 
     candidate: EngineCandidate
     view: EngineView
     pace: EnginePace
-    pending: list[Pending]
-    """What no pass has taken up yet, in the order of reading."""
-    outlook: Outlook
+    pending: list[PrefillWork]
+    """Prefill work that no pass has started, in its order."""
+    forecast: Forecast
 
 
 class Placing(NamedTuple):
-    """Be one prompt to be placed, with what is known of the engines."""
+    """Hold a prompt to be placed and the state of the engines that are weighed."""
 
-    asked: PromptToPlace
+    prompt: PromptToPlace
     model: EngineModel
-    seen: list[Seen]
-    roomy: list[Seen]
-    """Those whose memory holds the whole prompt."""
+    engines: list[AssessedEngine]
+    roomy: list[AssessedEngine]
+    """Engines with free memory for the whole prompt."""
     ready_of: dict[AttemptId, float]
-    """Time until the last part of each attempt on these engines will be read."""
+    """Time until the last part of each attempt on these engines is prefilled."""
     work: EngineWork
-    """The prompt as others will see it, without its parts."""
+    """The prompt as it is reported to other gateways, without its parts."""
 
     @property
     def needed_tokens(self) -> int:
         """Return the memory that the prompt and its answer may take."""
-        return self.asked.needed_tokens
+        return self.prompt.needed_tokens
 
 
-class Part(NamedTuple):
-    """Be an even part of a prompt."""
+class PromptPart(NamedTuple):
+    """Describe one of the even parts of a prompt."""
 
     prefill_seconds: float
     chunks: int
 
-    def on(self, seen: Seen) -> Pending:
-        """Return what it is on an engine, as slow as that lately was."""
-        return Pending(self.prefill_seconds * seen.candidate.slowness, self.chunks)
+    def on(self, engine: AssessedEngine) -> PrefillWork:
+        """Return the work of the part on an engine, with its recent slowness."""
+        return PrefillWork(
+            self.prefill_seconds * engine.candidate.slowness, self.chunks
+        )
 
 
-class Share(NamedTuple):
-    """Be what it comes to that an engine reads a part."""
+class PartCost(NamedTuple):
+    """Hold the effects of prefilling a part on an engine."""
 
-    seen: Seen
+    engine: AssessedEngine
     ready_seconds: float
-    """Time until the part will have been read."""
+    """Time until the part is prefilled."""
     harm: float
-    """What it costs those who share the engine."""
+    """Cost to the other attempts on the engine."""
     rank: float
-    """What speaks against this engine, on its own."""
+    """Cost by which this engine is compared with others."""
 
 
-def look_at(
-    candidate: EngineCandidate, model: EngineModel, board: EngineTracker, now: float
-) -> Seen:
-    """Work out what a candidate is about to do."""
-    view = board.view(candidate.upstream_id, model, now)
+def assess_engine(
+    candidate: EngineCandidate, model: EngineModel, tracker: EngineTracker, now: float
+) -> AssessedEngine:
+    """Forecast the present work of a candidate."""
+    view = tracker.view(candidate.upstream_id, model, now)
     seconds = decode_pass_seconds(
         model, len(view.decoding_attempts) + 1, view.memory_tokens
     )
@@ -131,127 +133,133 @@
         model.steps_per_pass,
         view.is_decoding,
     )
-    pending = [Pending(each.left_seconds, each.left_chunks) for each in view.unread]
-    return Seen(candidate, view, pace, pending, outlook(pending, pace))
+    pending = [
+        PrefillWork(each.left_seconds, each.left_chunks) for each in view.pending_parts
+    ]
+    return AssessedEngine(candidate, view, pace, pending, forecast(pending, pace))
 
 
-def free_memory(seen: Seen, model: EngineModel) -> int:
-    """Return how many tokens an engine's memory still holds."""
-    return model.memory_tokens - seen.view.memory_tokens
+def free_memory(engine: AssessedEngine, model: EngineModel) -> int:
+    """Return the free memory of an engine, in tokens."""
+    return model.memory_tokens - engine.view.memory_tokens
 
 
-def ready_times(seen: list[Seen]) -> dict[AttemptId, float]:
-    """Return when the last part of each attempt will be read."""
+def ready_times(engines: list[AssessedEngine]) -> dict[AttemptId, float]:
+    """Return the time until the last part of each attempt is prefilled."""
     ready: dict[AttemptId, float] = {}
-    for each in seen:
-        for unread, seconds in zip(
-            each.view.unread, each.outlook.ready_seconds, strict=True
+    for each in engines:
+        for pending, seconds in zip(
+            each.view.pending_parts, each.forecast.ready_seconds, strict=True
         ):
-            attempt_id = unread.work.attempt_id
+            attempt_id = pending.work.attempt_id
             ready[attempt_id] = max(ready.get(attempt_id, 0.0), seconds)
-        for under_way in each.view.in_pass:
-            attempt_id = under_way.work.attempt_id
+        for in_pass in each.view.parts_in_pass:
+            attempt_id = in_pass.work.attempt_id
             known = ready.get(attempt_id, 0.0)
-            ready[attempt_id] = max(known, under_way.ready_seconds)
+            ready[attempt_id] = max(known, in_pass.ready_seconds)
     return ready
 
 
-def until_written(seen: Seen, alone: bool) -> float:
-    """Return the time from the last part read to the first event.
+def first_event_delay(engine: AssessedEngine, alone: bool) -> float:
+    """Return the time from the last part prefilled to the first event.
 
-    A prompt that its engine reads alone is written from the same pass on; where other
-    engines' parts are waited for, the pass under way has to end.
+    A prompt that its engine prefills alone decodes from the same pass on; when the
+    parts of other engines are awaited, the current pass has to end first.
     """
-    if not seen.pace.is_decoding:
-        return seen.pace.writing_seconds
-    return 0.0 if alone else MEAN_PASSES_WAITED * seen.pace.writing_seconds
+    if not engine.pace.is_decoding:
+        return engine.pace.decode_pass_seconds
+    return (
+        0.0 if alone else MEAN_PASSES_TO_FIRST_EVENT * engine.pace.decode_pass_seconds
+    )
 
 
-def writer_share(seen: Seen, part: Part, placing: Placing) -> Share:
-    """Say what it comes to that an engine reads a part and writes the answer."""
-    after = outlook([*seen.pending, part.on(seen)], seen.pace)
-    harm = harm_to_decoding(seen, after) + sharing_cost(seen, placing)
+def decoder_cost(
+    engine: AssessedEngine, part: PromptPart, placing: Placing
+) -> PartCost:
+    """Return the cost if an engine prefills a part and decodes the answer."""
+    after = forecast([*engine.pending, part.on(engine)], engine.pace)
+    harm = harm_to_decoding(engine, after) + sharing_cost(engine, placing)
     ready = after.ready_seconds[-1]
-    first_token = ready + until_written(seen, alone=True)
-    return Share(seen, ready, harm, harm + own_cost(seen, first_token, placing))
-
-
-def helper_share(seen: Seen, part: Part, placing: Placing) -> Share:
-    """Say what it comes to that an engine reads a part for another one."""
-    after = outlook([part.on(seen), *seen.pending], seen.pace)
-    harm = harm_to_decoding(seen, after) + harm_to_queued(seen, after, placing)
-    # An engine that helps as many as it has slots refuses any more.
-    refused = seen.view.helping >= placing.model.slots
-    rank = harm + own_cost(seen, after.ready_seconds[0], placing)
-    return Share(
-        seen,
+    first_token = ready + first_event_delay(engine, alone=True)
+    return PartCost(engine, ready, harm, harm + own_cost(engine, first_token, placing))
+
+
+def helper_cost(engine: AssessedEngine, part: PromptPart, placing: Placing) -> PartCost:
+    """Return the cost if an engine prefills a part for another engine."""
+    after = forecast([part.on(engine), *engine.pending], engine.pace)
+    harm = harm_to_decoding(engine, after) + harm_to_queued(engine, after, placing)
+    # An engine refuses more parts of other engines' prompts than it has slots.
+    refused = engine.view.helping_parts >= placing.model.slots
+    rank = harm + own_cost(engine, after.ready_seconds[0], placing)
+    return PartCost(
+        engine,
         after.ready_seconds[0],
         harm,
         rank + (placing.work.value if refused else 0.0),
     )
 
 
-def own_cost(seen: Seen, ready: float, placing: Placing) -> float:
-    """Return what the prompt itself loses by an engine that is ready at a time."""
-    late = lateness(ready / placing.asked.objective_seconds)
-    return placing.work.value * (late + seen.candidate.penalty)
+def own_cost(engine: AssessedEngine, ready: float, placing: Placing) -> float:
+    """Return the cost to the prompt itself if an engine is ready after a time."""
+    late = lateness(ready / placing.prompt.objective_seconds)
+    return placing.work.value * (late + engine.candidate.penalty)
 
 
-def sharing_cost(seen: Seen, placing: Placing) -> float:
-    """Return what it costs to write the answer beside those that write there."""
+def sharing_cost(engine: AssessedEngine, placing: Placing) -> float:
+    """Return the cost of decoding the answer beside the engine's other requests."""
     model, work = placing.model, placing.work
-    decoding = len(seen.view.decoding_attempts)
-    full = FULL_COST * work.value * max(0, decoding + 1 - model.slots)
-    tokens = placing.asked.size.prompt_tokens
-    short = prefill_seconds(model, tokens) < SHORT_READ_SECONDS
+    decoding = len(engine.view.decoding_attempts)
+    full = FULL_ENGINE_COST * work.value * max(0, decoding + 1 - model.slots)
+    tokens = placing.prompt.size.prompt_tokens
+    short = prefill_seconds(model, tokens) < SHORT_PREFILL_SECONDS
     empty = EMPTY_ENGINE_COST if short and not decoding else 0.0
-    return full + empty + work.value * held_up(seen.pace.writing_seconds, work)
+    return full + empty + work.value * pause_cost(engine.pace.decode_pass_seconds, work)
 
 
-def harm_to_decoding(seen: Seen, after: Outlook) -> float:
-    """Return what longer passes cost those who write on an engine.
+def harm_to_decoding(engine: AssessedEngine, after: Forecast) -> float:
+    """Return the cost of longer passes to the attempts that decode on an engine.
 
-    A pass with writers has one step for each of the tokens of an event, and each
-    step may read one chunk: the pause grows by the chunks that fit into the pass.
+    A pass of a decoding engine has one step for each token of an event, and each step
+    may prefill one chunk: the pause grows by the chunks that fit into the pass.
     """
-    before = seen.outlook.longest_pass_seconds
+    before = engine.forecast.longest_pass_seconds
     longest = after.longest_pass_seconds
-    if not seen.pace.is_decoding or longest <= before:
+    if not engine.pace.is_decoding or longest <= before:
         return 0.0
     harm = 0.0
-    for work, late in seen.view.decoding_attempts:
-        more = held_up(longest, work, late) - held_up(before, work, late)
+    for work, late in engine.view.decoding_attempts:
+        more = pause_cost(longest, work, late) - pause_cost(before, work, late)
         harm += work.value * max(0.0, more)
     return harm
 
 
-def harm_to_queued(seen: Seen, after: Outlook, placing: Placing) -> float:
-    """Return what a part that goes ahead costs those whose parts wait there."""
+def harm_to_queued(engine: AssessedEngine, after: Forecast, placing: Placing) -> float:
+    """Return the cost of a part that goes first to the parts that wait behind it."""
     later = zip(
-        seen.view.unread,
-        seen.outlook.ready_seconds,
+        engine.view.pending_parts,
+        engine.forecast.ready_seconds,
         after.ready_seconds[1:],
         strict=True,
     )
     return sum(
-        unread.work.value
+        pending.work.value
         * (
-            lateness_of(unread, seen, placing, now_ready)
-            - lateness_of(unread, seen, placing, was_ready)
+            first_token_lateness(pending, engine, placing, now_ready)
+            - first_token_lateness(pending, engine, placing, was_ready)
         )
-        for unread, was_ready, now_ready in later
+        for pending, was_ready, now_ready in later
     )
 
 
-def lateness_of(
-    unread: UnreadPart, seen: Seen, placing: Placing, ready: float
+def first_token_lateness(
+    pending: PendingPart, engine: AssessedEngine, placing: Placing, ready: float
 ) -> float:
-    """Return how likely the first token of one who waits comes late.
+    """Return how likely the first token of a waiting attempt comes late.
 
     It comes after the last of the prompt's parts, which may be on another engine.
     """
-    last_part = max(placing.ready_of[unread.work.attempt_id], ready)
-    first_token = last_part + seen.pace.writing_seconds
+    last_part = max(placing.ready_of[pending.work.attempt_id], ready)
+    first_token = last_part + engine.pace.decode_pass_seconds
     return lateness(
-        (unread.waited_seconds + first_token) / unread.work.objective_seconds
+        (pending.waited_seconds + first_token) / pending.work.objective_seconds
     )
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -48,7 +48,7 @@
         )
     ),
     "late writers count less": Switch(
-        (("engine_simulation.EngineSimulation.note_late", nothing),)
+        (("engine_simulation.EngineSimulation.mark_late", nothing),)
     ),
     "word of work between gateways": Switch(delays=Delays(word=NEVER_SECONDS)),
 }
--- a/tests/cover/gateway_core/test_prompt_placement.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -295,7 +295,7 @@
     board.begin(EngineWork("first", (own,), 1.0, 4.0, 1.0), "g", 0.0)
     board.begin(EngineWork("second", (other,), 1.0, 4.0, 1.0), "g", 0.2)
     board.begin(EngineWork("third", (other,), 1.0, 4.0, 1.0), "g", 0.4)
-    unread = board.view("e", ENGINE, 0.5).unread
+    unread = board.view("e", ENGINE, 0.5).pending_parts
     order = [each.work.attempt_id for each in unread]
     left = [each.left_seconds for each in unread]
     assert order == ["third", "second", "first"]
