--- a/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
@@ -68,7 +68,7 @@
     """Questions to one sidecar whether an attempt can still be revoked."""
     backoff_base_seconds: float = 0.01
     backoff_cap_seconds: float = 1.0
-    stored_answer_bytes: int = 65_536
+    max_stored_answer_bytes: int = 65_536
     """Longest answer that is stored for resends under the same key."""
     held_back_bytes: int = 131_072
     """Longest part of an answer that is held back so that it can be retried."""
--- a/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
@@ -34,7 +34,7 @@
     continuable: bool
     keeps_answer: bool
     held_back_bytes: int
-    stored_answer_bytes: int
+    max_stored_answer_bytes: int
     head: StreamHead | None = None
     head_sent: bool = False
     passed_tokens: int = 0
@@ -53,7 +53,7 @@
             continuable=request.can_be_continued(),
             keeps_answer=request.has_key(),
             held_back_bytes=config.held_back_bytes,
-            stored_answer_bytes=config.stored_answer_bytes,
+            max_stored_answer_bytes=config.max_stored_answer_bytes,
         )
 
     def can_start_again(self) -> bool:
@@ -97,7 +97,7 @@
         if not self.keeps_answer:
             return
         self.stored_size += len(data)
-        if self.stored_size > self.stored_answer_bytes:
+        if self.stored_size > self.max_stored_answer_bytes:
             self.stored.clear()
             return
         self.stored.append(data)
@@ -121,6 +121,6 @@
         """Be the answer that resends get, once it has ended whole."""
         if self.head is None:
             return None
-        whole = self.stored_size <= self.stored_answer_bytes
+        whole = self.stored_size <= self.max_stored_answer_bytes
         body = b"".join(self.stored) if whole else b""
         return StoredAnswer(self.head.status, self.head.headers, body, whole)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -275,7 +275,7 @@
         parts.news.suspects,
     )
     stored = settings.entry.limits.largest_stored_answer_bytes
-    config = RequestConfig(stored_answer_bytes=stored)
+    config = RequestConfig(max_stored_answer_bytes=stored)
     return EntryCallersHandler(parts.in_force, services, parts.records, config)
 
 
