--- a/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
@@ -70,7 +70,7 @@
     backoff_cap_seconds: float = 1.0
     max_stored_answer_bytes: int = 65_536
     """Longest answer that is stored for resends under the same key."""
-    held_back_bytes: int = 131_072
+    max_buffered_bytes: int = 131_072
     """Longest part of an answer that is held back so that it can be retried."""
     store_answer_seconds: float = 2.0
     """How long a whole answer waits to be stored before its caller has its end."""
--- a/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
@@ -33,7 +33,7 @@
     streamed: bool
     continuable: bool
     keeps_answer: bool
-    held_back_bytes: int
+    max_buffered_bytes: int
     max_stored_answer_bytes: int
     head: StreamHead | None = None
     head_sent: bool = False
@@ -52,7 +52,7 @@
             streamed=request.streamed,
             continuable=request.can_be_continued(),
             keeps_answer=request.has_key(),
-            held_back_bytes=config.held_back_bytes,
+            max_buffered_bytes=config.max_buffered_bytes,
             max_stored_answer_bytes=config.max_stored_answer_bytes,
         )
 
@@ -88,7 +88,7 @@
 
     def must_pass_on(self, chunk: StreamChunk) -> bool:
         """Tell whether what is held back goes to the caller with this piece."""
-        if self.held_size > self.held_back_bytes:
+        if self.held_size > self.max_buffered_bytes:
             return True
         return self.streamed and not (self.continuable and not chunk.tokens)
 
--- a/tests/common/requests_harness.py
+++ b/tests/common/requests_harness.py
@@ -76,7 +76,7 @@
 
 UPSTREAMS = 6
 DEFAULTS = RequestConfig()
-TIGHT = RequestConfig(max_stored_answer_bytes=16, held_back_bytes=4)
+TIGHT = RequestConfig(max_stored_answer_bytes=16, max_buffered_bytes=4)
 LOSSES = ("none", "question", "answer", "late", "doubled")
 SPOILS = ("no", "cut", "skip", "double", "fail")
 
