--- a/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
@@ -60,11 +60,11 @@
 class RequestConfig(NamedTuple):
     """Bound what one request may cost."""
 
-    most_attempts: int = 4
+    max_attempts: int = 4
     """Placements of one request that may be handed over."""
-    most_resumes: int = 3
+    max_resumes: int = 3
     """Resumes in a row that brought no new piece."""
-    most_revokes: int = 3
+    max_revokes: int = 3
     """Questions to one sidecar whether an attempt can still be revoked."""
     backoff_base_seconds: float = 0.01
     backoff_cap_seconds: float = 1.0
--- a/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
@@ -201,7 +201,7 @@
             return move(state, attempt, held.attempt_id, now)
         case MayHaveRun(known=True):
             return follow_held(state, held)
-        case None if state.held_revokes < state.config.most_revokes:
+        case None if state.held_revokes < state.config.max_revokes:
             doublings = state.held_revokes - 1
             return wait(state, Phase.WAITING_TO_REVOKE_HELD, doublings, WHOLE_STEP, now)
         case _:
--- a/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
@@ -149,7 +149,7 @@
             return _revoked(state, attempt)
         case MayHaveRun(known=True):
             return resume(state, attempt)
-        case None if attempt.revokes < state.config.most_revokes:
+        case None if attempt.revokes < state.config.max_revokes:
             doublings = attempt.revokes - 1
             return wait(state, Phase.WAITING_TO_REVOKE, doublings, WHOLE_STEP, now)
         case _:
--- a/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
@@ -63,7 +63,7 @@
     if state.caller_gone or refusal.reason in REASONS_THAT_FOLLOW_THE_REQUEST:
         return False
     return (
-        state.hand_overs < state.config.most_attempts
+        state.hand_overs < state.config.max_attempts
         and state.delivery.can_start_again()
     )
 
--- a/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
@@ -114,7 +114,7 @@
 
 def stream_lost(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
     """Resume at the same sidecar, which keeps what it sent; else give up there."""
-    if attempt.resumes >= state.config.most_resumes:
+    if attempt.resumes >= state.config.max_resumes:
         return _give_up_stream(state, attempt, "lost again without a new piece")
     note = Note(f"stream lost after piece {attempt.sequence}; resuming")
     return [note, *resume(state, attempt)]
@@ -127,7 +127,7 @@
     if resumed:
         state.phase = Phase.STREAMING
         return []
-    may_wait = attempt.resumes < state.config.most_resumes
+    may_wait = attempt.resumes < state.config.max_resumes
     if state.request.is_non_idempotent() and may_wait:
         doublings = attempt.resumes - 1
         return wait(state, Phase.WAITING_TO_RESUME, doublings, WHOLE_STEP, now)
--- a/tests/common/requests_harness.py
+++ b/tests/common/requests_harness.py
@@ -372,7 +372,7 @@
 
     def a_request_is_handed_over_a_bounded_number_of_times(self):
         for driven in self.driven:
-            assert len(driven.sent) <= DEFAULTS.most_attempts
+            assert len(driven.sent) <= DEFAULTS.max_attempts
             assert len({h.attempt_id for h in driven.sent}) == len(driven.sent)
 
     def finish(self) -> None:
