--- a/packages/core/src/cowslipshelf_core/internal/requests/retry_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retry_budget.py
@@ -17,7 +17,7 @@
 
     ratio: float = 0.1
     window_seconds: float = 10.0
-    least_retries: int = 10
+    min_retries: int = 10
     """Retries in a window that are allowed however few first attempts there are."""
 
 
@@ -55,7 +55,7 @@
         oldest = self.slices[-1].number - SLICES_IN_WINDOW
         first_attempts = sum(s.first_attempts for s in self.slices if s.number > oldest)
         retries = sum(s.retries for s in self.slices)
-        allowed = self.config.least_retries + self.config.ratio * first_attempts
+        allowed = self.config.min_retries + self.config.ratio * first_attempts
         if retries + 1 > allowed:
             return False
         self.add(now, first_attempts=0, retries=1)
