--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -207,7 +207,7 @@
         passing = refused.refusal.reason in REASONS_THAT_PASS
         if not passing or now >= self.reserve_until:
             return self.refused_for_good(refused)
-        cancels = self.release()
+        cancels = self.cancel_helpers()
         self.phase = Phase.BACKING_OFF
         step = min(
             self.config.backoff_cap_seconds,
@@ -221,13 +221,13 @@
         """End with a helper's refusal as "not run", with the last part's as it is."""
         if not self.last_was_asked:
             return self.give_up(refused.refusal)
-        return [*self.release(), *self.end(SpreadRefused(refused))]
+        return [*self.cancel_helpers(), *self.end(SpreadRefused(refused))]
 
     def unanswered(self, event: PartUnanswered) -> list[SpreadEffect]:
         """Free what is held; what became of the last part must be asked elsewhere."""
         if self.last_was_asked:
             uncertain = SpreadUncertain(event.may_have_arrived, event.detail)
-            return [*self.release(), *self.end(uncertain)]
+            return [*self.cancel_helpers(), *self.end(uncertain)]
         return self.give_up(self.not_run(RefusalReason.CONNECTION_LOST, event.detail))
 
     def look_at_time(self, now: float) -> list[SpreadEffect]:
@@ -266,7 +266,7 @@
         if self.phase in (Phase.ENDED, Phase.REVOKING_LAST):
             return []
         last_was_asked = self.last_was_asked
-        cancels = self.release()
+        cancels = self.cancel_helpers()
         self.refusal = refusal._replace(code=RefusalCode.NOT_RUN)
         if not last_was_asked:
             # No engine was given the part that generates.
@@ -280,7 +280,7 @@
             return self.end(refused_for(self.refusal))
         return self.end(SpreadUncertain(True, self.refusal.detail))
 
-    def release(self) -> list[CancelPart]:
+    def cancel_helpers(self) -> list[CancelPart]:
         """Cancel every helper of this try."""
         helpers = zip(self.chosen.helpers, self.asked, strict=False)
         cancels = [
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -172,5 +172,5 @@
 
     def release(self) -> None:
         """Cancel every helper that is still held."""
-        for cancel in self.machine.release():
+        for cancel in self.machine.cancel_helpers():
             self.cancel(cancel.address, cancel.attempt_id)
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -290,7 +290,7 @@
             self.perform(self.effects.popleft())
         elif self.result is not None:
             if self.ended:
-                self.effects.extend(self.machine.release())
+                self.effects.extend(self.machine.cancel_helpers())
         elif self.world.frames[self.reading]:
             self.handle(self.world.frames[self.reading].popleft())
         else:
