--- a/packages/core/src/cowslipshelf_core/internal/requests/looking_up.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
@@ -7,8 +7,8 @@
 """
 
 from cowslipshelf_core.errors import Refusal, RefusalCode
+from cowslipshelf_core.internal.requests.claim_commands import claim_looked_up
 from cowslipshelf_core.internal.requests.claiming import claim_refused, still_running
-from cowslipshelf_core.internal.requests.claims import claim_looked_up
 from cowslipshelf_core.internal.requests.effects import LookUpClaim, RequestEffect
 from cowslipshelf_core.internal.requests.ending import refuse, replay
 from cowslipshelf_core.internal.requests.events import ClaimAnswered
--- a/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
-from cowslipshelf_core.internal.requests.claims import claim_asked, claim_moved
+from cowslipshelf_core.internal.requests.claim_commands import claim_asked, claim_moved
 from cowslipshelf_core.internal.requests.effects import (
     AskClaim,
     MoveClaim,
--- a/packages/core/src/cowslipshelf_core/internal/requests/ending.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/ending.py
@@ -2,7 +2,7 @@
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
-from cowslipshelf_core.internal.requests.claims import claim_finished
+from cowslipshelf_core.internal.requests.claim_commands import claim_finished
 from cowslipshelf_core.internal.requests.effects import (
     AnswerChunk,
     AnswerEnd,
--- a/packages/core/src/cowslipshelf_core/internal/requests/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/machine.py
@@ -16,6 +16,7 @@
     CallerRequest,
     RequestConfig,
 )
+from cowslipshelf_core.internal.requests.claim_lookup import looked_up
 from cowslipshelf_core.internal.requests.claiming import (
     claim_answered,
     claim_unavailable,
@@ -50,7 +51,6 @@
     revoke,
     revoke_answered,
 )
-from cowslipshelf_core.internal.requests.looking_up import looked_up
 from cowslipshelf_core.internal.requests.placing import (
     choose_placement,
     placed,
--- a/packages/core/src/cowslipshelf_core/internal/requests/placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/placing.py
@@ -2,6 +2,7 @@
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalReason
+from cowslipshelf_core.internal.requests.claim_lookup import look_up
 from cowslipshelf_core.internal.requests.claiming import claim_or_hand_over
 from cowslipshelf_core.internal.requests.effects import (
     ChoosePlacement,
@@ -9,7 +10,6 @@
     RequestEffect,
 )
 from cowslipshelf_core.internal.requests.ending import refuse
-from cowslipshelf_core.internal.requests.looking_up import look_up
 from cowslipshelf_core.internal.requests.state import OpenAttempt, Phase, RequestState
 from cowslipshelf_core.placement_feedback import AttemptEnded, AttemptOutcome
 
