--- a/packages/core/src/cowslipshelf_core/internal/spread/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/events.py
@@ -59,7 +59,7 @@
     """Say whether a sidecar is known to have heard that a part may begin."""
 
     attempt_id: AttemptId
-    heard: bool
+    acknowledged: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -53,9 +53,9 @@
 class SpreadConfig(NamedTuple):
     """Bound how long a spread prompt waits for memory."""
 
-    reserve_share: float = 0.5
+    reserve_time_share: float = 0.5
     """Part of the time left that may pass until all memory is reserved."""
-    backoff_seconds: float = 0.05
+    backoff_base_seconds: float = 0.05
     backoff_cap_seconds: float = 2.0
 
 
@@ -101,7 +101,7 @@
     ) -> Self:
         """Begin with nothing handed over, at `now` (monotonic seconds)."""
         left = hand_over.deadline_seconds
-        reserve_until = now + left * config.reserve_share
+        reserve_until = now + left * config.reserve_time_share
         return cls(chosen, hand_over, config, now + left, reserve_until)
 
     def handle(
@@ -120,8 +120,8 @@
             case PartFilled(attempt_id, part) if self.prefills(attempt_id):
                 self.parts = (*self.parts, part)
                 return self.begin_next()
-            case BeginAnswered(attempt_id, heard):
-                return self.begin_answered(attempt_id, heard)
+            case BeginAnswered(attempt_id, acknowledged):
+                return self.begin_answered(attempt_id, acknowledged)
             case PartLost(attempt_id) if self.holds(attempt_id):
                 return self.give_up(event.refusal or self.loss(event))
             case LastRevoked(promised) if self.phase is Phase.REVOKING_LAST:
@@ -211,7 +211,7 @@
         self.phase = Phase.BACKING_OFF
         step = min(
             self.config.backoff_cap_seconds,
-            self.config.backoff_seconds * 2.0**self.tries,
+            self.config.backoff_base_seconds * 2.0**self.tries,
         )
         self.tries += 1
         # Jitter, or prompts that were in each other's way would meet again.
@@ -249,13 +249,15 @@
         self.phase = Phase.BEGINNING_LAST
         return [BeginPart(self.chosen.attempts_address, attempt_id, self.parts)]
 
-    def begin_answered(self, attempt_id: AttemptId, heard: bool) -> list[SpreadEffect]:
+    def begin_answered(
+        self, attempt_id: AttemptId, acknowledged: bool
+    ) -> list[SpreadEffect]:
         """Go on; a part that may not have heard can't be waited for."""
-        if not heard and self.holds(attempt_id):
+        if not acknowledged and self.holds(attempt_id):
             detail = "a sidecar could not be told to begin"
             return self.give_up(self.not_run(RefusalReason.CONNECTION_LOST, detail))
         is_last = attempt_id == self.hand_over.attempt_id
-        if heard and is_last and self.phase is Phase.BEGINNING_LAST:
+        if acknowledged and is_last and self.phase is Phase.BEGINNING_LAST:
             return self.end(SpreadBegun())
         return []
 
