--- a/packages/core/src/cowslipshelf_core/internal/requests/claim_commands.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_commands.py
@@ -13,7 +13,7 @@
 )
 
 
-def claim_asked(
+def build_claim_asked(
     request: CallerRequest, chosen: ChosenUpstream, deadline_seconds: float
 ) -> ClaimAsked:
     """Claim the key for a placed attempt, so that others know whom to ask."""
@@ -30,7 +30,7 @@
     )
 
 
-def claim_looked_up(request: CallerRequest) -> ClaimLookedUp:
+def build_claim_looked_up(request: CallerRequest) -> ClaimLookedUp:
     """Ask who holds the key of a request that was not placed."""
     return ClaimLookedUp(
         customer=request.customer,
@@ -40,7 +40,7 @@
     )
 
 
-def claim_moved(
+def build_claim_moved(
     request: CallerRequest,
     from_attempt: AttemptId,
     chosen: ChosenUpstream,
@@ -60,7 +60,7 @@
     )
 
 
-def claim_finished(
+def build_claim_finished(
     request: CallerRequest,
     holder: RequestId,
     attempt_id: AttemptId,
--- a/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
@@ -7,57 +7,60 @@
 """
 
 from cowslipshelf_core.errors import Refusal, RefusalCode
-from cowslipshelf_core.internal.requests.claim_commands import claim_looked_up
-from cowslipshelf_core.internal.requests.claiming import claim_refused, still_running
+from cowslipshelf_core.internal.requests.claim_commands import build_claim_looked_up
+from cowslipshelf_core.internal.requests.claiming import (
+    on_claim_refused,
+    refuse_still_running,
+)
 from cowslipshelf_core.internal.requests.effects import LookUpClaim, RequestEffect
-from cowslipshelf_core.internal.requests.ending import refuse, replay
+from cowslipshelf_core.internal.requests.ending import refuse, replay_answer
 from cowslipshelf_core.internal.requests.events import ClaimAnswered
 from cowslipshelf_core.internal.requests.state import Phase, RequestState
 from cowslipshelf_core.messages import ClaimAbsent, ClaimHeld, ClaimRefused
 
 
-def look_up(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
+def look_up_claim(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
     """Ask who holds the key, and keep the router's refusal until that is known."""
     state.phase = Phase.LOOKING_UP
     state.placement_refusal = refusal
-    return [LookUpClaim(claim_looked_up(state.request))]
+    return [LookUpClaim(build_claim_looked_up(state.request))]
 
 
-def looked_up(
+def on_claim_lookup_answered(
     state: RequestState, refusal: Refusal, event: ClaimAnswered
 ) -> list[RequestEffect]:
     """Repeat what is stored, else end with the router's refusal."""
     match event.answer:
         case ClaimAbsent():
             state.key_is_unused = True
-            return refuse(state, refusal._replace(code=state.code()))
+            return refuse(state, refusal._replace(code=state.refusal_code()))
         case ClaimRefused(reason):
-            return claim_refused(state, reason)
+            return on_claim_refused(state, reason)
         case ClaimHeld() as held:
-            return _held(state, refusal, held, event.owner_gone)
+            return _on_claim_held(state, refusal, held, event.owner_gone)
         case _:
-            return state.drop()
+            return state.drop_event()
 
 
-def _held(
+def _on_claim_held(
     state: RequestState, refusal: Refusal, held: ClaimHeld, owner_gone: bool
 ) -> list[RequestEffect]:
     if held.answer is not None:
-        return replay(state, held.answer)
+        return replay_answer(state, held.answer)
     if held.refusal is not None:
-        return _held_refusal(state, refusal, held.refusal)
+        return _on_stored_refusal(state, refusal, held.refusal)
     if not held.deadline_passed and not owner_gone:
-        return still_running(state, f"request {held.request_id} runs")
+        return refuse_still_running(state, f"request {held.request_id} runs")
     # Taking the key over would need the upstream that there is none of.
     detail = f"request {held.request_id} under this key may have run"
-    return refuse(state, refusal._replace(code=state.code(), detail=detail))
+    return refuse(state, refusal._replace(code=state.refusal_code(), detail=detail))
 
 
-def _held_refusal(
+def _on_stored_refusal(
     state: RequestState, refusal: Refusal, stored: Refusal
 ) -> list[RequestEffect]:
     """Repeat a stored refusal, but after "not run" tell why it is not run now."""
     if stored.code is RefusalCode.NOT_RUN:
         state.key_is_unused = True
-        return refuse(state, refusal._replace(code=state.code()))
+        return refuse(state, refusal._replace(code=state.refusal_code()))
     return refuse(state, stored)
--- a/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
@@ -8,7 +8,10 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
-from cowslipshelf_core.internal.requests.claim_commands import claim_asked, claim_moved
+from cowslipshelf_core.internal.requests.claim_commands import (
+    build_claim_asked,
+    build_claim_moved,
+)
 from cowslipshelf_core.internal.requests.effects import (
     AskClaim,
     MoveClaim,
@@ -19,7 +22,7 @@
 from cowslipshelf_core.internal.requests.ending import (
     close_attempt,
     refuse,
-    replay,
+    replay_answer,
 )
 from cowslipshelf_core.internal.requests.events import (
     ClaimAnswered,
@@ -27,11 +30,11 @@
     RevokeAnswered,
 )
 from cowslipshelf_core.internal.requests.handing_over import (
-    WHOLE_STEP,
+    NO_JITTER,
     hand_over,
     resume,
 )
-from cowslipshelf_core.internal.requests.retrying import wait
+from cowslipshelf_core.internal.requests.retrying import back_off
 from cowslipshelf_core.internal.requests.state import OpenAttempt, Phase, RequestState
 from cowslipshelf_core.messages import (
     ClaimAbsent,
@@ -43,7 +46,7 @@
 )
 from cowslipshelf_core.placement_feedback import AttemptOutcome
 
-REASONS_OF_REFUSED_CLAIMS = {
+CLAIM_REFUSAL_REASONS = {
     "key_reused": RefusalReason.KEY_REUSED,
     "customer_claims_full": RefusalReason.CUSTOMER_LIMIT,
     "claims_full": RefusalReason.OVERLOADED,
@@ -58,61 +61,65 @@
     if not state.request.has_key():
         return hand_over(state, attempt, now)
     if state.claim_attempt is not None:
-        return move(state, attempt, state.claim_attempt, now)
+        return move_claim(state, attempt, state.claim_attempt, now)
     state.phase = Phase.CLAIMING
-    asked = claim_asked(state.request, attempt.chosen, state.left(now))
+    asked = build_claim_asked(state.request, attempt.chosen, state.seconds_left(now))
     return [AskClaim(asked)]
 
 
-def move(
+def move_claim(
     state: RequestState, attempt: OpenAttempt, from_attempt: AttemptId, now: float
 ) -> list[RequestEffect]:
     """Compare and set the claim's attempt; the old one was promised never to run."""
     state.phase = Phase.MOVING_CLAIM
-    left = state.left(now)
-    return [MoveClaim(claim_moved(state.request, from_attempt, attempt.chosen, left))]
+    seconds_left = state.seconds_left(now)
+    return [
+        MoveClaim(
+            build_claim_moved(state.request, from_attempt, attempt.chosen, seconds_left)
+        )
+    ]
 
 
-def claim_answered(
+def on_claim_answered(
     state: RequestState, attempt: OpenAttempt, event: ClaimAnswered, now: float
 ) -> list[RequestEffect]:
     """Run where the claim is ours; else answer for whoever holds it."""
     match event.answer:
         case ClaimGranted(attempt_id):
             if not state.is_open(attempt_id):
-                return state.drop()
-            return _granted(state, attempt, now)
+                return state.drop_event()
+            return _on_claim_granted(state, attempt, now)
         case ClaimRefused(reason):
-            return claim_refused(state, reason)
+            return on_claim_refused(state, reason)
         case ClaimHeld() as held:
-            return _claim_held(state, attempt, held, event.owner_gone, now)
+            return _on_claim_held(state, attempt, held, event.owner_gone, now)
         case ClaimAbsent():
-            return state.drop()
+            return state.drop_event()
 
 
-def _granted(
+def _on_claim_granted(
     state: RequestState, attempt: OpenAttempt, now: float
 ) -> list[RequestEffect]:
     state.claim_attempt = attempt.chosen.attempt_id
-    state.claim_holder = None
-    state.held = None
+    state.followed_request = None
+    state.other_claim = None
     return hand_over(state, attempt, now)
 
 
-def claim_refused(state: RequestState, reason: str) -> list[RequestEffect]:
+def on_claim_refused(state: RequestState, reason: str) -> list[RequestEffect]:
     """End with the reason for which the replicated state refused the key."""
     if state.phase is Phase.MOVING_CLAIM:
-        return _move_refused(state, reason)
+        return _on_move_refused(state, reason)
     refusal = Refusal(
         RefusalCode.NOT_RUN,
-        REASONS_OF_REFUSED_CLAIMS.get(reason, RefusalReason.BAD_REQUEST),
+        CLAIM_REFUSAL_REASONS.get(reason, RefusalReason.BAD_REQUEST),
         "claim",
         detail=reason,
     )
     return refuse(state, refusal)
 
 
-def _move_refused(state: RequestState, reason: str) -> list[RequestEffect]:
+def _on_move_refused(state: RequestState, reason: str) -> list[RequestEffect]:
     """Answer for a key that somebody else has moved or ended meanwhile.
 
     Of two resends that find the same dead holder, one wins the compare-and-set and
@@ -120,11 +127,11 @@
     now it would be false, and invite a new key and so a second run.
     """
     state.claim_attempt = None
-    state.claim_holder = None
-    return still_running(state, reason)
+    state.followed_request = None
+    return refuse_still_running(state, reason)
 
 
-def _claim_held(
+def _on_claim_held(
     state: RequestState,
     attempt: OpenAttempt,
     held: ClaimHeld,
@@ -133,23 +140,23 @@
 ) -> list[RequestEffect]:
     if held.answer is not None:
         state.claim_attempt = None
-        return replay(state, held.answer)
+        return replay_answer(state, held.answer)
     if state.is_open(held.attempt_id) and held.refusal is None:
         # Our own command, committed twice: the first commit granted it, and nobody
         # else can have taken it over, since that would have changed the attempt.
-        return _granted(state, attempt, now)
+        return _on_claim_granted(state, attempt, now)
     if state.phase is Phase.MOVING_CLAIM:
         state.claim_attempt = None
-        return still_running(state, "another request took the key over")
+        return refuse_still_running(state, "another request took the key over")
     if held.refusal is not None:
-        return _held_refusal(state, attempt, held, held.refusal, now)
+        return _on_stored_refusal(state, attempt, held, held.refusal, now)
     if not held.deadline_passed and not owner_gone:
-        return still_running(state, f"request {held.request_id} runs")
-    state.held = held
-    return revoke_held(state, held)
+        return refuse_still_running(state, f"request {held.request_id} runs")
+    state.other_claim = held
+    return revoke_holder(state, held)
 
 
-def _held_refusal(
+def _on_stored_refusal(
     state: RequestState,
     attempt: OpenAttempt,
     held: ClaimHeld,
@@ -158,12 +165,12 @@
 ) -> list[RequestEffect]:
     """Run after a stored "not run", which is a promise; repeat any other refusal."""
     if refusal.code is RefusalCode.NOT_RUN:
-        state.held = held
-        return move(state, attempt, held.attempt_id, now)
+        state.other_claim = held
+        return move_claim(state, attempt, held.attempt_id, now)
     return refuse(state, refusal)
 
 
-def still_running(state: RequestState, detail: str) -> list[RequestEffect]:
+def refuse_still_running(state: RequestState, detail: str) -> list[RequestEffect]:
     """Tell the caller that another request under its key runs."""
     # The code speaks of the caller's operation, which the key names: "not run" would
     # be true of this resend alone, and invite a new key and so a second run.
@@ -177,15 +184,15 @@
     return refuse(state, refusal)
 
 
-def revoke_held(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
+def revoke_holder(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
     """Ask the holder's sidecar to promise that the holder's attempt never runs."""
-    state.held_revokes += 1
+    state.holder_revokes += 1
     state.phase = Phase.REVOKING_HELD
     note = Note(f"key is held by request {held.request_id}, which has ended")
     return [note, Revoke("", held.attempt_id, held.sidecar_epoch, held.upstream_id)]
 
 
-def held_revoke_answered(
+def on_holder_revoke_answered(
     state: RequestState,
     attempt: OpenAttempt,
     held: ClaimHeld,
@@ -198,12 +205,14 @@
     """
     match event.answer:
         case NeverRan(attempt_id) if attempt_id == held.attempt_id:
-            return move(state, attempt, held.attempt_id, now)
+            return move_claim(state, attempt, held.attempt_id, now)
         case MayHaveRun(known=True):
-            return follow_held(state, held)
-        case None if state.held_revokes < state.config.max_revokes:
-            doublings = state.held_revokes - 1
-            return wait(state, Phase.WAITING_TO_REVOKE_HELD, doublings, WHOLE_STEP, now)
+            return follow_holder(state, held)
+        case None if state.holder_revokes < state.config.max_revokes:
+            doublings = state.holder_revokes - 1
+            return back_off(
+                state, Phase.WAITING_TO_REVOKE_HELD, doublings, NO_JITTER, now
+            )
         case _:
             refusal = Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -215,7 +224,7 @@
             return refuse(state, refusal)
 
 
-def follow_held(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
+def follow_holder(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
     """Read the held attempt's frames in place of its dead owner, and store the answer.
 
     The sidecar keeps them from the first on. Nothing is handed over: this request's
@@ -228,14 +237,14 @@
     )
     followed = OpenAttempt(chosen, handed_over=True, followed=True)
     state.attempt = followed
-    state.claim_holder = held.request_id
+    state.followed_request = held.request_id
     state.claim_attempt = held.attempt_id
     state.may_have_run.add(held.attempt_id)
     note = Note(f"following attempt {held.attempt_id} of request {held.request_id}")
     return [*closing, note, *resume(state, followed)]
 
 
-def claim_unavailable(
+def on_claim_unavailable(
     state: RequestState, event: ClaimUnavailable
 ) -> list[RequestEffect]:
     """Refuse at once where the claim could not be committed in time.
@@ -247,5 +256,5 @@
     then "outcome unknown"; sending again under the key stays safe. A later resend
     finds the claim of an attempt that no sidecar has seen, and has it revoked.
     """
-    refusal = event.refusal._replace(code=state.code())
+    refusal = event.refusal._replace(code=state.refusal_code())
     return refuse(state, refusal, AttemptOutcome.NEVER_RAN)
--- a/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
@@ -32,18 +32,18 @@
 
     streamed: bool
     continuable: bool
-    keeps_answer: bool
+    stores_answer: bool
     max_buffered_bytes: int
     max_stored_answer_bytes: int
     head: StreamHead | None = None
     head_sent: bool = False
-    passed_tokens: int = 0
-    ends_at_token: bool = True
-    held: list[bytes] = field(default_factory=list)
-    held_size: int = 0
-    held_tokens: int = 0
+    delivered_tokens: int = 0
+    flushed_at_token: bool = True
+    buffered: list[bytes] = field(default_factory=list)
+    buffered_bytes: int = 0
+    buffered_tokens: int = 0
     stored: list[bytes] = field(default_factory=list)
-    stored_size: int = 0
+    stored_bytes: int = 0
 
     @classmethod
     def from_config(cls, request: CallerRequest, config: RequestConfig) -> "Delivery":
@@ -51,76 +51,76 @@
         return cls(
             streamed=request.streamed,
             continuable=request.can_be_continued(),
-            keeps_answer=request.has_key(),
+            stores_answer=request.has_key(),
             max_buffered_bytes=config.max_buffered_bytes,
             max_stored_answer_bytes=config.max_stored_answer_bytes,
         )
 
-    def can_start_again(self) -> bool:
+    def can_retry_elsewhere(self) -> bool:
         """Tell whether another attempt can give what the caller still lacks."""
-        return not self.head_sent or (self.continuable and self.ends_at_token)
+        return not self.head_sent or (self.continuable and self.flushed_at_token)
 
-    def start_again(self) -> None:
+    def reset_for_retry(self) -> None:
         """Forget what is held back, for another attempt will give it again."""
-        self.held.clear()
-        self.held_size = 0
-        self.held_tokens = 0
+        self.buffered.clear()
+        self.buffered_bytes = 0
+        self.buffered_tokens = 0
         if not self.head_sent:
             self.head = None
 
-    def accepts_head(self, head: StreamHead) -> bool:
+    def accept_head(self, head: StreamHead) -> bool:
         """Take the head of an attempt; False where it contradicts the sent one."""
         if not self.head_sent:
             self.head = head
             return True
         return self.head is not None and self.head.status == head.status
 
-    def take(self, chunk: StreamChunk) -> list[RequestEffect]:
+    def add_chunk(self, chunk: StreamChunk) -> list[RequestEffect]:
         """Take the next piece in order and pass on what may be."""
-        self.held.append(chunk.data)
-        self.held_size += len(chunk.data)
-        self.held_tokens += chunk.tokens
+        self.buffered.append(chunk.data)
+        self.buffered_bytes += len(chunk.data)
+        self.buffered_tokens += chunk.tokens
         self.store(chunk.data)
-        if not self.must_pass_on(chunk):
+        if not self.must_flush(chunk):
             return []
-        self.ends_at_token = chunk.tokens > 0
-        return self.pass_on()
+        self.flushed_at_token = chunk.tokens > 0
+        return self.flush()
 
-    def must_pass_on(self, chunk: StreamChunk) -> bool:
+    def must_flush(self, chunk: StreamChunk) -> bool:
         """Tell whether what is held back goes to the caller with this piece."""
-        if self.held_size > self.max_buffered_bytes:
+        if self.buffered_bytes > self.max_buffered_bytes:
             return True
         return self.streamed and not (self.continuable and not chunk.tokens)
 
     def store(self, data: bytes) -> None:
         """Keep a copy for resends, as long as the answer is small enough."""
-        if not self.keeps_answer:
+        if not self.stores_answer:
             return
-        self.stored_size += len(data)
-        if self.stored_size > self.max_stored_answer_bytes:
+        self.stored_bytes += len(data)
+        if self.stored_bytes > self.max_stored_answer_bytes:
             self.stored.clear()
             return
         self.stored.append(data)
 
-    def pass_on(self) -> list[RequestEffect]:
+    def flush(self) -> list[RequestEffect]:
         """Give the caller all that is held back, after the head."""
         effects: list[RequestEffect] = []
         if not self.head_sent and self.head is not None:
             self.head_sent = True
             effects.append(AnswerHead(self.head.status, self.head.headers))
-        data = self.held[0] if len(self.held) == 1 else b"".join(self.held)
+        data = self.buffered[0] if len(self.buffered) == 1 else b"".join(self.buffered)
         if data:
             effects.append(AnswerChunk(data))
-        self.passed_tokens += self.held_tokens
-        self.held.clear()
-        self.held_size = 0
-        self.held_tokens = 0
+        self.delivered_tokens += self.buffered_tokens
+        self.buffered.clear()
+        self.buffered_bytes = 0
+        self.buffered_tokens = 0
         return effects
 
     def stored_answer(self) -> StoredAnswer | None:
         """Be the answer that resends get, once it has ended whole."""
         if self.head is None:
             return None
-        whole = self.stored_size <= self.max_stored_answer_bytes
+        whole = self.stored_bytes <= self.max_stored_answer_bytes
         body = b"".join(self.stored) if whole else b""
         return StoredAnswer(self.head.status, self.head.headers, body, whole)
--- a/packages/core/src/cowslipshelf_core/internal/requests/ending.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/ending.py
@@ -2,7 +2,7 @@
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
-from cowslipshelf_core.internal.requests.claim_commands import claim_finished
+from cowslipshelf_core.internal.requests.claim_commands import build_claim_finished
 from cowslipshelf_core.internal.requests.effects import (
     AnswerChunk,
     AnswerEnd,
@@ -44,16 +44,16 @@
     return effects
 
 
-def end_whole(state: RequestState) -> list[RequestEffect]:
+def complete_answer(state: RequestState) -> list[RequestEffect]:
     """End a whole answer; it is stored for resends before the caller has its end.
 
     An answer that the caller has whole and that a resend can't get would look lost
     to a caller which died between the two, so storing comes first.
     """
     delivery = state.delivery
-    stored = _store(state, delivery.stored_answer())
+    stored = _store_outcome(state, delivery.stored_answer())
     # A held-back answer is small: it is stored before its first byte is given.
-    rest = delivery.pass_on()
+    rest = delivery.flush()
     answer = [*stored, *rest] if not delivery.streamed else [*rest, *stored]
     if state.caller_gone:
         answer = stored
@@ -68,7 +68,7 @@
     outcome: AttemptOutcome = AttemptOutcome.FAILED,
 ) -> list[RequestEffect]:
     """End with a refusal, given at once; storing and clean-up come after it."""
-    stored = _store(state, refusal)
+    stored = _store_outcome(state, refusal)
     closing = close_attempt(state, outcome)
     state.phase = Phase.ENDED
     answer = AnswerRefusal(refusal, state.delivery.head_sent)
@@ -76,7 +76,7 @@
     return [answer, note, *closing, *stored]
 
 
-def refuse_for(
+def refuse_with_reason(
     state: RequestState,
     reason: RefusalReason,
     step: str,
@@ -86,10 +86,12 @@
     """End with a refusal of our own, claiming no more than is known."""
     attempt = state.attempt
     peer = attempt.chosen.upstream_id if attempt is not None else ""
-    return refuse(state, Refusal(state.code(), reason, step, peer, detail), outcome)
+    return refuse(
+        state, Refusal(state.refusal_code(), reason, step, peer, detail), outcome
+    )
 
 
-def replay(state: RequestState, answer: StoredAnswer) -> list[RequestEffect]:
+def replay_answer(state: RequestState, answer: StoredAnswer) -> list[RequestEffect]:
     """Give the answer that an earlier request under the key got."""
     closing = close_attempt(state, AttemptOutcome.NEVER_RAN)
     state.phase = Phase.ENDED
@@ -118,23 +120,26 @@
     Its attempt was never handed over, as no hand-over precedes the grant; without
     this a resend would be told "still running" until the deadline.
     """
-    if granted.attempt_id not in state.placed or state.claim_attempt is not None:
-        return state.drop()
+    if (
+        granted.attempt_id not in state.placed_attempts
+        or state.claim_attempt is not None
+    ):
+        return state.drop_event()
     state.claim_attempt = granted.attempt_id
     refusal = Refusal(RefusalCode.NOT_RUN, RefusalReason.CANCELLED, "claim")
-    return _store(state, refusal)
+    return _store_outcome(state, refusal)
 
 
-def _store(
+def _store_outcome(
     state: RequestState, outcome: StoredAnswer | Refusal | None
 ) -> list[RequestEffect]:
     attempt_id: AttemptId | None = state.claim_attempt
     if attempt_id is None:
         return []
-    followed = state.claim_holder
+    followed = state.followed_request
     if followed is not None and isinstance(outcome, Refusal):
         # The owner may live after all, and get the whole answer that was missed here.
         return []
     holder = followed or state.request.request_id
-    finished = claim_finished(state.request, holder, attempt_id, outcome)
+    finished = build_claim_finished(state.request, holder, attempt_id, outcome)
     return [FinishClaim(finished, state.config.store_answer_seconds)]
--- a/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
@@ -9,16 +9,16 @@
     Revoke,
     SendHandOver,
 )
-from cowslipshelf_core.internal.requests.ending import refuse_for
+from cowslipshelf_core.internal.requests.ending import refuse_with_reason
 from cowslipshelf_core.internal.requests.events import (
     HandOverAnswered,
     HandOverLost,
     RevokeAnswered,
 )
 from cowslipshelf_core.internal.requests.retrying import (
-    is_truly_not_run,
-    try_elsewhere,
-    wait,
+    back_off,
+    guarantees_not_run,
+    retry_elsewhere,
 )
 from cowslipshelf_core.internal.requests.state import OpenAttempt, Phase, RequestState
 from cowslipshelf_core.messages import AttemptRefused, MayHaveRun, NeverRan
@@ -29,7 +29,7 @@
 )
 from cowslipshelf_core.upstream import HandOver
 
-WHOLE_STEP = 1.0
+NO_JITTER = 1.0
 
 
 def hand_over(
@@ -39,14 +39,17 @@
     chosen = attempt.chosen
     attempt.handed_over = True
     attempt.handed_over_at = now
-    state.hand_overs += 1
+    state.hand_over_count += 1
     state.may_have_run.add(chosen.attempt_id)
     state.phase = Phase.HANDING_OVER
     note = Note(f"attempt {chosen.attempt_id} goes to {chosen.upstream_id}")
-    return [note, SendHandOver(chosen.attempts_address, _message(state, attempt, now))]
+    return [
+        note,
+        SendHandOver(chosen.attempts_address, _build_hand_over(state, attempt, now)),
+    ]
 
 
-def _message(state: RequestState, attempt: OpenAttempt, now: float) -> HandOver:
+def _build_hand_over(state: RequestState, attempt: OpenAttempt, now: float) -> HandOver:
     request = state.request
     chosen = attempt.chosen
     return HandOver(
@@ -60,7 +63,7 @@
         service=request.service,
         model=request.model,
         non_idempotent=request.is_non_idempotent(),
-        deadline_seconds=state.left(now),
+        deadline_seconds=state.seconds_left(now),
         prompt_tokens=request.prompt_tokens,
         most_output_tokens=request.most_output_tokens,
         priority=chosen.priority,
@@ -69,13 +72,13 @@
         path=request.path,
         headers=request.headers,
         body=request.body,
-        delivered_tokens=state.delivery.passed_tokens,
+        delivered_tokens=state.delivery.delivered_tokens,
         load_sequence=chosen.load_sequence,
         from_token=chosen.from_token,
     )
 
 
-def hand_over_answered(
+def on_hand_over_answered(
     state: RequestState, attempt: OpenAttempt, event: HandOverAnswered
 ) -> list[RequestEffect]:
     """Read the stream, or go elsewhere after a true refusal."""
@@ -83,19 +86,19 @@
         state.phase = Phase.STREAMING
         return [Report(HandOverAccepted(event.attempt_id))]
     report = Report(HandOverRefused(event.attempt_id, event.refused.load))
-    return [report, *_refused(state, attempt, event.refused)]
+    return [report, *_on_hand_over_refused(state, attempt, event.refused)]
 
 
-def _refused(
+def _on_hand_over_refused(
     state: RequestState, attempt: OpenAttempt, refused: AttemptRefused
 ) -> list[RequestEffect]:
-    if not is_truly_not_run(refused.refusal):
-        return _uncertain(state, attempt, refused.refusal)
+    if not guarantees_not_run(refused.refusal):
+        return _on_uncertain_hand_over(state, attempt, refused.refusal)
     state.may_have_run.discard(attempt.chosen.attempt_id)
-    return try_elsewhere(state, refused.refusal, AttemptOutcome.NEVER_RAN)
+    return retry_elsewhere(state, refused.refusal, AttemptOutcome.NEVER_RAN)
 
 
-def hand_over_lost(
+def on_hand_over_lost(
     state: RequestState, attempt: OpenAttempt, event: HandOverLost
 ) -> list[RequestEffect]:
     """Go elsewhere, but where the attempt must not run twice revoke it first.
@@ -105,21 +108,25 @@
     """
     peer = attempt.chosen.upstream_id
     refusal = Refusal(
-        state.code(), RefusalReason.CONNECTION_LOST, "hand over", peer, "no answer"
+        state.refusal_code(),
+        RefusalReason.CONNECTION_LOST,
+        "hand over",
+        peer,
+        "no answer",
     )
     if not event.may_have_arrived:
         state.may_have_run.discard(attempt.chosen.attempt_id)
-        return try_elsewhere(
-            state, refusal._replace(code=state.code()), AttemptOutcome.FAILED
+        return retry_elsewhere(
+            state, refusal._replace(code=state.refusal_code()), AttemptOutcome.FAILED
         )
-    return _uncertain(state, attempt, refusal)
+    return _on_uncertain_hand_over(state, attempt, refusal)
 
 
-def _uncertain(
+def _on_uncertain_hand_over(
     state: RequestState, attempt: OpenAttempt, refusal: Refusal
 ) -> list[RequestEffect]:
     if not state.request.is_non_idempotent():
-        return try_elsewhere(state, refusal, AttemptOutcome.FAILED)
+        return retry_elsewhere(state, refusal, AttemptOutcome.FAILED)
     state.last_refusal = refusal
     return revoke(state, attempt)
 
@@ -140,31 +147,31 @@
     ]
 
 
-def revoke_answered(
+def on_revoke_answered(
     state: RequestState, attempt: OpenAttempt, event: RevokeAnswered, now: float
 ) -> list[RequestEffect]:
     """Move after a promise, read on where the attempt runs, or give up at once."""
     match event.answer:
         case NeverRan(attempt_id) if attempt_id == event.attempt_id:
-            return _revoked(state, attempt)
+            return _on_revoked(state, attempt)
         case MayHaveRun(known=True):
             return resume(state, attempt)
         case None if attempt.revokes < state.config.max_revokes:
             doublings = attempt.revokes - 1
-            return wait(state, Phase.WAITING_TO_REVOKE, doublings, WHOLE_STEP, now)
+            return back_off(state, Phase.WAITING_TO_REVOKE, doublings, NO_JITTER, now)
         case _:
             # A sidecar that restarted will never know; nor does waiting help with
             # one that can't be reached. The caller learns it now, not at its deadline.
-            return refuse_for(state, RefusalReason.CONNECTION_LOST, "revoke")
+            return refuse_with_reason(state, RefusalReason.CONNECTION_LOST, "revoke")
 
 
-def _revoked(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
+def _on_revoked(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
     state.may_have_run.discard(attempt.chosen.attempt_id)
     last = state.last_refusal or Refusal(
         RefusalCode.NOT_RUN, RefusalReason.CONNECTION_LOST, "hand over"
     )
-    refusal = last._replace(code=state.code())
-    return try_elsewhere(state, refusal, AttemptOutcome.FAILED)
+    refusal = last._replace(code=state.refusal_code())
+    return retry_elsewhere(state, refusal, AttemptOutcome.FAILED)
 
 
 def resume(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
--- a/packages/core/src/cowslipshelf_core/internal/requests/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/machine.py
@@ -16,16 +16,19 @@
     CallerRequest,
     RequestConfig,
 )
-from cowslipshelf_core.internal.requests.claim_lookup import looked_up
+from cowslipshelf_core.internal.requests.claim_lookup import on_claim_lookup_answered
 from cowslipshelf_core.internal.requests.claiming import (
-    claim_answered,
-    claim_unavailable,
-    held_revoke_answered,
-    revoke_held,
+    on_claim_answered,
+    on_claim_unavailable,
+    on_holder_revoke_answered,
+    revoke_holder,
 )
 from cowslipshelf_core.internal.requests.delivery import Delivery
 from cowslipshelf_core.internal.requests.effects import RequestEffect
-from cowslipshelf_core.internal.requests.ending import finish_late_grant, refuse_for
+from cowslipshelf_core.internal.requests.ending import (
+    finish_late_grant,
+    refuse_with_reason,
+)
 from cowslipshelf_core.internal.requests.events import (
     CallerGone,
     ClaimAnswered,
@@ -45,24 +48,24 @@
     WaitElapsed,
 )
 from cowslipshelf_core.internal.requests.handing_over import (
-    hand_over_answered,
-    hand_over_lost,
+    on_hand_over_answered,
+    on_hand_over_lost,
+    on_revoke_answered,
     resume,
     revoke,
-    revoke_answered,
 )
 from cowslipshelf_core.internal.requests.placing import (
     choose_placement,
-    placed,
-    placement_refused,
+    on_placed,
+    on_placement_refused,
     release_unused,
 )
-from cowslipshelf_core.internal.requests.retrying import retry_answered
+from cowslipshelf_core.internal.requests.retrying import on_retry_answered
 from cowslipshelf_core.internal.requests.state import OpenAttempt, Phase, RequestState
 from cowslipshelf_core.internal.requests.streaming import (
-    frame_arrived,
-    resume_answered,
-    stream_lost,
+    on_frame_arrived,
+    on_resume_answered,
+    on_stream_lost,
 )
 from cowslipshelf_core.messages import ClaimGranted
 from cowslipshelf_core.placement_feedback import AttemptOutcome
@@ -98,56 +101,58 @@
         if isinstance(event, Started):
             return self.start(now)
         if state.phase is Phase.ENDED or state.phase is Phase.CREATED:
-            return self.clean_up(event)
+            return self.clean_up_late_event(event)
         if isinstance(event, DeadlinePassed) or now >= state.deadline:
-            return self.give_up(event)
+            return self.end_at_deadline(event)
         match event:
             case CallerGone():
-                return self.leave_caller()
+                return self.on_caller_gone()
             case WaitElapsed():
-                return self.go_on(now)
+                return self.on_wait_elapsed(now)
             case Placed(chosen):
                 if state.phase is Phase.PLACING:
-                    return placed(state, chosen, now)
+                    return on_placed(state, chosen, now)
                 return release_unused(state, chosen)
             case PlacementRefused(refusal) if state.phase is Phase.PLACING:
-                return placement_refused(state, refusal)
+                return on_placement_refused(state, refusal)
             case RetryAnswered() if state.phase is Phase.ASKING_BUDGET:
-                return retry_answered(state, event, now)
+                return on_retry_answered(state, event, now)
         if state.phase is Phase.LOOKING_UP and state.placement_refusal is not None:
-            return self.handle_for_look_up(state.placement_refusal, event)
+            return self.handle_lookup_event(state.placement_refusal, event)
         if state.attempt is None:
-            return state.drop()
-        return self.handle_for_attempt(state.attempt, event, now)
+            return state.drop_event()
+        return self.handle_attempt_event(state.attempt, event, now)
 
-    def handle_for_look_up(
+    def handle_lookup_event(
         self, refusal: Refusal, event: RequestEvent
     ) -> list[RequestEffect]:
         """Take what is known of the key of a request that got no upstream."""
         match event:
             case ClaimAnswered():
-                return looked_up(self.state, refusal, event)
+                return on_claim_lookup_answered(self.state, refusal, event)
             case ClaimUnavailable():
-                return claim_unavailable(self.state, event)
+                return on_claim_unavailable(self.state, event)
             case _:
-                return self.state.drop()
+                return self.state.drop_event()
 
-    def handle_for_attempt(
+    def handle_attempt_event(
         self, attempt: OpenAttempt, event: RequestEvent, now: float
     ) -> list[RequestEffect]:
         """Take an event that only counts while an attempt is open."""
         state = self.state
         match event:
             case ClaimAnswered() if state.phase in CLAIM_PHASES:
-                return claim_answered(state, attempt, event, now)
+                return on_claim_answered(state, attempt, event, now)
             case ClaimUnavailable() if state.phase in CLAIM_PHASES:
-                return claim_unavailable(state, event)
+                return on_claim_unavailable(state, event)
             case RevokeAnswered() if (
                 state.phase is Phase.REVOKING_HELD
-                and state.held is not None
-                and event.attempt_id == state.held.attempt_id
+                and state.other_claim is not None
+                and event.attempt_id == state.other_claim.attempt_id
             ):
-                return held_revoke_answered(state, attempt, state.held, event, now)
+                return on_holder_revoke_answered(
+                    state, attempt, state.other_claim, event, now
+                )
             case (
                 HandOverAnswered()
                 | HandOverLost()
@@ -156,45 +161,45 @@
                 | ResumeAnswered()
                 | RevokeAnswered()
             ) if state.is_open(event.attempt_id):
-                return self.handle_for_hand_over(attempt, event, now)
+                return self.handle_sidecar_event(attempt, event, now)
             case _:
-                return state.drop()
+                return state.drop_event()
 
-    def handle_for_hand_over(
+    def handle_sidecar_event(
         self, attempt: OpenAttempt, event: RequestEvent, now: float
     ) -> list[RequestEffect]:
         """Take what the sidecar of the open attempt answered."""
         state = self.state
         match state.phase, event:
             case Phase.HANDING_OVER, HandOverAnswered():
-                return hand_over_answered(state, attempt, event)
+                return on_hand_over_answered(state, attempt, event)
             case Phase.HANDING_OVER, HandOverLost():
-                return hand_over_lost(state, attempt, event)
+                return on_hand_over_lost(state, attempt, event)
             case Phase.STREAMING, FrameArrived(frame=frame):
-                return frame_arrived(state, attempt, frame, now)
+                return on_frame_arrived(state, attempt, frame, now)
             case Phase.STREAMING, StreamLost():
-                return stream_lost(state, attempt)
+                return on_stream_lost(state, attempt)
             case Phase.RESUMING, ResumeAnswered(resumed=resumed):
-                return resume_answered(state, attempt, resumed, now)
+                return on_resume_answered(state, attempt, resumed, now)
             case Phase.REVOKING, RevokeAnswered():
-                return revoke_answered(state, attempt, event, now)
+                return on_revoke_answered(state, attempt, event, now)
             case _:
-                return state.drop()
+                return state.drop_event()
 
     def start(self, now: float) -> list[RequestEffect]:
         """Set the deadline and ask for the first placement."""
         state = self.state
         if state.phase is not Phase.CREATED:
-            return state.drop()
+            return state.drop_event()
         state.deadline = now + state.request.deadline_seconds
         if state.request.deadline_seconds <= 0:
-            return refuse_for(state, RefusalReason.DEADLINE_PASSED, "start")
+            return refuse_with_reason(state, RefusalReason.DEADLINE_PASSED, "start")
         return choose_placement(state, now)
 
-    def go_on(self, now: float) -> list[RequestEffect]:
+    def on_wait_elapsed(self, now: float) -> list[RequestEffect]:
         """Do what the elapsed wait was for."""
         state = self.state
-        match state.phase, state.attempt, state.held:
+        match state.phase, state.attempt, state.other_claim:
             case Phase.WAITING_TO_PLACE, _, _:
                 return choose_placement(state, now)
             case Phase.WAITING_TO_REVOKE, OpenAttempt() as attempt, _:
@@ -202,34 +207,34 @@
             case Phase.WAITING_TO_RESUME, OpenAttempt() as attempt, _:
                 return resume(state, attempt)
             case Phase.WAITING_TO_REVOKE_HELD, _, held if held is not None:
-                return revoke_held(state, held)
+                return revoke_holder(state, held)
             case _:
-                return state.drop()
+                return state.drop_event()
 
-    def leave_caller(self) -> list[RequestEffect]:
+    def on_caller_gone(self) -> list[RequestEffect]:
         """Stop for a caller that went away, but never cut work that runs once."""
         state = self.state
         state.caller_gone = True
         if state.request.is_non_idempotent() and state.may_have_run:
             return []
-        return refuse_for(
+        return refuse_with_reason(
             state,
             RefusalReason.CANCELLED,
             "caller",
             outcome=AttemptOutcome.CANCELLED,
         )
 
-    def give_up(self, event: RequestEvent) -> list[RequestEffect]:
+    def end_at_deadline(self, event: RequestEvent) -> list[RequestEffect]:
         """End at the deadline; what came too late is only cleaned up."""
-        ended = refuse_for(
+        ended = refuse_with_reason(
             self.state,
             RefusalReason.DEADLINE_PASSED,
             self.state.phase.name.lower().replace("_", " "),
             outcome=AttemptOutcome.CANCELLED,
         )
-        return [*ended, *self.clean_up(event)]
+        return [*ended, *self.clean_up_late_event(event)]
 
-    def clean_up(self, event: RequestEvent) -> list[RequestEffect]:
+    def clean_up_late_event(self, event: RequestEvent) -> list[RequestEffect]:
         """Give back what a late answer brings."""
         match event:
             case Placed(chosen):
@@ -237,4 +242,4 @@
             case ClaimAnswered(answer=ClaimGranted() as granted):
                 return finish_late_grant(self.state, granted)
             case _:
-                return self.state.drop()
+                return self.state.drop_event()
--- a/packages/core/src/cowslipshelf_core/internal/requests/placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/placing.py
@@ -2,7 +2,7 @@
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalReason
-from cowslipshelf_core.internal.requests.claim_lookup import look_up
+from cowslipshelf_core.internal.requests.claim_lookup import look_up_claim
 from cowslipshelf_core.internal.requests.claiming import claim_or_hand_over
 from cowslipshelf_core.internal.requests.effects import (
     ChoosePlacement,
@@ -17,39 +17,39 @@
 def choose_placement(state: RequestState, now: float) -> list[RequestEffect]:
     """Ask the router, leaving out the upstreams that were tried."""
     state.phase = Phase.PLACING
-    return [ChoosePlacement(frozenset(state.excluded), state.left(now))]
+    return [ChoosePlacement(frozenset(state.excluded), state.seconds_left(now))]
 
 
-def placed(
+def on_placed(
     state: RequestState, chosen: ChosenUpstream, now: float
 ) -> list[RequestEffect]:
     """Open the attempt; an id that was seen before is a crossed or doubled answer."""
-    if chosen.attempt_id in state.placed:
-        return state.drop()
-    state.placed.add(chosen.attempt_id)
+    if chosen.attempt_id in state.placed_attempts:
+        return state.drop_event()
+    state.placed_attempts.add(chosen.attempt_id)
     state.attempt = OpenAttempt(chosen)
     return claim_or_hand_over(state, state.attempt, now)
 
 
 def release_unused(state: RequestState, chosen: ChosenUpstream) -> list[RequestEffect]:
     """Tell the router that a choice came when nobody waited for it."""
-    state.drop()
-    if chosen.attempt_id in state.placed:
+    state.drop_event()
+    if chosen.attempt_id in state.placed_attempts:
         return []
-    state.placed.add(chosen.attempt_id)
+    state.placed_attempts.add(chosen.attempt_id)
     return [Report(AttemptEnded(chosen.attempt_id, AttemptOutcome.NEVER_RAN))]
 
 
-def placement_refused(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
+def on_placement_refused(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
     """End with the router's refusal, or with the sidecars' that left it no choice.
 
     A stored answer needs no upstream: a key that is not this request's is looked up
     first. Only refused requests pay for that; the others learn it with their claim.
     """
     if state.request.has_key() and state.claim_attempt is None:
-        return look_up(state, refusal)
+        return look_up_claim(state, refusal)
     last = state.last_refusal
     if last is not None and refusal.reason is RefusalReason.NO_UPSTREAM:
         retry_after = last.retry_after_seconds or refusal.retry_after_seconds
         refusal = last._replace(retry_after_seconds=retry_after)
-    return refuse(state, refusal._replace(code=state.code()))
+    return refuse(state, refusal._replace(code=state.refusal_code()))
--- a/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
@@ -10,13 +10,13 @@
 from cowslipshelf_core.internal.requests.ending import (
     close_attempt,
     refuse,
-    refuse_for,
+    refuse_with_reason,
 )
 from cowslipshelf_core.internal.requests.events import RetryAnswered
 from cowslipshelf_core.internal.requests.state import Phase, RequestState
 from cowslipshelf_core.placement_feedback import AttemptOutcome
 
-REASONS_THAT_FOLLOW_THE_REQUEST = frozenset(
+NON_RETRYABLE_REASONS = frozenset(
     {
         RefusalReason.DEADLINE_PASSED,
         RefusalReason.NOT_ALLOWED,
@@ -29,7 +29,7 @@
 """No other upstream would answer these otherwise."""
 
 
-def is_truly_not_run(refusal: Refusal) -> bool:
+def guarantees_not_run(refusal: Refusal) -> bool:
     """Tell whether a sidecar's refusal promises that the attempt never runs.
 
     A duplicate is refused because its first copy was taken: that one may be running.
@@ -40,7 +40,7 @@
     )
 
 
-def try_elsewhere(
+def retry_elsewhere(
     state: RequestState, refusal: Refusal, outcome: AttemptOutcome
 ) -> list[RequestEffect]:
     """Close the open attempt and ask for a retry on another upstream."""
@@ -51,34 +51,36 @@
     if attempt is not None and not attempt.chosen.helpers:
         state.excluded.add(attempt.chosen.upstream_id)
     effects = close_attempt(state, outcome)
-    if not _may_try_again(state, refusal):
-        return [*effects, *end_with_last_refusal(state)]
-    state.delivery.start_again()
+    if not _may_retry(state, refusal):
+        return [*effects, *refuse_with_last_refusal(state)]
+    state.delivery.reset_for_retry()
     state.phase = Phase.ASKING_BUDGET
     note = Note(f"trying elsewhere after {refusal.reason} at {refusal.step}")
     return [*effects, note, AskRetryBudget()]
 
 
-def _may_try_again(state: RequestState, refusal: Refusal) -> bool:
-    if state.caller_gone or refusal.reason in REASONS_THAT_FOLLOW_THE_REQUEST:
+def _may_retry(state: RequestState, refusal: Refusal) -> bool:
+    if state.caller_gone or refusal.reason in NON_RETRYABLE_REASONS:
         return False
     return (
-        state.hand_overs < state.config.max_attempts
-        and state.delivery.can_start_again()
+        state.hand_over_count < state.config.max_attempts
+        and state.delivery.can_retry_elsewhere()
     )
 
 
-def retry_answered(
+def on_retry_answered(
     state: RequestState, event: RetryAnswered, now: float
 ) -> list[RequestEffect]:
     """Wait before the next placement, or end where the budget is spent."""
     if not event.allowed:
-        return [Note("retry budget is spent"), *end_with_last_refusal(state)]
-    return wait(state, Phase.WAITING_TO_PLACE, state.hand_overs - 1, event.jitter, now)
+        return [Note("retry budget is spent"), *refuse_with_last_refusal(state)]
+    return back_off(
+        state, Phase.WAITING_TO_PLACE, state.hand_over_count - 1, event.jitter, now
+    )
 
 
-def wait(
-    state: RequestState, phase: Phase, doublings: int, share: float, now: float
+def back_off(
+    state: RequestState, phase: Phase, doublings: int, jitter: float, now: float
 ) -> list[RequestEffect]:
     """Back off exponentially, by the given share of the step, within the deadline."""
     config = state.config
@@ -87,12 +89,12 @@
         config.backoff_base_seconds * 2.0 ** max(0, doublings),
     )
     state.phase = phase
-    return [Wait(min(step * share, state.left(now)))]
+    return [Wait(min(step * jitter, state.seconds_left(now)))]
 
 
-def end_with_last_refusal(state: RequestState) -> list[RequestEffect]:
+def refuse_with_last_refusal(state: RequestState) -> list[RequestEffect]:
     """End with the reason for which the last attempt was given up."""
     last = state.last_refusal
     if last is None:
-        return refuse_for(state, RefusalReason.NO_UPSTREAM, "place")
-    return refuse(state, last._replace(code=state.code()))
+        return refuse_with_reason(state, RefusalReason.NO_UPSTREAM, "place")
+    return refuse(state, last._replace(code=state.refusal_code()))
--- a/packages/core/src/cowslipshelf_core/internal/requests/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/state.py
@@ -64,13 +64,13 @@
     phase: Phase = Phase.CREATED
     deadline: float = 0.0
     attempt: OpenAttempt | None = None
-    placed: set[AttemptId] = field(default_factory=set)
+    placed_attempts: set[AttemptId] = field(default_factory=set)
     may_have_run: set[AttemptId] = field(default_factory=set)
     """Attempts handed over, and not known to have never reached an upstream."""
-    ran: bool = False
+    frame_seen: bool = False
     """Whether a frame of any attempt has been seen."""
     excluded: set[UpstreamId] = field(default_factory=set)
-    hand_overs: int = 0
+    hand_over_count: int = 0
     last_refusal: Refusal | None = None
     placement_refusal: Refusal | None = None
     """The router's refusal, while it is asked whether the key has an answer."""
@@ -78,16 +78,16 @@
     """Whether the replicated state has told that nothing ran under the key."""
     claim_attempt: AttemptId | None = None
     """The attempt under which this request holds its key, or follows its holder."""
-    claim_holder: RequestId | None = None
+    followed_request: RequestId | None = None
     """The request whose claim is followed; None where the claim is this one's."""
-    held: ClaimHeld | None = None
+    other_claim: ClaimHeld | None = None
     """Who else holds the key, while that one's attempt is revoked."""
-    held_revokes: int = 0
+    holder_revokes: int = 0
     caller_gone: bool = False
     dropped_events: int = 0
     """Events that were late, doubled or of another attempt."""
 
-    def left(self, now: float) -> float:
+    def seconds_left(self, now: float) -> float:
         """Give the seconds until the caller's deadline."""
         return self.deadline - now
 
@@ -97,7 +97,7 @@
             self.attempt.chosen.attempt_id == attempt_id
         )
 
-    def code(self) -> RefusalCode:
+    def refusal_code(self) -> RefusalCode:
         """Say what may truly be claimed about the request now.
 
         "Not run" needs every attempt to be refused, revoked or never sent. A request
@@ -111,11 +111,11 @@
             if self.request.has_key() and not known:
                 return RefusalCode.OUTCOME_UNKNOWN
             return RefusalCode.NOT_RUN
-        if self.ran and not self.request.is_non_idempotent():
+        if self.frame_seen and not self.request.is_non_idempotent():
             return RefusalCode.FAILED
         return RefusalCode.OUTCOME_UNKNOWN
 
-    def drop(self) -> list[RequestEffect]:
+    def drop_event(self) -> list[RequestEffect]:
         """Ignore an event that is late, doubled or of another attempt."""
         self.dropped_events += 1
         return []
--- a/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
@@ -2,12 +2,16 @@
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.internal.requests.effects import Note, Report, RequestEffect
-from cowslipshelf_core.internal.requests.ending import end_whole, refuse, refuse_for
-from cowslipshelf_core.internal.requests.handing_over import WHOLE_STEP, resume
+from cowslipshelf_core.internal.requests.ending import (
+    complete_answer,
+    refuse,
+    refuse_with_reason,
+)
+from cowslipshelf_core.internal.requests.handing_over import NO_JITTER, resume
 from cowslipshelf_core.internal.requests.retrying import (
-    is_truly_not_run,
-    try_elsewhere,
-    wait,
+    back_off,
+    guarantees_not_run,
+    retry_elsewhere,
 )
 from cowslipshelf_core.internal.requests.state import OpenAttempt, Phase, RequestState
 from cowslipshelf_core.messages import (
@@ -22,59 +26,59 @@
 from cowslipshelf_core.placement_feedback import AttemptOutcome, FirstTokenSeen
 
 
-def frame_arrived(
+def on_frame_arrived(
     state: RequestState, attempt: OpenAttempt, frame: Frame, now: float
 ) -> list[RequestEffect]:
     """Take a frame of the open attempt."""
     match frame:
         case StreamChunk():
-            return _chunk(state, attempt, frame, now)
+            return _on_chunk(state, attempt, frame, now)
         case StreamHead():
-            return _head(state, attempt, frame)
+            return _on_head(state, attempt, frame)
         case StreamEnd():
-            return _end(state, attempt, frame)
+            return _on_end(state, attempt, frame)
         case StreamHeartbeat():
             return []
         case AttemptReserved() | PartPrefilled():
             # A stream that is read again from its beginning shows them again.
-            return state.drop()
+            return state.drop_event()
 
 
-def _head(
+def _on_head(
     state: RequestState, attempt: OpenAttempt, head: StreamHead
 ) -> list[RequestEffect]:
     if attempt.head_seen:
         # A resumed stream may begin with its head again.
-        return state.drop()
-    state.ran = True
+        return state.drop_event()
+    state.frame_seen = True
     attempt.head_seen = True
-    if state.delivery.accepts_head(head):
+    if state.delivery.accept_head(head):
         return []
     detail = f"continued with status {head.status}"
-    refusal = _refusal(
+    refusal = _build_refusal(
         state, attempt, RefusalReason.UPSTREAM_FAILED, "continue", detail
     )
-    return try_elsewhere(state, refusal, AttemptOutcome.FAILED)
+    return retry_elsewhere(state, refusal, AttemptOutcome.FAILED)
 
 
-def _chunk(
+def _on_chunk(
     state: RequestState, attempt: OpenAttempt, chunk: StreamChunk, now: float
 ) -> list[RequestEffect]:
     if chunk.sequence <= attempt.sequence:
-        return state.drop()
+        return state.drop_event()
     if chunk.sequence > attempt.sequence + 1 or not attempt.head_seen:
-        state.drop()
-        return stream_lost(state, attempt)
+        state.drop_event()
+        return on_stream_lost(state, attempt)
     attempt.sequence = chunk.sequence
     attempt.resumes = 0
-    effects = _first_token(attempt, chunk, now)
-    passed = state.delivery.take(chunk)
+    effects = _report_first_token(attempt, chunk, now)
+    passed = state.delivery.add_chunk(chunk)
     if not state.caller_gone:
         effects.extend(passed)
     return effects
 
 
-def _first_token(
+def _report_first_token(
     attempt: OpenAttempt, chunk: StreamChunk, now: float
 ) -> list[RequestEffect]:
     if attempt.first_token_seen or not chunk.tokens:
@@ -86,33 +90,33 @@
     return [Report(FirstTokenSeen(attempt.chosen.attempt_id, seconds))]
 
 
-def _end(
+def _on_end(
     state: RequestState, attempt: OpenAttempt, end: StreamEnd
 ) -> list[RequestEffect]:
     if end.refusal is not None:
-        return _ended_by_refusal(state, attempt, end.refusal)
+        return _on_end_with_refusal(state, attempt, end.refusal)
     # An end that counts other pieces than were taken is no proof of a whole answer.
     if end.last_sequence != attempt.sequence or not attempt.head_seen:
-        return stream_lost(state, attempt)
-    return end_whole(state)
+        return on_stream_lost(state, attempt)
+    return complete_answer(state)
 
 
-def _ended_by_refusal(
+def _on_end_with_refusal(
     state: RequestState, attempt: OpenAttempt, refusal: Refusal
 ) -> list[RequestEffect]:
-    if is_truly_not_run(refusal) and not attempt.head_seen:
+    if guarantees_not_run(refusal) and not attempt.head_seen:
         state.may_have_run.discard(attempt.chosen.attempt_id)
-        return try_elsewhere(state, refusal, AttemptOutcome.NEVER_RAN)
-    state.ran = True
+        return retry_elsewhere(state, refusal, AttemptOutcome.NEVER_RAN)
+    state.frame_seen = True
     if not state.request.is_non_idempotent():
-        return try_elsewhere(state, refusal, AttemptOutcome.FAILED)
+        return retry_elsewhere(state, refusal, AttemptOutcome.FAILED)
     code = refusal.code
     if code is RefusalCode.NOT_RUN:
         code = RefusalCode.OUTCOME_UNKNOWN
     return refuse(state, refusal._replace(code=code), AttemptOutcome.FAILED)
 
 
-def stream_lost(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
+def on_stream_lost(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
     """Resume at the same sidecar, which keeps what it sent; else give up there."""
     if attempt.resumes >= state.config.max_resumes:
         return _give_up_stream(state, attempt, "lost again without a new piece")
@@ -120,7 +124,7 @@
     return [note, *resume(state, attempt)]
 
 
-def resume_answered(
+def on_resume_answered(
     state: RequestState, attempt: OpenAttempt, resumed: bool, now: float
 ) -> list[RequestEffect]:
     """Read on, or go on where the request may be repeated."""
@@ -130,7 +134,7 @@
     may_wait = attempt.resumes < state.config.max_resumes
     if state.request.is_non_idempotent() and may_wait:
         doublings = attempt.resumes - 1
-        return wait(state, Phase.WAITING_TO_RESUME, doublings, WHOLE_STEP, now)
+        return back_off(state, Phase.WAITING_TO_RESUME, doublings, NO_JITTER, now)
     return _give_up_stream(state, attempt, "could not be resumed")
 
 
@@ -138,16 +142,22 @@
     state: RequestState, attempt: OpenAttempt, detail: str
 ) -> list[RequestEffect]:
     if state.request.is_non_idempotent():
-        return refuse_for(state, RefusalReason.CONNECTION_LOST, "stream", detail)
-    refusal = _refusal(state, attempt, RefusalReason.CONNECTION_LOST, "stream", detail)
-    return try_elsewhere(state, refusal, AttemptOutcome.FAILED)
+        return refuse_with_reason(
+            state, RefusalReason.CONNECTION_LOST, "stream", detail
+        )
+    refusal = _build_refusal(
+        state, attempt, RefusalReason.CONNECTION_LOST, "stream", detail
+    )
+    return retry_elsewhere(state, refusal, AttemptOutcome.FAILED)
 
 
-def _refusal(
+def _build_refusal(
     state: RequestState,
     attempt: OpenAttempt,
     reason: RefusalReason,
     step: str,
     detail: str,
 ) -> Refusal:
-    return Refusal(state.code(), reason, step, attempt.chosen.upstream_id, detail)
+    return Refusal(
+        state.refusal_code(), reason, step, attempt.chosen.upstream_id, detail
+    )
--- a/tests/cover/requests/test_request_stories.py
+++ b/tests/cover/requests/test_request_stories.py
@@ -207,7 +207,7 @@
     driven = harness.begin(config=TIGHT, streamed=streamed, kind="plain")
     for _ in range(5):
         harness.step(driven, FINE)
-        assert driven.machine.state.delivery.held_size <= TIGHT.max_buffered_bytes
+        assert driven.machine.state.delivery.buffered_bytes <= TIGHT.max_buffered_bytes
     assert driven.answer
 
 
