--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -44,7 +44,7 @@
 from cowslipshelf_core.upstream import HandOver, LoadReport
 
 STEP = "spread"
-REASONS_THAT_PASS = frozenset(
+TRANSIENT_REASONS = frozenset(
     {RefusalReason.BUSY, RefusalReason.OVERLOADED, RefusalReason.NOT_READY}
 )
 """Refusals of a part that may be otherwise a moment later."""
@@ -81,13 +81,13 @@
     hand_over: HandOver
     config: SpreadConfig
     deadline_at: float
-    reserve_until: float
+    reserve_deadline: float
     phase: Phase = Phase.RESERVING
-    tries: int = 0
-    asked: list[HandOver] = field(default_factory=list)
+    retry_count: int = 0
+    handed_over: list[HandOver] = field(default_factory=list)
     """Parts handed over in this try, in order; the last of them is the current one
     while memory is reserved."""
-    parts: tuple[KvReference, ...] = ()
+    prefilled_parts: tuple[KvReference, ...] = ()
     refusal: Refusal | None = None
     """Why the last part is being revoked."""
 
@@ -101,88 +101,90 @@
     ) -> Self:
         """Begin with nothing handed over, at `now` (monotonic seconds)."""
         left = hand_over.deadline_seconds
-        reserve_until = now + left * config.reserve_time_share
-        return cls(chosen, hand_over, config, now + left, reserve_until)
+        reserve_deadline = now + left * config.reserve_time_share
+        return cls(chosen, hand_over, config, now + left, reserve_deadline)
 
     def handle(
         self, event: SpreadEvent, now: float, random: Random
     ) -> list[SpreadEffect]:
         """Take in one event; what is late or of an earlier try does nothing."""
         match event:
-            case SpreadStarted() if not self.asked:
-                return self.ask_next(now)
-            case PartRefused(attempt_id, refused) if self.reserves(attempt_id):
-                return self.refused(refused, now, random)
-            case PartUnanswered(attempt_id) if self.reserves(attempt_id):
-                return self.unanswered(event)
-            case PartReserved(attempt_id) if self.reserves(attempt_id):
-                return self.reserved(now)
-            case PartFilled(attempt_id, part) if self.prefills(attempt_id):
-                self.parts = (*self.parts, part)
-                return self.begin_next()
+            case SpreadStarted() if not self.handed_over:
+                return self.hand_over_next(now)
+            case PartRefused(attempt_id, refused) if self.is_reserving(attempt_id):
+                return self.on_part_refused(refused, now, random)
+            case PartUnanswered(attempt_id) if self.is_reserving(attempt_id):
+                return self.on_part_unanswered(event)
+            case PartReserved(attempt_id) if self.is_reserving(attempt_id):
+                return self.on_part_reserved(now)
+            case PartFilled(attempt_id, part) if self.is_prefilling(attempt_id):
+                self.prefilled_parts = (*self.prefilled_parts, part)
+                return self.begin_next_part()
             case BeginAnswered(attempt_id, acknowledged):
-                return self.begin_answered(attempt_id, acknowledged)
-            case PartLost(attempt_id) if self.holds(attempt_id):
-                return self.give_up(event.refusal or self.loss(event))
+                return self.on_begin_answered(attempt_id, acknowledged)
+            case PartLost(attempt_id) if self.was_handed_over(attempt_id):
+                return self.give_up(event.refusal or self.loss_refusal(event))
             case LastRevoked(promised) if self.phase is Phase.REVOKING_LAST:
-                return self.revoked(promised)
+                return self.on_last_revoked(promised)
             case BackoffElapsed() if self.phase is Phase.BACKING_OFF:
                 self.phase = Phase.RESERVING
-                return self.ask_next(now)
+                return self.hand_over_next(now)
             case TimePassed() if self.phase is Phase.RESERVING:
-                return self.look_at_time(now)
+                return self.check_reserve_deadline(now)
             case NoLongerWanted():
                 detail = "the caller went away or its deadline passed"
-                return self.give_up(self.not_run(RefusalReason.CANCELLED, detail))
+                return self.give_up(
+                    self.not_run_refusal(RefusalReason.CANCELLED, detail)
+                )
         return []
 
     # What the present try holds.
 
     @property
-    def last_was_asked(self) -> bool:
+    def last_part_handed_over(self) -> bool:
         """Return whether the part that generates was handed over."""
-        return len(self.asked) > len(self.chosen.helpers)
+        return len(self.handed_over) > len(self.chosen.helpers)
 
-    def reserves(self, attempt_id: AttemptId) -> bool:
+    def is_reserving(self, attempt_id: AttemptId) -> bool:
         """Return whether memory for this part is awaited."""
         return (
             self.phase is Phase.RESERVING
-            and bool(self.asked)
-            and self.asked[-1].attempt_id == attempt_id
+            and bool(self.handed_over)
+            and self.handed_over[-1].attempt_id == attempt_id
         )
 
-    def prefills(self, attempt_id: AttemptId) -> bool:
+    def is_prefilling(self, attempt_id: AttemptId) -> bool:
         """Return whether this is the part that is being prefilled."""
         return (
             self.phase is Phase.PREFILLING
-            and self.asked[len(self.parts)].attempt_id == attempt_id
+            and self.handed_over[len(self.prefilled_parts)].attempt_id == attempt_id
         )
 
-    def holds(self, attempt_id: AttemptId) -> bool:
+    def was_handed_over(self, attempt_id: AttemptId) -> bool:
         """Return whether a part was handed over in this try."""
         if self.phase in (Phase.ENDED, Phase.REVOKING_LAST):
             return False
-        return any(part.attempt_id == attempt_id for part in self.asked)
+        return any(part.attempt_id == attempt_id for part in self.handed_over)
 
     # Memory, all or nothing.
 
-    def ask_next(self, now: float) -> list[SpreadEffect]:
+    def hand_over_next(self, now: float) -> list[SpreadEffect]:
         """Ask for the memory of the next part in the fixed order."""
-        index = len(self.asked)
+        index = len(self.handed_over)
         left = self.deadline_at - now
         if index < len(self.chosen.helpers):
             place = self.chosen.helpers[index]
-            self.asked.append(self.part_of(place, index, left))
-            return [HandOverPart(place.attempts_address, self.asked[-1])]
-        self.asked.append(self.hand_over._replace(deadline_seconds=left))
-        return [HandOverPart(self.chosen.attempts_address, self.asked[-1])]
+            self.handed_over.append(self.build_part(place, index, left))
+            return [HandOverPart(place.attempts_address, self.handed_over[-1])]
+        self.handed_over.append(self.hand_over._replace(deadline_seconds=left))
+        return [HandOverPart(self.chosen.attempts_address, self.handed_over[-1])]
 
-    def part_of(self, place: PartPlace, index: int, left: float) -> HandOver:
+    def build_part(self, place: PartPlace, index: int, left: float) -> HandOver:
         """Address a part to a helper; it only prefills, so it may be repeated."""
         last_id = self.hand_over.attempt_id
         return self.hand_over._replace(
             # The last part's id is fresh, so these are, for each try.
-            attempt_id=AttemptId(f"{last_id}-{self.tries}-{index}"),
+            attempt_id=AttemptId(f"{last_id}-{self.retry_count}-{index}"),
             upstream_id=place.upstream_id,
             sidecar_epoch=place.epoch,
             load_sequence=place.load_sequence,
@@ -193,69 +195,75 @@
             deadline_seconds=left,
         )
 
-    def reserved(self, now: float) -> list[SpreadEffect]:
+    def on_part_reserved(self, now: float) -> list[SpreadEffect]:
         """Ask for the next part, or prefill once all memory stands."""
-        if not self.last_was_asked:
-            return self.ask_next(now)
+        if not self.last_part_handed_over:
+            return self.hand_over_next(now)
         self.phase = Phase.PREFILLING
-        return self.begin_next()
+        return self.begin_next_part()
 
-    def refused(
+    def on_part_refused(
         self, refused: AttemptRefused, now: float, random: Random
     ) -> list[SpreadEffect]:
         """Free what is held, and try again where the refusal may pass."""
-        passing = refused.refusal.reason in REASONS_THAT_PASS
-        if not passing or now >= self.reserve_until:
-            return self.refused_for_good(refused)
+        transient = refused.refusal.reason in TRANSIENT_REASONS
+        if not transient or now >= self.reserve_deadline:
+            return self.end_with_refusal(refused)
         cancels = self.cancel_helpers()
         self.phase = Phase.BACKING_OFF
         step = min(
             self.config.backoff_cap_seconds,
-            self.config.backoff_base_seconds * 2.0**self.tries,
+            self.config.backoff_base_seconds * 2.0**self.retry_count,
         )
-        self.tries += 1
+        self.retry_count += 1
         # Jitter, or prompts that were in each other's way would meet again.
         return [*cancels, BackOff(random.uniform(0.0, step))]
 
-    def refused_for_good(self, refused: AttemptRefused) -> list[SpreadEffect]:
+    def end_with_refusal(self, refused: AttemptRefused) -> list[SpreadEffect]:
         """End with a helper's refusal as "not run", with the last part's as it is."""
-        if not self.last_was_asked:
+        if not self.last_part_handed_over:
             return self.give_up(refused.refusal)
         return [*self.cancel_helpers(), *self.end(SpreadRefused(refused))]
 
-    def unanswered(self, event: PartUnanswered) -> list[SpreadEffect]:
+    def on_part_unanswered(self, event: PartUnanswered) -> list[SpreadEffect]:
         """Free what is held; what became of the last part must be asked elsewhere."""
-        if self.last_was_asked:
+        if self.last_part_handed_over:
             uncertain = SpreadUncertain(event.may_have_arrived, event.detail)
             return [*self.cancel_helpers(), *self.end(uncertain)]
-        return self.give_up(self.not_run(RefusalReason.CONNECTION_LOST, event.detail))
+        return self.give_up(
+            self.not_run_refusal(RefusalReason.CONNECTION_LOST, event.detail)
+        )
 
-    def look_at_time(self, now: float) -> list[SpreadEffect]:
+    def check_reserve_deadline(self, now: float) -> list[SpreadEffect]:
         """Hold no memory for a prompt that waits for the rest of it for too long."""
-        if now < self.reserve_until:
+        if now < self.reserve_deadline:
             return []
         detail = f"no memory for {len(self.chosen.helpers) + 1} parts in time"
-        return self.give_up(self.not_run(RefusalReason.BUSY, detail))
+        return self.give_up(self.not_run_refusal(RefusalReason.BUSY, detail))
 
     # Prefill, in token order.
 
-    def begin_next(self) -> list[SpreadEffect]:
+    def begin_next_part(self) -> list[SpreadEffect]:
         """Let the next part begin, with what those before it hold."""
-        index = len(self.parts)
-        attempt_id = self.asked[index].attempt_id
+        index = len(self.prefilled_parts)
+        attempt_id = self.handed_over[index].attempt_id
         if index < len(self.chosen.helpers):
             address = self.chosen.helpers[index].attempts_address
-            return [BeginPart(address, attempt_id, self.parts)]
+            return [BeginPart(address, attempt_id, self.prefilled_parts)]
         self.phase = Phase.BEGINNING_LAST
-        return [BeginPart(self.chosen.attempts_address, attempt_id, self.parts)]
+        return [
+            BeginPart(self.chosen.attempts_address, attempt_id, self.prefilled_parts)
+        ]
 
-    def begin_answered(
+    def on_begin_answered(
         self, attempt_id: AttemptId, acknowledged: bool
     ) -> list[SpreadEffect]:
         """Go on; a part that may not have heard can't be waited for."""
-        if not acknowledged and self.holds(attempt_id):
+        if not acknowledged and self.was_handed_over(attempt_id):
             detail = "a sidecar could not be told to begin"
-            return self.give_up(self.not_run(RefusalReason.CONNECTION_LOST, detail))
+            return self.give_up(
+                self.not_run_refusal(RefusalReason.CONNECTION_LOST, detail)
+            )
         is_last = attempt_id == self.hand_over.attempt_id
         if acknowledged and is_last and self.phase is Phase.BEGINNING_LAST:
             return self.end(SpreadBegun())
@@ -267,29 +275,29 @@
         """Free what is held, and claim "not run" only on a promise."""
         if self.phase in (Phase.ENDED, Phase.REVOKING_LAST):
             return []
-        last_was_asked = self.last_was_asked
+        last_part_handed_over = self.last_part_handed_over
         cancels = self.cancel_helpers()
         self.refusal = refusal._replace(code=RefusalCode.NOT_RUN)
-        if not last_was_asked:
+        if not last_part_handed_over:
             # No engine was given the part that generates.
-            return [*cancels, *self.end(refused_for(self.refusal))]
+            return [*cancels, *self.end(refused_without_load(self.refusal))]
         self.phase = Phase.REVOKING_LAST
         return [*cancels, RevokeLast(self.chosen.attempts_address, self.hand_over)]
 
-    def revoked(self, promised: bool) -> list[SpreadEffect]:
+    def on_last_revoked(self, promised: bool) -> list[SpreadEffect]:
         """End with the refusal where the promise was given."""
         if promised:
-            return self.end(refused_for(self.refusal))
+            return self.end(refused_without_load(self.refusal))
         return self.end(SpreadUncertain(True, self.refusal.detail))
 
     def cancel_helpers(self) -> list[CancelPart]:
         """Cancel every helper of this try."""
-        helpers = zip(self.chosen.helpers, self.asked, strict=False)
+        helpers = zip(self.chosen.helpers, self.handed_over, strict=False)
         cancels = [
             CancelPart(place.attempts_address, part.attempt_id)
             for place, part in helpers
         ]
-        self.asked = []
+        self.handed_over = []
         return cancels
 
     def end(
@@ -299,15 +307,15 @@
         self.phase = Phase.ENDED
         return [result]
 
-    def loss(self, event: PartLost) -> Refusal:
+    def loss_refusal(self, event: PartLost) -> Refusal:
         """Describe a part whose stream was lost."""
-        return self.not_run(RefusalReason.UPSTREAM_FAILED, event.detail)
+        return self.not_run_refusal(RefusalReason.UPSTREAM_FAILED, event.detail)
 
-    def not_run(self, reason: RefusalReason, detail: str) -> Refusal:
+    def not_run_refusal(self, reason: RefusalReason, detail: str) -> Refusal:
         """Refuse on our own account before the last part began."""
         return Refusal(RefusalCode.NOT_RUN, reason, STEP, detail=detail)
 
 
-def refused_for(refusal: Refusal) -> SpreadRefused:
+def refused_without_load(refusal: Refusal) -> SpreadRefused:
     """Refuse as a sidecar would; its load is not known here."""
     return SpreadRefused(AttemptRefused(refusal, LoadReport()))
