--- a/packages/core/src/cowslipshelf_core/internal/requests/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how one request of a caller is carried to its one final answer."""
+"""Process a caller's request: placement, hand-over, retries and the final answer."""
--- a/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
@@ -1,4 +1,4 @@
-"""Describe a caller's request and the limits under which it is carried."""
+"""Define a caller's request and the limits on processing it."""
 
 from typing import NamedTuple
 
@@ -14,11 +14,11 @@
 
 
 class CallerRequest(NamedTuple):
-    """Be one request of a caller, as the entry instance took it in."""
+    """Describe one caller request as the entry instance received it."""
 
     request_id: RequestId
     owner: InstanceId
-    """The entry instance that carries the request."""
+    """The entry instance that processes the request."""
     configuration_version: ConfigurationVersion
     customer: CustomerName
     service: ServiceName
@@ -28,9 +28,9 @@
     idempotency_key: str | None
     service_is_idempotent: bool
     streamed: bool
-    """Whether the caller wants pieces as they come, not the whole at the end."""
+    """Whether the caller wants the answer in chunks instead of whole at the end."""
     deadline_seconds: float
-    """Time that the caller gives, from the first event on."""
+    """The caller's timeout in seconds, counted from `Started`."""
     prompt_tokens: int
     most_output_tokens: int
     prefix_hash: int
@@ -39,40 +39,40 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     body_digest: str
-    """Hex digest that tells a resend from another body under the same key."""
+    """Hex digest of the body; tells a resend from a different body under one key."""
 
     def is_non_idempotent(self) -> bool:
-        """Tell whether the request must run at most once."""
+        """Return whether the request must run at most once."""
         return self.has_key() or not self.service_is_idempotent
 
     def has_key(self) -> bool:
-        """Tell whether a claim guards the request; an empty key is none."""
+        """Return whether the request has an idempotency key; an empty key is none."""
         return bool(self.idempotency_key)
 
     def can_be_continued(self) -> bool:
-        """Tell whether another upstream can go on where one stopped.
+        """Return whether another upstream can continue an interrupted stream.
 
-        Only an engine knows how to skip tokens that the caller already has.
+        Only an engine can skip the tokens that the caller already has.
         """
         return self.kind == "model" and self.streamed and not self.is_non_idempotent()
 
 
 class RequestConfig(NamedTuple):
-    """Bound what one request may cost."""
+    """Limit the retries and memory of one request."""
 
     max_attempts: int = 4
-    """Placements of one request that may be handed over."""
+    """Hand-overs of one request."""
     max_resumes: int = 3
-    """Resumes in a row that brought no new piece."""
+    """Consecutive resumes without a new chunk."""
     max_revokes: int = 3
-    """Questions to one sidecar whether an attempt can still be revoked."""
+    """Revoke calls to one sidecar for one attempt."""
     backoff_base_seconds: float = 0.01
     backoff_cap_seconds: float = 1.0
     max_stored_answer_bytes: int = 65_536
-    """Longest answer that is stored for resends under the same key."""
+    """Largest answer that is stored for resends under the same key."""
     max_buffered_bytes: int = 131_072
-    """Longest part of an answer that is held back so that it can be retried."""
+    """Most bytes of an answer that are buffered so that it can still be retried."""
     store_answer_seconds: float = 2.0
-    """How long a whole answer waits to be stored before its caller has its end."""
+    """How long the end of a complete answer waits for the answer to be stored."""
     still_running_retry_seconds: float = 1.0
-    """When a resend is told to ask again while the first is running."""
+    """Retry-after time for a resend while the first request is running."""
--- a/packages/core/src/cowslipshelf_core/internal/requests/claim_commands.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_commands.py
@@ -1,4 +1,4 @@
-"""Write the claim commands of a request."""
+"""Build the claim commands of a request."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal
@@ -16,7 +16,10 @@
 def build_claim_asked(
     request: CallerRequest, chosen: ChosenUpstream, deadline_seconds: float
 ) -> ClaimAsked:
-    """Claim the key for a placed attempt, so that others know whom to ask."""
+    """Build the command that claims the key for a placed attempt.
+
+    It names the sidecar that other requests under the key can ask about the attempt.
+    """
     return ClaimAsked(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -31,7 +34,7 @@
 
 
 def build_claim_looked_up(request: CallerRequest) -> ClaimLookedUp:
-    """Ask who holds the key of a request that was not placed."""
+    """Build the command that asks who holds the key of an unplaced request."""
     return ClaimLookedUp(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -46,7 +49,7 @@
     chosen: ChosenUpstream,
     deadline_seconds: float,
 ) -> ClaimMoved:
-    """Move the key from an attempt that will never run to a placed one."""
+    """Build the command that moves the key from a revoked attempt to a placed one."""
     return ClaimMoved(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -66,7 +69,7 @@
     attempt_id: AttemptId,
     outcome: StoredAnswer | Refusal | None,
 ) -> ClaimFinished:
-    """Store the outcome under the key, for the request that holds it."""
+    """Build the command that stores the outcome under the key for its holder."""
     return ClaimFinished(
         customer=request.customer,
         key=request.idempotency_key or "",
--- a/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
@@ -1,9 +1,9 @@
-"""Answer a request that has a key and got no upstream, as far as its key allows.
+"""Look up the claim of a request that has a key and got no upstream.
 
-It may be a resend. When the fleet is full the router refuses it before anybody has
-looked at its key: a caller whose payment was made would be told "not run", and not be
-shown the stored answer, which needs no upstream. So the replicated state is asked
-before the refusal is given, without claiming a key that nothing can be run under.
+The request may be a resend. When the fleet is full, the router refuses it before its
+key was checked: a caller whose payment was made would be told "not run" instead of
+getting the stored answer, which needs no upstream. The replicated state is therefore
+asked before refusing, without claiming the key, since nothing can run under it now.
 """
 
 from cowslipshelf_core.errors import Refusal, RefusalCode
@@ -20,7 +20,7 @@
 
 
 def look_up_claim(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
-    """Ask who holds the key, and keep the router's refusal until that is known."""
+    """Look up the holder of the key, and keep the router's refusal meanwhile."""
     state.phase = Phase.LOOKING_UP
     state.placement_refusal = refusal
     return [LookUpClaim(build_claim_looked_up(state.request))]
@@ -29,7 +29,7 @@
 def on_claim_lookup_answered(
     state: RequestState, refusal: Refusal, event: ClaimAnswered
 ) -> list[RequestEffect]:
-    """Repeat what is stored, else end with the router's refusal."""
+    """Repeat the stored outcome, or end with the router's refusal."""
     match event.answer:
         case ClaimAbsent():
             state.key_is_unused = True
@@ -50,8 +50,8 @@
     if held.refusal is not None:
         return _on_stored_refusal(state, refusal, held.refusal)
     if not held.deadline_passed and not owner_gone:
-        return refuse_still_running(state, f"request {held.request_id} runs")
-    # Taking the key over would need the upstream that there is none of.
+        return refuse_still_running(state, f"request {held.request_id} is running")
+    # Taking over the key would need an upstream, and there is none.
     detail = f"request {held.request_id} under this key may have run"
     return refuse(state, refusal._replace(code=state.refusal_code(), detail=detail))
 
@@ -59,7 +59,7 @@
 def _on_stored_refusal(
     state: RequestState, refusal: Refusal, stored: Refusal
 ) -> list[RequestEffect]:
-    """Repeat a stored refusal, but after "not run" tell why it is not run now."""
+    """Repeat a stored refusal; in place of "not run" give the router's refusal."""
     if stored.code is RefusalCode.NOT_RUN:
         state.key_is_unused = True
         return refuse(state, refusal._replace(code=state.refusal_code()))
--- a/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
@@ -1,8 +1,8 @@
-"""Win, wait for or take over the right to run under an idempotency key.
+"""Claim an idempotency key, or take it over from a request that has ended.
 
 The claim is committed before the first hand-over and names the placed attempt, its
-sidecar and that sidecar's epoch: whoever finds the key held can ask that sidecar to
-revoke the attempt, without hearing from the entry instance that placed it.
+sidecar and that sidecar's epoch. A request that finds the key held can therefore ask
+the sidecar to revoke the attempt without reaching the entry instance that placed it.
 """
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
@@ -51,13 +51,13 @@
     "customer_claims_full": RefusalReason.CUSTOMER_LIMIT,
     "claims_full": RefusalReason.OVERLOADED,
 }
-"""What the replicated state refuses for; all else is wrong with the request itself."""
+"""Refusals of the replicated state; any other reason is a bad request."""
 
 
 def claim_or_hand_over(
     state: RequestState, attempt: OpenAttempt, now: float
 ) -> list[RequestEffect]:
-    """Hand over at once, unless a claim has to be asked or moved first."""
+    """Hand over the attempt, after claiming the key or moving the claim if needed."""
     if not state.request.has_key():
         return hand_over(state, attempt, now)
     if state.claim_attempt is not None:
@@ -70,7 +70,7 @@
 def move_claim(
     state: RequestState, attempt: OpenAttempt, from_attempt: AttemptId, now: float
 ) -> list[RequestEffect]:
-    """Compare and set the claim's attempt; the old one was promised never to run."""
+    """Move the claim, by compare-and-set, from an attempt that will never run."""
     state.phase = Phase.MOVING_CLAIM
     seconds_left = state.seconds_left(now)
     return [
@@ -83,7 +83,7 @@
 def on_claim_answered(
     state: RequestState, attempt: OpenAttempt, event: ClaimAnswered, now: float
 ) -> list[RequestEffect]:
-    """Run where the claim is ours; else answer for whoever holds it."""
+    """Hand over if the claim was granted, else handle the claim of its holder."""
     match event.answer:
         case ClaimGranted(attempt_id):
             if not state.is_open(attempt_id):
@@ -107,7 +107,7 @@
 
 
 def on_claim_refused(state: RequestState, reason: str) -> list[RequestEffect]:
-    """End with the reason for which the replicated state refused the key."""
+    """End with the reason for which the replicated state refused the claim."""
     if state.phase is Phase.MOVING_CLAIM:
         return _on_move_refused(state, reason)
     refusal = Refusal(
@@ -120,11 +120,11 @@
 
 
 def _on_move_refused(state: RequestState, reason: str) -> list[RequestEffect]:
-    """Answer for a key that somebody else has moved or ended meanwhile.
+    """Refuse because another request has moved or finished the claim meanwhile.
 
     Of two resends that find the same dead holder, one wins the compare-and-set and
-    runs. What the other saw before, a stored "not run" perhaps, is out of date: said
-    now it would be false, and invite a new key and so a second run.
+    runs. What the other one read before, such as a stored "not run", is stale:
+    repeating it would be false and invite a resend under a new key, a second run.
     """
     state.claim_attempt = None
     state.followed_request = None
@@ -142,8 +142,8 @@
         state.claim_attempt = None
         return replay_answer(state, held.answer)
     if state.is_open(held.attempt_id) and held.refusal is None:
-        # Our own command, committed twice: the first commit granted it, and nobody
-        # else can have taken it over, since that would have changed the attempt.
+        # This request's own command was committed twice. The first commit granted the
+        # claim, and a takeover would have changed the attempt.
         return _on_claim_granted(state, attempt, now)
     if state.phase is Phase.MOVING_CLAIM:
         state.claim_attempt = None
@@ -151,7 +151,7 @@
     if held.refusal is not None:
         return _on_stored_refusal(state, attempt, held, held.refusal, now)
     if not held.deadline_passed and not owner_gone:
-        return refuse_still_running(state, f"request {held.request_id} runs")
+        return refuse_still_running(state, f"request {held.request_id} is running")
     state.other_claim = held
     return revoke_holder(state, held)
 
@@ -163,7 +163,10 @@
     refusal: Refusal,
     now: float,
 ) -> list[RequestEffect]:
-    """Run after a stored "not run", which is a promise; repeat any other refusal."""
+    """Take over the key after a stored "not run"; repeat any other refusal.
+
+    "Not run" guarantees that no attempt runs under the key.
+    """
     if refusal.code is RefusalCode.NOT_RUN:
         state.other_claim = held
         return move_claim(state, attempt, held.attempt_id, now)
@@ -171,9 +174,9 @@
 
 
 def refuse_still_running(state: RequestState, detail: str) -> list[RequestEffect]:
-    """Tell the caller that another request under its key runs."""
-    # The code speaks of the caller's operation, which the key names: "not run" would
-    # be true of this resend alone, and invite a new key and so a second run.
+    """Refuse because another request under the key is running."""
+    # The code is about the operation that the key names. "Not run" would be true only
+    # of this resend and invite another under a new key, which would run a second time.
     refusal = Refusal(
         RefusalCode.OUTCOME_UNKNOWN,
         RefusalReason.STILL_RUNNING,
@@ -185,7 +188,7 @@
 
 
 def revoke_holder(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
-    """Ask the holder's sidecar to promise that the holder's attempt never runs."""
+    """Ask the sidecar of the key's holder to revoke the holder's attempt."""
     state.holder_revokes += 1
     state.phase = Phase.REVOKING_HELD
     note = Note(f"key is held by request {held.request_id}, which has ended")
@@ -199,9 +202,9 @@
     event: RevokeAnswered,
     now: float,
 ) -> list[RequestEffect]:
-    """Take the key over after a promise, or follow the attempt where it runs.
+    """Take over the key if the holder never ran, or follow its running attempt.
 
-    Where neither can be done the outcome is unknown, which is said at once.
+    Where neither is possible, refuse with "outcome unknown" at once.
     """
     match event.answer:
         case NeverRan(attempt_id) if attempt_id == held.attempt_id:
@@ -225,11 +228,11 @@
 
 
 def follow_holder(state: RequestState, held: ClaimHeld) -> list[RequestEffect]:
-    """Read the held attempt's frames in place of its dead owner, and store the answer.
+    """Read the holder's attempt in place of its dead owner, and store the answer.
 
-    The sidecar keeps them from the first on. Nothing is handed over: this request's
-    own attempt is given back. Only a whole answer is stored, as an owner that lives
-    after all may yet read one where this request could not.
+    The sidecar keeps all frames of the attempt. Nothing is handed over: this request's
+    own attempt is closed. Only a complete answer is stored, because the owner may be
+    alive after all and still read one where this request could not.
     """
     closing = close_attempt(state, AttemptOutcome.NEVER_RAN)
     chosen = ChosenUpstream(
@@ -247,14 +250,14 @@
 def on_claim_unavailable(
     state: RequestState, event: ClaimUnavailable
 ) -> list[RequestEffect]:
-    """Refuse at once where the claim could not be committed in time.
-
-    This request never runs, although the command may yet be committed: only it would
-    hand over under its attempt, it does so only after the grant, and it ends here. But
-    while nobody has told who holds the key, it may be a resend of a request that ran,
-    and "not run" would tell its caller that the payment was never made. Its code is
-    then "outcome unknown"; sending again under the key stays safe. A later resend
-    finds the claim of an attempt that no sidecar has seen, and has it revoked.
+    """Refuse because the claim could not be committed in time.
+
+    This request never runs, even if the command is committed later: its attempt is
+    handed over only by this request, only after the grant, and it ends here. Until the
+    holder of the key is known, however, it may be a resend of a request that ran, and
+    "not run" would tell the caller that a payment was never made. The code is then
+    "outcome unknown", and resending under the key stays safe: a later resend finds the
+    claim of an attempt that no sidecar has seen, and has it revoked.
     """
     refusal = event.refusal._replace(code=state.refusal_code())
     return refuse(state, refusal, AttemptOutcome.NEVER_RAN)
--- a/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
@@ -1,15 +1,16 @@
-"""Keep the order of an answer's pieces and decide when they are passed on.
+"""Buffer the chunks of an answer and decide when they are sent to the caller.
 
-What the caller has can't be taken back, so an answer is passed on no further than
-the point from which another upstream could go on:
+What was sent to the caller can't be taken back, so an answer is sent no further than
+the point from which another upstream could continue it:
 
-* an answer that is wanted whole is held back to its end;
-* a stream that an engine can continue is passed on up to the last piece with tokens,
-  since an engine skips whole tokens and would send the pieces without any again;
-* any other stream is passed on as it comes, and can't be moved once it has begun.
+* an answer that is not streamed is buffered to its end;
+* a stream that an engine can continue is sent up to the last chunk with tokens, since
+  another engine skips whole tokens and sends the chunks without tokens again;
+* any other stream is sent as it arrives, and can't move to another upstream once it
+  has begun.
 
-What is held back is bounded: past the bound it is passed on, and then the answer can
-only be resumed where it runs.
+The buffer is bounded: beyond the bound it is flushed, and then the answer can only be
+resumed at the same upstream.
 """
 
 from dataclasses import dataclass, field
@@ -28,10 +29,11 @@
 
 @dataclass(slots=True)
 class Delivery:
-    """Hold what the caller has and what is held back."""
+    """Track what was sent to the caller and what is buffered."""
 
     streamed: bool
     continuable: bool
+    """Whether another engine can continue the answer within its stream."""
     stores_answer: bool
     max_buffered_bytes: int
     max_stored_answer_bytes: int
@@ -39,15 +41,18 @@
     head_sent: bool = False
     delivered_tokens: int = 0
     flushed_at_token: bool = True
+    """Whether the last chunk that was sent had tokens."""
     buffered: list[bytes] = field(default_factory=list)
+    """Chunks that were not sent to the caller yet."""
     buffered_bytes: int = 0
     buffered_tokens: int = 0
     stored: list[bytes] = field(default_factory=list)
+    """Copy of the answer for resends."""
     stored_bytes: int = 0
 
     @classmethod
     def from_config(cls, request: CallerRequest, config: RequestConfig) -> "Delivery":
-        """Choose how the request's answer is passed on."""
+        """Create the delivery of one request's answer."""
         return cls(
             streamed=request.streamed,
             continuable=request.can_be_continued(),
@@ -57,11 +62,11 @@
         )
 
     def can_retry_elsewhere(self) -> bool:
-        """Tell whether another attempt can give what the caller still lacks."""
+        """Return whether another attempt can supply the rest of the answer."""
         return not self.head_sent or (self.continuable and self.flushed_at_token)
 
     def reset_for_retry(self) -> None:
-        """Forget what is held back, for another attempt will give it again."""
+        """Clear the buffer, since the next attempt sends its content again."""
         self.buffered.clear()
         self.buffered_bytes = 0
         self.buffered_tokens = 0
@@ -69,14 +74,14 @@
             self.head = None
 
     def accept_head(self, head: StreamHead) -> bool:
-        """Take the head of an attempt; False where it contradicts the sent one."""
+        """Set the head; return False if its status differs from the one sent."""
         if not self.head_sent:
             self.head = head
             return True
         return self.head is not None and self.head.status == head.status
 
     def add_chunk(self, chunk: StreamChunk) -> list[RequestEffect]:
-        """Take the next piece in order and pass on what may be."""
+        """Add the next chunk in order, and return what is sent to the caller."""
         self.buffered.append(chunk.data)
         self.buffered_bytes += len(chunk.data)
         self.buffered_tokens += chunk.tokens
@@ -87,13 +92,13 @@
         return self.flush()
 
     def must_flush(self, chunk: StreamChunk) -> bool:
-        """Tell whether what is held back goes to the caller with this piece."""
+        """Return whether the buffer is sent to the caller after this chunk."""
         if self.buffered_bytes > self.max_buffered_bytes:
             return True
         return self.streamed and not (self.continuable and not chunk.tokens)
 
     def store(self, data: bytes) -> None:
-        """Keep a copy for resends, as long as the answer is small enough."""
+        """Keep a copy for resends unless the answer is too large."""
         if not self.stores_answer:
             return
         self.stored_bytes += len(data)
@@ -103,7 +108,7 @@
         self.stored.append(data)
 
     def flush(self) -> list[RequestEffect]:
-        """Give the caller all that is held back, after the head."""
+        """Send the head, if it was not sent yet, and the buffer."""
         effects: list[RequestEffect] = []
         if not self.head_sent and self.head is not None:
             self.head_sent = True
@@ -118,7 +123,7 @@
         return effects
 
     def stored_answer(self) -> StoredAnswer | None:
-        """Be the answer that resends get, once it has ended whole."""
+        """Return the answer for resends, after it has ended complete."""
         if self.head is None:
             return None
         whole = self.stored_bytes <= self.max_stored_answer_bytes
--- a/packages/core/src/cowslipshelf_core/internal/requests/effects.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/effects.py
@@ -1,4 +1,4 @@
-"""Define what a request asks its driver to do."""
+"""Define the effects that a request's state machine asks its driver to perform."""
 
 from dataclasses import dataclass
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoosePlacement:
-    """Ask the router for an upstream, under a fresh attempt id."""
+    """Ask the router for an upstream, with a new attempt id."""
 
     excluded: frozenset[UpstreamId]
     deadline_seconds: float
-    """Time left of the caller's deadline."""
+    """Time left until the caller's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskClaim:
-    """Ask the replicated state for the right to run under a key."""
+    """Ask the replicated state for the claim on a key."""
 
     claim: ClaimAsked
 
@@ -46,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishClaim:
-    """Store how a claim ended; committed before the effects that follow it.
+    """Store the outcome of a claim before performing the effects that follow.
 
-    A driver that cannot commit it in time goes on: a resend then finds the claim
-    open, revokes its attempt and gets "outcome unknown", never a second run.
+    A driver that cannot commit it in time continues: a resend then finds the claim
+    open, tries to revoke its attempt and gets "outcome unknown", never a second run.
     """
 
     claim: ClaimFinished
     wait_seconds: float
-    """How long to wait for it; a lost quorum must not hold a whole answer back."""
+    """How long to wait for the commit; a lost quorum must not block an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendHandOver:
-    """Hand an attempt to a sidecar; sent once only."""
+    """Hand over an attempt to a sidecar; sent at most once."""
 
     address: str
     hand_over: HandOver
@@ -67,10 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Read an attempt's frames on from behind the given sequence."""
+    """Read an attempt's frames after the given sequence number."""
 
     address: str
-    """Empty where another entry instance chose the upstream; see `Revoke`."""
+    """IP:port; empty if another entry instance chose the upstream, see `Revoke`."""
     attempt_id: AttemptId
     after_sequence: int
     upstream_id: UpstreamId
@@ -78,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Revoke:
-    """Ask a sidecar to promise that an attempt will never run.
+    """Ask a sidecar to guarantee that an attempt will never run.
 
-    The address is empty where another entry instance chose the upstream: then the
-    driver looks it up, and answers None where the upstream is not known.
+    The address is empty if another entry instance chose the upstream. The driver then
+    looks it up, and answers None if it does not know the upstream.
     """
 
     address: str
@@ -89,12 +89,12 @@
     epoch: Epoch
     upstream_id: UpstreamId
     load_sequence: int = 0
-    """`HandOver.load_sequence` of the attempt; zero where it is not known."""
+    """`HandOver.load_sequence` of the attempt; zero if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop an attempt; nothing waits for the answer."""
+    """Cancel an attempt without waiting for the result."""
 
     address: str
     attempt_id: AttemptId
@@ -102,19 +102,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AskRetryBudget:
-    """Ask whether the process may spend a retry."""
+    """Ask whether the process's retry budget allows a retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Wait for the given time before the next event."""
+    """Wait, then feed back `WaitElapsed`."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Begin the caller's answer."""
+    """Send the status and headers of the caller's answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -122,19 +122,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerChunk:
-    """Write the next piece of the caller's answer."""
+    """Send the next chunk of the caller's answer."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """End a whole answer; final."""
+    """End a complete answer; a final effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRefusal:
-    """End with a refusal, inside the stream where the head was sent; final."""
+    """End with a refusal, inside the stream if the head was sent; a final effect."""
 
     refusal: Refusal
     head_sent: bool
@@ -142,14 +142,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Tell the router what came of its choice."""
+    """Report to the router how its placement went."""
 
     event: RouterFeedback
 
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Keep a line for whoever asks what happened to the request."""
+    """Record a line of text that explains what happened to the request."""
 
     text: str
 
@@ -175,4 +175,4 @@
 )
 
 FinalEffect = AnswerEnd | AnswerRefusal
-"""Exactly one of these is given for each request; the driver stops there."""
+"""Each request produces exactly one of these; only clean-up effects follow it."""
--- a/packages/core/src/cowslipshelf_core/internal/requests/ending.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/ending.py
@@ -1,4 +1,4 @@
-"""End a request: exactly one final effect, then what is left to clean up."""
+"""End a request with exactly one final effect, then clean up."""
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
@@ -22,14 +22,14 @@
 
 
 def close_attempt(state: RequestState, outcome: AttemptOutcome) -> list[RequestEffect]:
-    """Give up the open attempt, if any; cancel it where it may be running."""
+    """Close the open attempt, if any, and cancel it if it may be running."""
     attempt = state.attempt
     if attempt is None:
         return []
     state.attempt = None
     if attempt.followed:
-        # Neither this request's to cancel, as its owner may live after all and be
-        # reading it, nor known to this entry's router.
+        # The attempt belongs to another request: its owner may be alive and reading it,
+        # so it is not cancelled, and this entry's router does not know it.
         return []
     chosen = attempt.chosen
     effects: list[RequestEffect] = []
@@ -45,14 +45,14 @@
 
 
 def complete_answer(state: RequestState) -> list[RequestEffect]:
-    """End a whole answer; it is stored for resends before the caller has its end.
+    """End a complete answer, after storing it for resends.
 
-    An answer that the caller has whole and that a resend can't get would look lost
-    to a caller which died between the two, so storing comes first.
+    Storing comes first: to a caller that dies right after the end, an answer that a
+    resend can't get would look lost.
     """
     delivery = state.delivery
     stored = _store_outcome(state, delivery.stored_answer())
-    # A held-back answer is small: it is stored before its first byte is given.
+    # A buffered answer is small, so it is stored before its first byte is sent.
     rest = delivery.flush()
     answer = [*stored, *rest] if not delivery.streamed else [*rest, *stored]
     if state.caller_gone:
@@ -67,7 +67,7 @@
     refusal: Refusal,
     outcome: AttemptOutcome = AttemptOutcome.FAILED,
 ) -> list[RequestEffect]:
-    """End with a refusal, given at once; storing and clean-up come after it."""
+    """End with a refusal, sent before it is stored and the attempt is closed."""
     stored = _store_outcome(state, refusal)
     closing = close_attempt(state, outcome)
     state.phase = Phase.ENDED
@@ -83,7 +83,7 @@
     detail: str = "",
     outcome: AttemptOutcome = AttemptOutcome.FAILED,
 ) -> list[RequestEffect]:
-    """End with a refusal of our own, claiming no more than is known."""
+    """End with a refusal for the reason, with the code that is known to be true."""
     attempt = state.attempt
     peer = attempt.chosen.upstream_id if attempt is not None else ""
     return refuse(
@@ -92,11 +92,11 @@
 
 
 def replay_answer(state: RequestState, answer: StoredAnswer) -> list[RequestEffect]:
-    """Give the answer that an earlier request under the key got."""
+    """Answer with the stored answer of an earlier request under the key."""
     closing = close_attempt(state, AttemptOutcome.NEVER_RAN)
     state.phase = Phase.ENDED
     if not answer.whole:
-        detail = f"ran whole with status {answer.status}; answer too large to store"
+        detail = f"completed with status {answer.status}; answer too large to store"
         refusal = Refusal(
             RefusalCode.OUTCOME_UNKNOWN,
             RefusalReason.TOO_LARGE,
@@ -115,10 +115,10 @@
 def finish_late_grant(
     state: RequestState, granted: ClaimGranted
 ) -> list[RequestEffect]:
-    """Give back a claim that was granted after its request had ended.
+    """Finish a claim that was granted after its request had ended.
 
-    Its attempt was never handed over, as no hand-over precedes the grant; without
-    this a resend would be told "still running" until the deadline.
+    Its attempt was never handed over, since that needs the grant. An unfinished claim
+    would refuse every resend as "still running" until the deadline.
     """
     if (
         granted.attempt_id not in state.placed_attempts
@@ -138,7 +138,7 @@
         return []
     followed = state.followed_request
     if followed is not None and isinstance(outcome, Refusal):
-        # The owner may live after all, and get the whole answer that was missed here.
+        # The owner may be alive after all, and get the complete answer itself.
         return []
     holder = followed or state.request.request_id
     finished = build_claim_finished(state.request, holder, attempt_id, outcome)
--- a/packages/core/src/cowslipshelf_core/internal/requests/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/events.py
@@ -1,4 +1,4 @@
-"""Define what can happen to a request."""
+"""Define the events that a request's state machine handles."""
 
 from dataclasses import dataclass
 
@@ -19,42 +19,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Begin; the caller's deadline counts from here."""
+    """Start the request and the caller's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """Learn the upstream that the router chose."""
+    """Report the upstream that the router chose."""
 
     chosen: ChosenUpstream
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRefused:
-    """Learn that the router has no upstream for the request."""
+    """Report that the router has no upstream for the request."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswered:
-    """Learn the committed answer to a claim asked for, moved or looked up."""
+    """Report the committed answer to a claim, a move of a claim or a look-up."""
 
     answer: ClaimGranted | ClaimHeld | ClaimRefused | ClaimAbsent
     owner_gone: bool = False
-    """Whether the entry instance that holds the key is known to be gone."""
+    """Whether the entry instance that holds the key is believed dead."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimUnavailable:
-    """Learn that nobody can say in time whether the claim was committed."""
+    """Report that it is unknown whether the claim command was committed."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class HandOverAnswered:
-    """Learn that the sidecar took the attempt (None) or refused it."""
+    """Report that the sidecar accepted (`refused` is None) or refused the attempt."""
 
     refused: AttemptRefused | None
     attempt_id: AttemptId
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverLost:
-    """Learn that no answer came to a hand-over."""
+    """Report that a hand-over got no answer."""
 
     may_have_arrived: bool
     attempt_id: AttemptId
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameArrived:
-    """Receive the next frame on the stream of an attempt."""
+    """Deliver the next frame of an attempt's stream."""
 
     frame: Frame
     attempt_id: AttemptId
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLost:
-    """Learn that the stream of an attempt was cut or fell silent."""
+    """Report that the stream of an attempt was cut or timed out."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeAnswered:
-    """Learn whether the sidecar reads on from the asked sequence."""
+    """Report whether the sidecar resumes after the requested sequence number."""
 
     resumed: bool
     attempt_id: AttemptId
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeAnswered:
-    """Learn what the sidecar promised; None where it could not be asked."""
+    """Report the sidecar's answer to a revoke; None if it was unreachable."""
 
     answer: NeverRan | MayHaveRun | None
     attempt_id: AttemptId
@@ -101,26 +101,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAnswered:
-    """Learn whether the process may spend a retry."""
+    """Report whether the retry budget allows a retry."""
 
     allowed: bool
     jitter: float
-    """Drawn evenly from [0, 1) by the asker; scales the backoff."""
+    """Drawn uniformly from [0, 1) by the driver; scales the backoff."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitElapsed:
-    """Learn that the asked wait is over."""
+    """Report that the requested wait is over."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """Learn that the caller's deadline is over."""
+    """Report that the caller's deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """Learn that the caller has closed its connection."""
+    """Report that the caller closed its connection."""
 
 
 RequestEvent = (
--- a/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
@@ -1,4 +1,4 @@
-"""Hand an attempt to a sidecar, and find out what came of it."""
+"""Hand over an attempt to a sidecar, and resolve an unknown result."""
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.internal.requests.effects import (
@@ -30,12 +30,13 @@
 from cowslipshelf_core.upstream import HandOver
 
 NO_JITTER = 1.0
+"""Jitter factor that waits the full backoff."""
 
 
 def hand_over(
     state: RequestState, attempt: OpenAttempt, now: float
 ) -> list[RequestEffect]:
-    """Send the open attempt; from here on it may run."""
+    """Send the open attempt; from now on it may run."""
     chosen = attempt.chosen
     attempt.handed_over = True
     attempt.handed_over_at = now
@@ -81,7 +82,7 @@
 def on_hand_over_answered(
     state: RequestState, attempt: OpenAttempt, event: HandOverAnswered
 ) -> list[RequestEffect]:
-    """Read the stream, or go elsewhere after a true refusal."""
+    """Read the stream, or retry elsewhere if the sidecar refused."""
     if event.refused is None:
         state.phase = Phase.STREAMING
         return [Report(HandOverAccepted(event.attempt_id))]
@@ -101,10 +102,10 @@
 def on_hand_over_lost(
     state: RequestState, attempt: OpenAttempt, event: HandOverLost
 ) -> list[RequestEffect]:
-    """Go elsewhere, but where the attempt must not run twice revoke it first.
+    """Retry elsewhere, after revoking an attempt that must not run twice.
 
-    An attempt whose connection was never made was not sent, and a hand-over is sent
-    once only: it can't arrive later.
+    An attempt whose connection was never made was not sent. It can't arrive later
+    either, since a hand-over is sent at most once.
     """
     peer = attempt.chosen.upstream_id
     refusal = Refusal(
@@ -132,7 +133,7 @@
 
 
 def revoke(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
-    """Ask the sidecar to promise that the open attempt never runs."""
+    """Ask the sidecar to guarantee that the open attempt never runs."""
     chosen = attempt.chosen
     attempt.revokes += 1
     state.phase = Phase.REVOKING
@@ -150,7 +151,7 @@
 def on_revoke_answered(
     state: RequestState, attempt: OpenAttempt, event: RevokeAnswered, now: float
 ) -> list[RequestEffect]:
-    """Move after a promise, read on where the attempt runs, or give up at once."""
+    """Retry elsewhere if revoked, resume if running, else refuse at once."""
     match event.answer:
         case NeverRan(attempt_id) if attempt_id == event.attempt_id:
             return _on_revoked(state, attempt)
@@ -160,8 +161,8 @@
             doublings = attempt.revokes - 1
             return back_off(state, Phase.WAITING_TO_REVOKE, doublings, NO_JITTER, now)
         case _:
-            # A sidecar that restarted will never know; nor does waiting help with
-            # one that can't be reached. The caller learns it now, not at its deadline.
+            # A restarted sidecar will never know, and an unreachable one was asked
+            # often enough: refuse now instead of waiting for the deadline.
             return refuse_with_reason(state, RefusalReason.CONNECTION_LOST, "revoke")
 
 
@@ -175,7 +176,7 @@
 
 
 def resume(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
-    """Ask the same sidecar for the frames behind the last one taken."""
+    """Ask the same sidecar for the frames after the last one received."""
     chosen = attempt.chosen
     attempt.resumes += 1
     state.phase = Phase.RESUMING
--- a/packages/core/src/cowslipshelf_core/internal/requests/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/machine.py
@@ -1,12 +1,13 @@
-"""Carry one request of a caller from its start to its one final answer.
+"""Run the state machine of one caller request, up to its one final answer.
 
-The driver performs the effects in the order given and feeds back what came of them.
-It loops until `has_ended`, also after the caller has gone: work that must run at most
-once and was handed over goes on to its stored answer, which a resend gets.
+The driver performs the effects in the order given and feeds back their results as
+events. It loops until `has_ended`, even after the caller has disconnected: an attempt
+that must run at most once and was handed over continues to its stored answer, which a
+resend gets.
 
-A request without a key on a service that is not idempotent has no claim: it runs at
+A request without a key on a service that is not idempotent has no claim. It runs at
 most once, since no attempt follows one that may have arrived, but a resend by the
-caller is a request of its own and may run again. Only a key makes resending safe.
+caller is a separate request and may run again. Only a key makes resending safe.
 """
 
 from dataclasses import dataclass
@@ -75,7 +76,7 @@
 
 @dataclass(slots=True)
 class RequestMachine:
-    """Decide the steps of one request; times are monotonic seconds."""
+    """Turn events into effects for one request; times are monotonic seconds."""
 
     state: RequestState
 
@@ -83,20 +84,20 @@
     def from_config(
         cls, request: CallerRequest, config: RequestConfig
     ) -> "RequestMachine":
-        """Begin with a request that was admitted and not yet placed."""
+        """Create the machine of a request that was admitted and not yet placed."""
         delivery = Delivery.from_config(request, config)
         return cls(RequestState(request, config, delivery))
 
     def has_ended(self) -> bool:
-        """Tell whether the final effect has been given."""
+        """Return whether the final effect was produced."""
         return self.state.phase is Phase.ENDED
 
     def deadline(self) -> float:
-        """Give the monotonic time at which the driver sends `DeadlinePassed`."""
+        """Return the monotonic time at which the driver sends `DeadlinePassed`."""
         return self.state.deadline
 
     def handle(self, event: RequestEvent, now: float) -> list[RequestEffect]:
-        """Take an event and give the effects to perform, in order."""
+        """Handle an event and return the effects to perform, in order."""
         state = self.state
         if isinstance(event, Started):
             return self.start(now)
@@ -126,7 +127,7 @@
     def handle_lookup_event(
         self, refusal: Refusal, event: RequestEvent
     ) -> list[RequestEffect]:
-        """Take what is known of the key of a request that got no upstream."""
+        """Handle the look-up of the key of a request that got no upstream."""
         match event:
             case ClaimAnswered():
                 return on_claim_lookup_answered(self.state, refusal, event)
@@ -138,7 +139,7 @@
     def handle_attempt_event(
         self, attempt: OpenAttempt, event: RequestEvent, now: float
     ) -> list[RequestEffect]:
-        """Take an event that only counts while an attempt is open."""
+        """Handle an event that is valid only while an attempt is open."""
         state = self.state
         match event:
             case ClaimAnswered() if state.phase in CLAIM_PHASES:
@@ -168,7 +169,7 @@
     def handle_sidecar_event(
         self, attempt: OpenAttempt, event: RequestEvent, now: float
     ) -> list[RequestEffect]:
-        """Take what the sidecar of the open attempt answered."""
+        """Handle an answer of the open attempt's sidecar."""
         state = self.state
         match state.phase, event:
             case Phase.HANDING_OVER, HandOverAnswered():
@@ -187,7 +188,7 @@
                 return state.drop_event()
 
     def start(self, now: float) -> list[RequestEffect]:
-        """Set the deadline and ask for the first placement."""
+        """Set the deadline and request the first placement."""
         state = self.state
         if state.phase is not Phase.CREATED:
             return state.drop_event()
@@ -197,7 +198,7 @@
         return choose_placement(state, now)
 
     def on_wait_elapsed(self, now: float) -> list[RequestEffect]:
-        """Do what the elapsed wait was for."""
+        """Continue after a wait, by the phase that started it."""
         state = self.state
         match state.phase, state.attempt, state.other_claim:
             case Phase.WAITING_TO_PLACE, _, _:
@@ -212,7 +213,7 @@
                 return state.drop_event()
 
     def on_caller_gone(self) -> list[RequestEffect]:
-        """Stop for a caller that went away, but never cut work that runs once."""
+        """Cancel the request, unless it must run at most once and may have run."""
         state = self.state
         state.caller_gone = True
         if state.request.is_non_idempotent() and state.may_have_run:
@@ -225,7 +226,7 @@
         )
 
     def end_at_deadline(self, event: RequestEvent) -> list[RequestEffect]:
-        """End at the deadline; what came too late is only cleaned up."""
+        """End because the deadline passed, and clean up after the event."""
         ended = refuse_with_reason(
             self.state,
             RefusalReason.DEADLINE_PASSED,
@@ -235,7 +236,7 @@
         return [*ended, *self.clean_up_late_event(event)]
 
     def clean_up_late_event(self, event: RequestEvent) -> list[RequestEffect]:
-        """Give back what a late answer brings."""
+        """Release the placement or claim that an event brings after the end."""
         match event:
             case Placed(chosen):
                 return release_unused(self.state, chosen)
--- a/packages/core/src/cowslipshelf_core/internal/requests/placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/placing.py
@@ -1,4 +1,4 @@
-"""Ask for an upstream, and take the one that was chosen."""
+"""Request a placement from the router and handle its answer."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalReason
@@ -15,7 +15,7 @@
 
 
 def choose_placement(state: RequestState, now: float) -> list[RequestEffect]:
-    """Ask the router, leaving out the upstreams that were tried."""
+    """Ask the router for an upstream other than those that failed."""
     state.phase = Phase.PLACING
     return [ChoosePlacement(frozenset(state.excluded), state.seconds_left(now))]
 
@@ -23,7 +23,7 @@
 def on_placed(
     state: RequestState, chosen: ChosenUpstream, now: float
 ) -> list[RequestEffect]:
-    """Open the attempt; an id that was seen before is a crossed or doubled answer."""
+    """Open the attempt, unless the answer is a duplicate with a known id."""
     if chosen.attempt_id in state.placed_attempts:
         return state.drop_event()
     state.placed_attempts.add(chosen.attempt_id)
@@ -32,7 +32,7 @@
 
 
 def release_unused(state: RequestState, chosen: ChosenUpstream) -> list[RequestEffect]:
-    """Tell the router that a choice came when nobody waited for it."""
+    """Report an unexpected placement to the router as unused."""
     state.drop_event()
     if chosen.attempt_id in state.placed_attempts:
         return []
@@ -41,10 +41,10 @@
 
 
 def on_placement_refused(state: RequestState, refusal: Refusal) -> list[RequestEffect]:
-    """End with the router's refusal, or with the sidecars' that left it no choice.
+    """End with the router's refusal, or with the last refusal of a sidecar.
 
-    A stored answer needs no upstream: a key that is not this request's is looked up
-    first. Only refused requests pay for that; the others learn it with their claim.
+    A request that does not hold its key looks it up first, since a stored answer needs
+    no upstream. Placed requests skip the look-up: their claim returns the same.
     """
     if state.request.has_key() and state.claim_attempt is None:
         return look_up_claim(state, refusal)
--- a/packages/core/src/cowslipshelf_core/internal/requests/retry_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retry_budget.py
@@ -1,8 +1,8 @@
-"""Bound the retries of a process, so that they cannot multiply load.
+"""Limit the retries of a process, so that they cannot multiply the load.
 
-When upstreams fail, every request wants another attempt just as capacity shrinks.
-The budget lets retries be at most a ratio of the first attempts in the same window,
-plus a small number that keeps a quiet process able to retry at all.
+When upstreams fail, every request needs another attempt just as capacity shrinks.
+The budget limits retries to a ratio of the first attempts in the same window, plus a
+small constant that lets a process with little traffic retry at all.
 """
 
 from collections import deque
@@ -13,18 +13,20 @@
 
 
 class RetryBudgetConfig(NamedTuple):
-    """Say how many retries are allowed."""
+    """Configure how many retries are allowed."""
 
     ratio: float = 0.1
+    """Retries allowed for each first attempt in the window."""
     window_seconds: float = 10.0
     min_retries: int = 10
-    """Retries in a window that are allowed however few first attempts there are."""
+    """Retries allowed in a window regardless of the number of first attempts."""
 
 
 class Slice(NamedTuple):
-    """Count what happened in a tenth of a window."""
+    """Count first attempts and retries in one slice of the window."""
 
     number: int
+    """Start of the slice, in slices since time zero."""
     first_attempts: int
     retries: int
 
@@ -33,8 +35,8 @@
 class RetryBudget:
     """Count first attempts and retries; not thread-safe, so callers hold a lock.
 
-    First attempts are counted over the slices that lie wholly in the window, retries
-    over every slice that touches it: the bound holds for any window, however placed.
+    First attempts are counted over the slices entirely within the window, retries over
+    every slice that overlaps it. The bound therefore holds for any window position.
     """
 
     config: RetryBudgetConfig
@@ -42,7 +44,7 @@
 
     @classmethod
     def from_config(cls, config: RetryBudgetConfig) -> "RetryBudget":
-        """Begin with nothing counted."""
+        """Create an empty budget."""
         return cls(config)
 
     def count_first_attempt(self, now: float) -> None:
@@ -50,7 +52,7 @@
         self.add(now, first_attempts=1, retries=0)
 
     def try_retry(self, now: float) -> bool:
-        """Spend a retry if the budget allows one."""
+        """Count a retry and return True if the budget allows one."""
         self.add(now, first_attempts=0, retries=0)
         oldest = self.slices[-1].number - SLICES_IN_WINDOW
         first_attempts = sum(s.first_attempts for s in self.slices if s.number > oldest)
@@ -62,9 +64,9 @@
         return True
 
     def add(self, now: float, first_attempts: int, retries: int) -> None:
-        """Add to the present slice and forget those behind the window.
+        """Add to the current slice and drop the slices before the window.
 
-        A clock that steps back counts into the newest slice: it never frees budget.
+        After a backward clock step the newest slice is used, which frees no budget.
         """
         number = int(now * SLICES_IN_WINDOW / self.config.window_seconds)
         if self.slices and self.slices[-1].number >= number:
--- a/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
@@ -1,4 +1,4 @@
-"""Decide whether a request may try again, and when."""
+"""Decide whether and when a request may retry."""
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.internal.requests.effects import (
@@ -26,13 +26,13 @@
         RefusalReason.KEY_REUSED,
     }
 )
-"""No other upstream would answer these otherwise."""
+"""Reasons that lie in the request, so that any other upstream refuses it too."""
 
 
 def guarantees_not_run(refusal: Refusal) -> bool:
-    """Tell whether a sidecar's refusal promises that the attempt never runs.
+    """Return whether a sidecar's refusal guarantees that the attempt never runs.
 
-    A duplicate is refused because its first copy was taken: that one may be running.
+    A duplicate is refused because its first copy was accepted, which may be running.
     """
     return (
         refusal.code is RefusalCode.NOT_RUN
@@ -43,11 +43,11 @@
 def retry_elsewhere(
     state: RequestState, refusal: Refusal, outcome: AttemptOutcome
 ) -> list[RequestEffect]:
-    """Close the open attempt and ask for a retry on another upstream."""
+    """Close the open attempt and request a retry on another upstream."""
     state.last_refusal = refusal
     attempt = state.attempt
-    # A spread prompt may need every upstream there is. What failed of it may be any
-    # part, and one that is dead or full is known to the router before long.
+    # A spread prompt may need every upstream, and any of its parts may have failed.
+    # The router soon learns by itself which upstream is dead or full.
     if attempt is not None and not attempt.chosen.helpers:
         state.excluded.add(attempt.chosen.upstream_id)
     effects = close_attempt(state, outcome)
@@ -71,7 +71,7 @@
 def on_retry_answered(
     state: RequestState, event: RetryAnswered, now: float
 ) -> list[RequestEffect]:
-    """Wait before the next placement, or end where the budget is spent."""
+    """Back off before the next placement, or end if the budget is spent."""
     if not event.allowed:
         return [Note("retry budget is spent"), *refuse_with_last_refusal(state)]
     return back_off(
@@ -82,7 +82,7 @@
 def back_off(
     state: RequestState, phase: Phase, doublings: int, jitter: float, now: float
 ) -> list[RequestEffect]:
-    """Back off exponentially, by the given share of the step, within the deadline."""
+    """Back off exponentially, scaled by the jitter factor, within the deadline."""
     config = state.config
     step = min(
         config.backoff_cap_seconds,
@@ -93,7 +93,7 @@
 
 
 def refuse_with_last_refusal(state: RequestState) -> list[RequestEffect]:
-    """End with the reason for which the last attempt was given up."""
+    """End with the refusal of the last attempt."""
     last = state.last_refusal
     if last is None:
         return refuse_with_reason(state, RefusalReason.NO_UPSTREAM, "place")
--- a/packages/core/src/cowslipshelf_core/internal/requests/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/state.py
@@ -1,4 +1,4 @@
-"""Hold what is known of a request while it is carried."""
+"""Define the state of one request."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -16,7 +16,7 @@
 
 
 class Phase(Enum):
-    """Name the one answer that a request waits for."""
+    """Name what a request is waiting for."""
 
     CREATED = auto()
     PLACING = auto()
@@ -38,73 +38,78 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """Follow the one attempt whose frames are passed on."""
+    """Track the one attempt whose frames go to the caller."""
 
     chosen: ChosenUpstream
     handed_over: bool = False
     handed_over_at: float = 0.0
+    """Monotonic seconds."""
     head_seen: bool = False
     first_token_seen: bool = False
     sequence: int = 0
-    """Last piece that was taken in order."""
+    """Sequence number of the last chunk received in order."""
     resumes: int = 0
-    """Resumes since the last new piece."""
+    """Resumes since the last new chunk."""
     revokes: int = 0
     followed: bool = False
-    """Whether another request placed it, and this one only reads its frames."""
+    """Whether another request placed the attempt, and this one only reads it."""
 
 
 @dataclass(slots=True)
 class RequestState:
-    """Be everything that the steps of one request share."""
+    """Hold the state that all steps of one request share."""
 
     request: CallerRequest
     config: RequestConfig
     delivery: Delivery
     phase: Phase = Phase.CREATED
     deadline: float = 0.0
+    """Monotonic seconds; set by `Started`."""
     attempt: OpenAttempt | None = None
     placed_attempts: set[AttemptId] = field(default_factory=set)
+    """Every attempt that the router placed for this request."""
     may_have_run: set[AttemptId] = field(default_factory=set)
-    """Attempts handed over, and not known to have never reached an upstream."""
+    """Attempts that were handed over and may have reached an upstream."""
     frame_seen: bool = False
-    """Whether a frame of any attempt has been seen."""
+    """Whether an attempt is known to have run, by its frames."""
     excluded: set[UpstreamId] = field(default_factory=set)
+    """Upstreams that the router must not choose again."""
     hand_over_count: int = 0
     last_refusal: Refusal | None = None
     placement_refusal: Refusal | None = None
-    """The router's refusal, while it is asked whether the key has an answer."""
+    """The router's refusal, kept while the key is looked up."""
     key_is_unused: bool = False
-    """Whether the replicated state has told that nothing ran under the key."""
+    """Whether the replicated state answered that nothing ran under the key."""
     claim_attempt: AttemptId | None = None
-    """The attempt under which this request holds its key, or follows its holder."""
+    """The attempt for which this request holds its key or follows the holder."""
     followed_request: RequestId | None = None
-    """The request whose claim is followed; None where the claim is this one's."""
+    """The followed holder of the claim; None if this request holds it itself."""
     other_claim: ClaimHeld | None = None
-    """Who else holds the key, while that one's attempt is revoked."""
+    """The claim of another request on the key, while its attempt is revoked."""
     holder_revokes: int = 0
+    """Revoke calls for the attempt of the key's other holder."""
     caller_gone: bool = False
     dropped_events: int = 0
-    """Events that were late, doubled or of another attempt."""
+    """Events that were late, duplicated or of another attempt."""
 
     def seconds_left(self, now: float) -> float:
-        """Give the seconds until the caller's deadline."""
+        """Return the seconds until the caller's deadline."""
         return self.deadline - now
 
     def is_open(self, attempt_id: AttemptId) -> bool:
-        """Tell whether the id names the attempt whose answers count."""
+        """Return whether the id names the open attempt."""
         return self.attempt is not None and (
             self.attempt.chosen.attempt_id == attempt_id
         )
 
     def refusal_code(self) -> RefusalCode:
-        """Say what may truly be claimed about the request now.
+        """Return the refusal code that is known to be true now.
 
-        "Not run" needs every attempt to be refused, revoked or never sent. A request
-        that may not run twice is never called failed on the strength of a lost
-        stream, since its upstream may have finished it. Under a key it also needs
-        the key to be this request's, or known to be unused: the caller may be
-        resending a request that ran, and would pay again under a new key.
+        "Not run" requires that every attempt was refused, revoked or never sent. Under
+        a key it also requires that this request holds the key or that the key is known
+        to be unused: otherwise the caller may be resending a request that ran, and
+        would pay again under a new key. A request that must run at most once is never
+        "failed" because of a lost stream, since its upstream may have finished it.
         """
         if not self.may_have_run:
             known = self.claim_attempt is not None or self.key_is_unused
@@ -116,6 +121,6 @@
         return RefusalCode.OUTCOME_UNKNOWN
 
     def drop_event(self) -> list[RequestEffect]:
-        """Ignore an event that is late, doubled or of another attempt."""
+        """Ignore an event that is late, duplicated or of another attempt."""
         self.dropped_events += 1
         return []
--- a/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
@@ -1,4 +1,4 @@
-"""Pass on the frames of the open attempt, and carry the answer over a lost stream."""
+"""Handle the frames of the open attempt, and recover from a lost stream."""
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.internal.requests.effects import Note, Report, RequestEffect
@@ -29,7 +29,7 @@
 def on_frame_arrived(
     state: RequestState, attempt: OpenAttempt, frame: Frame, now: float
 ) -> list[RequestEffect]:
-    """Take a frame of the open attempt."""
+    """Handle a frame of the open attempt."""
     match frame:
         case StreamChunk():
             return _on_chunk(state, attempt, frame, now)
@@ -40,7 +40,7 @@
         case StreamHeartbeat():
             return []
         case AttemptReserved() | PartPrefilled():
-            # A stream that is read again from its beginning shows them again.
+            # A stream that is read again from its beginning repeats these.
             return state.drop_event()
 
 
@@ -48,7 +48,7 @@
     state: RequestState, attempt: OpenAttempt, head: StreamHead
 ) -> list[RequestEffect]:
     if attempt.head_seen:
-        # A resumed stream may begin with its head again.
+        # A resumed stream may repeat its head.
         return state.drop_event()
     state.frame_seen = True
     attempt.head_seen = True
@@ -95,7 +95,7 @@
 ) -> list[RequestEffect]:
     if end.refusal is not None:
         return _on_end_with_refusal(state, attempt, end.refusal)
-    # An end that counts other pieces than were taken is no proof of a whole answer.
+    # An end frame with another chunk count does not prove a complete answer.
     if end.last_sequence != attempt.sequence or not attempt.head_seen:
         return on_stream_lost(state, attempt)
     return complete_answer(state)
@@ -117,9 +117,9 @@
 
 
 def on_stream_lost(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
-    """Resume at the same sidecar, which keeps what it sent; else give up there."""
+    """Resume at the same sidecar, which keeps its frames, or give up the stream."""
     if attempt.resumes >= state.config.max_resumes:
-        return _give_up_stream(state, attempt, "lost again without a new piece")
+        return _give_up_stream(state, attempt, "lost again without a new chunk")
     note = Note(f"stream lost after piece {attempt.sequence}; resuming")
     return [note, *resume(state, attempt)]
 
@@ -127,7 +127,7 @@
 def on_resume_answered(
     state: RequestState, attempt: OpenAttempt, resumed: bool, now: float
 ) -> list[RequestEffect]:
-    """Read on, or go on where the request may be repeated."""
+    """Continue reading, or wait to resume again, or give up the stream."""
     if resumed:
         state.phase = Phase.STREAMING
         return []
--- a/packages/core/src/cowslipshelf_core/internal/spread/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how one prompt is handed to several sidecars."""
+"""Reserve and prefill one prompt across several engines."""
--- a/packages/core/src/cowslipshelf_core/internal/spread/effects.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/effects.py
@@ -1,4 +1,4 @@
-"""Define what a spread hand-over wants done."""
+"""Define the effects that a spread hand-over asks its driver to perform."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverPart:
-    """Hand a part over, once; then read its frames until the next effect."""
+    """Hand over a part, at most once; then read its frames until the next effect."""
 
     address: str
     hand_over: HandOver
@@ -18,16 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginPart:
-    """Tell a sidecar that a reserved part may begin; then read the part's frames."""
+    """Tell a sidecar to begin a reserved part; then read the part's frames."""
 
     address: str
     attempt_id: AttemptId
     parts: tuple[KvReference, ...]
+    """KV caches of the parts before this one."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelPart:
-    """Give up a part; a lost cancel is made good by lease or deadline."""
+    """Cancel a part; if the cancel is lost, the lease or the deadline ends the part."""
 
     address: str
     attempt_id: AttemptId
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeLast:
-    """Ask for the promise that the last part never runs."""
+    """Ask the sidecar to guarantee that the last part never runs."""
 
     address: str
     hand_over: HandOver
@@ -43,26 +44,26 @@
 
 @dataclass(frozen=True, slots=True)
 class BackOff:
-    """Wait before the next try."""
+    """Wait before trying to reserve again."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class SpreadBegun:
-    """Say that the last part generates: from here on it is an ordinary attempt."""
+    """Report that the last part generates; from now on it is an ordinary attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class SpreadRefused:
-    """Say that the request did not run, or what the last sidecar said of it."""
+    """Report that the request did not run, or the refusal of the last sidecar."""
 
     refused: AttemptRefused
 
 
 @dataclass(frozen=True, slots=True)
 class SpreadUncertain:
-    """Say that the last part got no answer."""
+    """Report that it is unknown whether the last part runs."""
 
     may_have_arrived: bool
     detail: str
--- a/packages/core/src/cowslipshelf_core/internal/spread/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/events.py
@@ -1,4 +1,4 @@
-"""Define what a spread hand-over is told."""
+"""Define the events that a spread hand-over handles."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SpreadStarted:
-    """Begin; the first event, once."""
+    """Start the hand-over; the first event, sent once."""
 
 
 @dataclass(frozen=True, slots=True)
 class PartRefused:
-    """Say that a sidecar refused a part."""
+    """Report that a sidecar refused a part."""
 
     attempt_id: AttemptId
     refused: AttemptRefused
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartUnanswered:
-    """Say that the hand-over of a part got no answer."""
+    """Report that the hand-over of a part got no answer."""
 
     attempt_id: AttemptId
     may_have_arrived: bool
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PartReserved:
-    """Say that memory is reserved for a part."""
+    """Report that memory is reserved for a part."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class PartFilled:
-    """Say that an engine holds the KV cache of its part."""
+    """Report that an engine has prefilled its part and holds the KV cache."""
 
     attempt_id: AttemptId
     part: KvReference
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartLost:
-    """Say that an accepted part ended, or that its stream was lost."""
+    """Report that an accepted part ended early or that its stream was lost."""
 
     attempt_id: AttemptId
     refusal: Refusal | None
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginAnswered:
-    """Say whether a sidecar is known to have heard that a part may begin."""
+    """Report whether a sidecar acknowledged the call to begin a part."""
 
     attempt_id: AttemptId
     acknowledged: bool
@@ -64,24 +64,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LastRevoked:
-    """Say whether the last part was promised never to run."""
+    """Report whether the sidecar guarantees that the last part never runs."""
 
     promised: bool
 
 
 @dataclass(frozen=True, slots=True)
 class BackoffElapsed:
-    """Say that the wait before the next try is over."""
+    """Report that the requested wait is over."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Say that time has passed; sent with every heartbeat of a sidecar."""
+    """Report that time has passed; sent with every heartbeat of a sidecar."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoLongerWanted:
-    """Say that the caller went away or its deadline passed."""
+    """Report that the caller disconnected or its deadline passed."""
 
 
 SpreadEvent = (
--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -1,9 +1,9 @@
-"""Reserve a prompt's parts all or nothing, and prefill them in order.
+"""Reserve the parts of a prompt all or nothing, and prefill them in order.
 
-Every entry asks for parts in the one order of upstream ids and asks for the next only
-when the one before is reserved. Whoever waits therefore waits for an upstream behind
-all that it holds: two prompts can't wait for each other, and the one that holds the
-upstream furthest back waits for no other spread prompt at all.
+Deadlock is prevented by lock ordering: every entry reserves parts in the order of
+upstream ids, each only after the one before is reserved. A prompt therefore waits only
+for an upstream that comes after all those it holds. Two prompts can't wait for each
+other, and the prompt that holds the last of all upstreams waits for no other spread prompt.
 """
 
 from dataclasses import dataclass, field
@@ -47,20 +47,20 @@
 TRANSIENT_REASONS = frozenset(
     {RefusalReason.BUSY, RefusalReason.OVERLOADED, RefusalReason.NOT_READY}
 )
-"""Refusals of a part that may be otherwise a moment later."""
+"""Refusals of a part for which another try may succeed."""
 
 
 class SpreadConfig(NamedTuple):
-    """Bound how long a spread prompt waits for memory."""
+    """Limit how long a spread prompt waits for memory."""
 
     reserve_time_share: float = 0.5
-    """Part of the time left that may pass until all memory is reserved."""
+    """Share of the time left in which all memory must be reserved."""
     backoff_base_seconds: float = 0.05
     backoff_cap_seconds: float = 2.0
 
 
 class Phase(Enum):
-    """Name what a spread hand-over waits for."""
+    """Name what a spread hand-over is waiting for."""
 
     RESERVING = auto()
     BACKING_OFF = auto()
@@ -72,24 +72,28 @@
 
 @dataclass(slots=True)
 class SpreadMachine:
-    """Carry one attempt of a spread prompt until its last part generates.
+    """Hand over one attempt of a spread prompt until its last part generates.
 
-    Only the last part generates anything: until it begins the request has not run.
+    The helpers only prefill their parts, and the last part generates the answer: until
+    it begins, the request has not run.
     """
 
     chosen: ChosenUpstream
     hand_over: HandOver
     config: SpreadConfig
     deadline_at: float
+    """Monotonic seconds, like `reserve_deadline`."""
     reserve_deadline: float
     phase: Phase = Phase.RESERVING
     retry_count: int = 0
     handed_over: list[HandOver] = field(default_factory=list)
-    """Parts handed over in this try, in order; the last of them is the current one
-    while memory is reserved."""
+    """Parts handed over in this try, in order.
+
+    While memory is reserved, the last of them is the one being reserved.
+    """
     prefilled_parts: tuple[KvReference, ...] = ()
     refusal: Refusal | None = None
-    """Why the last part is being revoked."""
+    """The reason for which the last part is being revoked."""
 
     @classmethod
     def from_config(
@@ -99,7 +103,7 @@
         config: SpreadConfig,
         now: float,
     ) -> Self:
-        """Begin with nothing handed over, at `now` (monotonic seconds)."""
+        """Create the machine at `now` (monotonic seconds), with nothing handed over."""
         left = hand_over.deadline_seconds
         reserve_deadline = now + left * config.reserve_time_share
         return cls(chosen, hand_over, config, now + left, reserve_deadline)
@@ -107,7 +111,7 @@
     def handle(
         self, event: SpreadEvent, now: float, random: Random
     ) -> list[SpreadEffect]:
-        """Take in one event; what is late or of an earlier try does nothing."""
+        """Handle one event; ignore events that are late or of an earlier try."""
         match event:
             case SpreadStarted() if not self.handed_over:
                 return self.hand_over_next(now)
@@ -132,21 +136,21 @@
             case TimePassed() if self.phase is Phase.RESERVING:
                 return self.check_reserve_deadline(now)
             case NoLongerWanted():
-                detail = "the caller went away or its deadline passed"
+                detail = "the caller disconnected or its deadline passed"
                 return self.give_up(
                     self.not_run_refusal(RefusalReason.CANCELLED, detail)
                 )
         return []
 
-    # What the present try holds.
+    # The parts of the current try.
 
     @property
     def last_part_handed_over(self) -> bool:
-        """Return whether the part that generates was handed over."""
+        """Return whether the last part was handed over."""
         return len(self.handed_over) > len(self.chosen.helpers)
 
     def is_reserving(self, attempt_id: AttemptId) -> bool:
-        """Return whether memory for this part is awaited."""
+        """Return whether this part is waiting for its memory."""
         return (
             self.phase is Phase.RESERVING
             and bool(self.handed_over)
@@ -154,22 +158,22 @@
         )
 
     def is_prefilling(self, attempt_id: AttemptId) -> bool:
-        """Return whether this is the part that is being prefilled."""
+        """Return whether this part is being prefilled."""
         return (
             self.phase is Phase.PREFILLING
             and self.handed_over[len(self.prefilled_parts)].attempt_id == attempt_id
         )
 
     def was_handed_over(self, attempt_id: AttemptId) -> bool:
-        """Return whether a part was handed over in this try."""
+        """Return whether this part was handed over in the current try."""
         if self.phase in (Phase.ENDED, Phase.REVOKING_LAST):
             return False
         return any(part.attempt_id == attempt_id for part in self.handed_over)
 
-    # Memory, all or nothing.
+    # Reserving memory, all or nothing.
 
     def hand_over_next(self, now: float) -> list[SpreadEffect]:
-        """Ask for the memory of the next part in the fixed order."""
+        """Hand over the next part in the fixed order, to reserve its memory."""
         index = len(self.handed_over)
         left = self.deadline_at - now
         if index < len(self.chosen.helpers):
@@ -180,10 +184,10 @@
         return [HandOverPart(self.chosen.attempts_address, self.handed_over[-1])]
 
     def build_part(self, place: PartPlace, index: int, left: float) -> HandOver:
-        """Address a part to a helper; it only prefills, so it may be repeated."""
+        """Build the hand-over of a helper's part; prefill only, so it is idempotent."""
         last_id = self.hand_over.attempt_id
         return self.hand_over._replace(
-            # The last part's id is fresh, so these are, for each try.
+            # Unique for each try, since the last part's id is new.
             attempt_id=AttemptId(f"{last_id}-{self.retry_count}-{index}"),
             upstream_id=place.upstream_id,
             sidecar_epoch=place.epoch,
@@ -196,7 +200,7 @@
         )
 
     def on_part_reserved(self, now: float) -> list[SpreadEffect]:
-        """Ask for the next part, or prefill once all memory stands."""
+        """Reserve the next part, or begin to prefill once all are reserved."""
         if not self.last_part_handed_over:
             return self.hand_over_next(now)
         self.phase = Phase.PREFILLING
@@ -205,7 +209,7 @@
     def on_part_refused(
         self, refused: AttemptRefused, now: float, random: Random
     ) -> list[SpreadEffect]:
-        """Free what is held, and try again where the refusal may pass."""
+        """Free the reserved memory, and back off if the refusal is transient."""
         transient = refused.refusal.reason in TRANSIENT_REASONS
         if not transient or now >= self.reserve_deadline:
             return self.end_with_refusal(refused)
@@ -216,17 +220,17 @@
             self.config.backoff_base_seconds * 2.0**self.retry_count,
         )
         self.retry_count += 1
-        # Jitter, or prompts that were in each other's way would meet again.
+        # Without jitter, prompts that collided would collide again.
         return [*cancels, BackOff(random.uniform(0.0, step))]
 
     def end_with_refusal(self, refused: AttemptRefused) -> list[SpreadEffect]:
-        """End with a helper's refusal as "not run", with the last part's as it is."""
+        """End with a helper's refusal as "not run", or the last part's unchanged."""
         if not self.last_part_handed_over:
             return self.give_up(refused.refusal)
         return [*self.cancel_helpers(), *self.end(SpreadRefused(refused))]
 
     def on_part_unanswered(self, event: PartUnanswered) -> list[SpreadEffect]:
-        """Free what is held; what became of the last part must be asked elsewhere."""
+        """Free the reserved memory; end as uncertain if the last part is unanswered."""
         if self.last_part_handed_over:
             uncertain = SpreadUncertain(event.may_have_arrived, event.detail)
             return [*self.cancel_helpers(), *self.end(uncertain)]
@@ -235,16 +239,16 @@
         )
 
     def check_reserve_deadline(self, now: float) -> list[SpreadEffect]:
-        """Hold no memory for a prompt that waits for the rest of it for too long."""
+        """Give up, and so free the memory, when reserving takes too long."""
         if now < self.reserve_deadline:
             return []
         detail = f"no memory for {len(self.chosen.helpers) + 1} parts in time"
         return self.give_up(self.not_run_refusal(RefusalReason.BUSY, detail))
 
-    # Prefill, in token order.
+    # Prefilling, in token order.
 
     def begin_next_part(self) -> list[SpreadEffect]:
-        """Let the next part begin, with what those before it hold."""
+        """Begin the next part, with references to the KV cache of those before it."""
         index = len(self.prefilled_parts)
         attempt_id = self.handed_over[index].attempt_id
         if index < len(self.chosen.helpers):
@@ -258,7 +262,10 @@
     def on_begin_answered(
         self, attempt_id: AttemptId, acknowledged: bool
     ) -> list[SpreadEffect]:
-        """Go on; a part that may not have heard can't be waited for."""
+        """Give up if the call was not acknowledged; end once the last part begins.
+
+        A part that may not have begun can't be waited for.
+        """
         if not acknowledged and self.was_handed_over(attempt_id):
             detail = "a sidecar could not be told to begin"
             return self.give_up(
@@ -269,23 +276,26 @@
             return self.end(SpreadBegun())
         return []
 
-    # The end.
+    # Ending.
 
     def give_up(self, refusal: Refusal) -> list[SpreadEffect]:
-        """Free what is held, and claim "not run" only on a promise."""
+        """Free the reserved memory, and revoke the last part if it was handed over.
+
+        Only a revoked part may be refused as "not run".
+        """
         if self.phase in (Phase.ENDED, Phase.REVOKING_LAST):
             return []
         last_part_handed_over = self.last_part_handed_over
         cancels = self.cancel_helpers()
         self.refusal = refusal._replace(code=RefusalCode.NOT_RUN)
         if not last_part_handed_over:
-            # No engine was given the part that generates.
+            # No engine has the part that generates.
             return [*cancels, *self.end(refused_without_load(self.refusal))]
         self.phase = Phase.REVOKING_LAST
         return [*cancels, RevokeLast(self.chosen.attempts_address, self.hand_over)]
 
     def on_last_revoked(self, promised: bool) -> list[SpreadEffect]:
-        """End with the refusal where the promise was given."""
+        """End with the refusal if the last part was revoked, else as uncertain."""
         if promised:
             return self.end(refused_without_load(self.refusal))
         return self.end(SpreadUncertain(True, self.refusal.detail))
@@ -303,19 +313,19 @@
     def end(
         self, result: SpreadBegun | SpreadRefused | SpreadUncertain
     ) -> list[SpreadEffect]:
-        """Give the one result."""
+        """Return the one result."""
         self.phase = Phase.ENDED
         return [result]
 
     def loss_refusal(self, event: PartLost) -> Refusal:
-        """Describe a part whose stream was lost."""
+        """Build the refusal for a part that was lost."""
         return self.not_run_refusal(RefusalReason.UPSTREAM_FAILED, event.detail)
 
     def not_run_refusal(self, reason: RefusalReason, detail: str) -> Refusal:
-        """Refuse on our own account before the last part began."""
+        """Build a "not run" refusal; valid only before the last part has begun."""
         return Refusal(RefusalCode.NOT_RUN, reason, STEP, detail=detail)
 
 
 def refused_without_load(refusal: Refusal) -> SpreadRefused:
-    """Refuse as a sidecar would; its load is not known here."""
+    """Wrap a refusal as a sidecar's answer, with an empty load report."""
     return SpreadRefused(AttemptRefused(refusal, LoadReport()))
--- a/packages/core/src/cowslipshelf_core/requests.py
+++ b/packages/core/src/cowslipshelf_core/requests.py
@@ -1,4 +1,4 @@
-"""Decide how one request of a caller is carried to its one final answer."""
+"""Process a caller's request: placement, hand-over, retries and the final answer."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.internal.requests.caller_request import (
--- a/packages/core/src/cowslipshelf_core/spread.py
+++ b/packages/core/src/cowslipshelf_core/spread.py
@@ -1,4 +1,4 @@
-"""Decide how a prompt that fits no upstream alone is handed to several sidecars."""
+"""Reserve and prefill a prompt that fits no single upstream across several engines."""
 
 from cowslipshelf_core.internal.spread.effects import (
     BackOff,
