--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -3,7 +3,7 @@
 Deadlock is prevented by lock ordering: every entry reserves parts in the order of
 upstream ids, each only after the one before is reserved. A prompt therefore waits only
 for an upstream that comes after all those it holds. Two prompts can't wait for each
-other, and the prompt that holds the last of all upstreams waits for no other spread prompt.
+other, and the one that holds the last of all upstreams waits for no spread prompt.
 """
 
 from dataclasses import dataclass, field
