--- a/tests/common/requests_harness.py
+++ b/tests/common/requests_harness.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from common.requests_world import WHOLE_ANSWER, ClaimStore, World, caller_request
+from common.requests_world import COMPLETE_ANSWER, ClaimStore, World, caller_request
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.messages import ClaimHeld, StreamChunk, StreamEnd
 from cowslipshelf_core.requests import (
@@ -66,10 +66,10 @@
 class Step(NamedTuple):
     """Choose what goes wrong in one exchange."""
 
-    loss: str = "none"
+    call_fault: str = "none"
     busy: bool = False
     which: int = 0
-    spoil: str = "no"
+    frame_fault: str = "no"
     full: bool = False
     """Whether no upstream takes a new request."""
 
@@ -77,18 +77,18 @@
 UPSTREAMS = 6
 DEFAULTS = RequestConfig()
 TIGHT = RequestConfig(max_stored_answer_bytes=16, max_buffered_bytes=4)
-LOSSES = ("none", "question", "answer", "late", "doubled")
-SPOILS = ("no", "cut", "skip", "double", "fail")
+CALL_FAULTS = ("none", "question", "answer", "late", "doubled")
+FRAME_FAULTS = ("no", "cut", "skip", "double", "fail")
 
 
 @dataclass
-class Driven:
+class DrivenRequest:
     """Drive one machine and keep what its caller has seen."""
 
     request: CallerRequest
     machine: RequestMachine
     question: object = None
-    reading: list = field(default_factory=list)
+    unread_frames: list = field(default_factory=list)
     """Frames of the open stream that have not been read yet."""
     reading_attempt: str = ""
     answer: list[bytes] = field(default_factory=list)
@@ -110,35 +110,35 @@
         if claims is not None:
             self.world.claims = claims
         self.now = 100.0
-        self.driven: list[Driven] = []
+        self.driven: list[DrivenRequest] = []
 
-    def begin(self, config: RequestConfig = DEFAULTS, **changes) -> Driven:
+    def begin(self, config: RequestConfig = DEFAULTS, **changes) -> DrivenRequest:
         """Start a request with a new id, at an entry of its own."""
         number = len(self.driven)
         request = caller_request(request_id=f"r{number}", owner=f"entry{number}")
         request = request._replace(**changes)
-        driven = Driven(request, RequestMachine.from_config(request, config))
+        driven = DrivenRequest(request, RequestMachine.from_config(request, config))
         self.driven.append(driven)
         self.feed(driven, Started())
         return driven
 
-    def step(self, driven: Driven, step: Step) -> None:
+    def step(self, driven: DrivenRequest, step: Step) -> None:
         """Answer the machine's question, or read a frame."""
         if driven.dead:
             return
         if driven.question is not None:
             self.answer_question(driven, step)
-        elif driven.reading:
-            self.read_frame(driven, step.spoil)
+        elif driven.unread_frames:
+            self.read_frame(driven, step.frame_fault)
 
-    def run(self, driven: Driven, *steps: Step) -> None:
+    def run(self, driven: DrivenRequest, *steps: Step) -> None:
         """Go through the steps, then on without faults to the end."""
         for step in steps:
             self.step(driven, step)
         while not driven.finals:
             self.step(driven, Step())
 
-    def feed(self, driven: Driven, event) -> None:
+    def feed(self, driven: DrivenRequest, event) -> None:
         """Give an event to a machine and perform what needs no answer."""
         driven.events.append(event)
         if isinstance(event, Placed):
@@ -151,7 +151,7 @@
                 assert isinstance(effect, FINAL + CLEAN_UP), effect
             self.perform(driven, effect)
 
-    def perform(self, driven: Driven, effect) -> None:
+    def perform(self, driven: DrivenRequest, effect) -> None:
         driven.effects.append(effect)
         match effect:
             case AnswerHead():
@@ -162,7 +162,7 @@
                 self.not_run_is_true_for_the_key(driven, effect)
                 driven.finals.append(effect)
                 driven.question = None
-                driven.reading = []
+                driven.unread_frames = []
             case FinishClaim(claim=claim):
                 self.world.claims.finish(claim, self.now)
             case Report(event=AttemptEnded(attempt_id=attempt_id)):
@@ -173,7 +173,7 @@
                 assert driven.question is None, "two questions at a time"
                 assert isinstance(question, QUESTIONS)
                 driven.question = question
-                driven.reading = []
+                driven.unread_frames = []
 
     def answer_question(self, driven, step):
         question = driven.question
@@ -182,56 +182,58 @@
         for event in answers:
             self.feed(driven, event)
 
-    def read_frame(self, driven, spoil):
+    def read_frame(self, driven, frame_fault):
         attempt = driven.reading_attempt
-        if spoil == "cut":
-            driven.reading = []
+        if frame_fault == "cut":
+            driven.unread_frames = []
             self.feed(driven, StreamLost(attempt))
-        elif spoil == "fail":
-            driven.reading = []
+        elif frame_fault == "fail":
+            driven.unread_frames = []
             self.feed(driven, FrameArrived(StreamEnd(0, FAILED), attempt))
         else:
-            frame = driven.reading.pop(0)
-            if spoil != "skip":
+            frame = driven.unread_frames.pop(0)
+            if frame_fault != "skip":
                 self.feed(driven, FrameArrived(frame, attempt))
-            if spoil == "double":
+            if frame_fault == "double":
                 self.feed(driven, FrameArrived(frame, attempt))
 
     def answers(self, driven, question, step: Step) -> list:
         world = self.world
-        loss, busy, which = step.loss, step.busy, step.which
+        call_fault, busy, which = step.call_fault, step.busy, step.which
         match question:
             case ChoosePlacement(excluded=excluded):
                 chosen = None if step.full else world.choose(excluded, which)
                 return [Placed(chosen) if chosen else PlacementRefused(NO_UPSTREAM)]
             case AskClaim() | MoveClaim() | LookUpClaim():
-                return [self.claim_answer(question, loss)]
+                return [self.claim_answer(question, call_fault)]
             case SendHandOver(hand_over=hand_over):
                 driven.sent.append(hand_over)
-                return [self.hand_over_answer(driven, hand_over, loss, busy, which)]
+                return [
+                    self.hand_over_answer(driven, hand_over, call_fault, busy, which)
+                ]
             case Resume(_, attempt_id, after, upstream_id):
                 frames = world.sidecars[upstream_id].frames.get(attempt_id)
-                resumed = loss in ("none", "doubled") and frames is not None
+                resumed = call_fault in ("none", "doubled") and frames is not None
                 if resumed:
                     self.read(driven, attempt_id, frames, after)
                 return [ResumeAnswered(resumed, attempt_id)]
             case Revoke(_, attempt_id, epoch, upstream_id):
                 answer = None
-                if loss != "question":
+                if call_fault != "question":
                     answer = world.sidecars[upstream_id].revoke(attempt_id, epoch)
-                if loss in ("answer", "late"):
+                if call_fault in ("answer", "late"):
                     answer = None
                 return [RevokeAnswered(answer, attempt_id)]
             case AskRetryBudget():
-                return [RetryAnswered(loss != "question", 0.5)]
+                return [RetryAnswered(call_fault != "question", 0.5)]
             case Wait(seconds):
                 assert seconds >= 0
                 self.now += seconds
                 return [WaitElapsed()]
 
-    def claim_answer(self, question, loss):
+    def claim_answer(self, question, call_fault):
         claims = self.world.claims
-        if loss == "question":
+        if call_fault == "question":
             return ClaimUnavailable(NO_QUORUM)
         match question:
             case AskClaim(claim):
@@ -240,25 +242,25 @@
                 answer = claims.move(claim, self.now)
             case LookUpClaim(claim):
                 answer = claims.look_up(claim, self.now)
-        if loss in ("none", "doubled"):
+        if call_fault in ("none", "doubled"):
             owner = answer.owner if isinstance(answer, ClaimHeld) else None
             gone = any(d.dead and d.request.owner == owner for d in self.driven)
             # A living owner is only out of hearing, and may move or run meanwhile.
-            gone = gone or loss == "doubled"
+            gone = gone or call_fault == "doubled"
             return ClaimAnswered(answer, gone)
         return ClaimUnavailable(NO_QUORUM)
 
-    def hand_over_answer(self, driven, hand_over, loss, busy, which):
+    def hand_over_answer(self, driven, hand_over, call_fault, busy, which):
         attempt_id = hand_over.attempt_id
-        if loss == "question":
+        if call_fault == "question":
             return HandOverLost(False, attempt_id)
-        if loss == "late":
-            self.world.on_the_way.append(hand_over)
+        if call_fault == "late":
+            self.world.in_flight.append(hand_over)
             return HandOverLost(True, attempt_id)
-        refused = self.world.arrive(hand_over, busy, which + 1)
-        if loss == "doubled":
-            refused = self.world.arrive(hand_over, busy, which + 1)
-        if loss == "answer":
+        refused = self.world.deliver(hand_over, busy, which + 1)
+        if call_fault == "doubled":
+            refused = self.world.deliver(hand_over, busy, which + 1)
+        if call_fault == "answer":
             return HandOverLost(True, attempt_id)
         if refused is None:
             frames = self.world.sidecars[hand_over.upstream_id].frames[attempt_id]
@@ -267,13 +269,15 @@
 
     def read(self, driven, attempt_id, frames, after) -> None:
         driven.reading_attempt = attempt_id
-        driven.reading = [
+        driven.unread_frames = [
             frame
             for frame in frames
             if not isinstance(frame, StreamChunk) or frame.sequence > after
         ]
 
-    def cross_an_event(self, driven: Driven, other: Driven, which: int) -> None:
+    def redeliver_event(
+        self, driven: DrivenRequest, other: DrivenRequest, which: int
+    ) -> None:
         """Deliver again an event that this or another request got before.
 
         A choice or a budget that is granted twice is a new one, so those are not
@@ -298,29 +302,31 @@
         if driven.question is None and not driven.finals:
             driven.question = asked
 
-    def late_hand_over_arrives(self, which: int, group: int, doubled: bool) -> None:
+    def deliver_late_hand_over(
+        self, which: int, tokens_per_chunk: int, duplicated: bool
+    ) -> None:
         """Let the network deliver a hand-over that was given up as lost."""
-        waiting = self.world.on_the_way
+        waiting = self.world.in_flight
         if not waiting:
             return
         hand_over = waiting[which % len(waiting)]
-        if not doubled:
+        if not duplicated:
             waiting.remove(hand_over)
-        self.world.arrive(hand_over, False, group)
+        self.world.deliver(hand_over, False, tokens_per_chunk)
 
-    def caller_goes(self, driven: Driven) -> None:
+    def disconnect_caller(self, driven: DrivenRequest) -> None:
         """Close the caller's connection."""
         if not driven.dead and not driven.caller_gone:
             driven.caller_gone = True
-            self.end_or_go_on(driven, CallerGone())
+            self.feed_keeping_question(driven, CallerGone())
 
-    def time_passes(self, driven: Driven, seconds: float) -> None:
+    def advance_time(self, driven: DrivenRequest, seconds: float) -> None:
         """Let time pass, for one request past its deadline perhaps."""
         self.now += seconds
         if self.now >= driven.machine.deadline() and not driven.dead:
-            self.end_or_go_on(driven, DeadlinePassed())
+            self.feed_keeping_question(driven, DeadlinePassed())
 
-    def end_or_go_on(self, driven, event) -> None:
+    def feed_keeping_question(self, driven, event) -> None:
         asked = driven.question
         driven.question = None
         self.feed(driven, event)
@@ -366,9 +372,9 @@
     def a_whole_answer_is_whole(self):
         for driven in self.driven:
             data = b"".join(driven.answer)
-            assert WHOLE_ANSWER.startswith(data)
+            assert COMPLETE_ANSWER.startswith(data)
             if driven.finals and isinstance(driven.finals[0], AnswerEnd):
-                assert data == WHOLE_ANSWER or driven.caller_gone
+                assert data == COMPLETE_ANSWER or driven.caller_gone
 
     def a_request_is_handed_over_a_bounded_number_of_times(self):
         for driven in self.driven:
@@ -384,6 +390,6 @@
             self.feed(driven, DeadlinePassed())
             assert len(driven.finals) == 1
             assert sorted(driven.ended) == sorted(driven.placed)
-        while self.world.on_the_way:
-            self.world.arrive(self.world.on_the_way.pop(), False, 1)
+        while self.world.in_flight:
+            self.world.deliver(self.world.in_flight.pop(), False, 1)
         self.check()
--- a/tests/common/requests_world.py
+++ b/tests/common/requests_world.py
@@ -43,7 +43,7 @@
 OPENING = b"<open>"
 CLOSING = b"<close>"
 TOKENS = tuple(b"t%d " % number for number in range(5))
-WHOLE_ANSWER = OPENING + b"".join(TOKENS) + CLOSING
+COMPLETE_ANSWER = OPENING + b"".join(TOKENS) + CLOSING
 
 
 def caller_request(**changes) -> CallerRequest:
@@ -72,13 +72,13 @@
     return request._replace(**changes)
 
 
-def frames_of(hand_over: HandOver, group: int) -> list[Frame]:
+def frames_of(hand_over: HandOver, tokens_per_chunk: int) -> list[Frame]:
     """Give an attempt's frames; an engine cuts the same tokens where it likes."""
     done = hand_over.delivered_tokens
     frames: list[Frame] = [HEAD]
     pieces = [] if done else [(OPENING, 0)]
-    for start in range(done, len(TOKENS), group):
-        tokens = TOKENS[start : start + group]
+    for start in range(done, len(TOKENS), tokens_per_chunk):
+        tokens = TOKENS[start : start + tokens_per_chunk]
         pieces.append((b"".join(tokens), len(tokens)))
     pieces.append((CLOSING, 0))
     for sequence, (data, tokens) in enumerate(pieces, start=1):
@@ -101,8 +101,8 @@
         refusal = Refusal(RefusalCode.NOT_RUN, reason, "admit", self.upstream_id)
         return AttemptRefused(refusal, LoadReport())
 
-    def take(
-        self, hand_over: HandOver, busy: bool, group: int
+    def accept(
+        self, hand_over: HandOver, busy: bool, tokens_per_chunk: int
     ) -> AttemptRefused | None:
         """Run an attempt or refuse it."""
         attempt = hand_over.attempt_id
@@ -115,7 +115,7 @@
         if busy:
             self.tombstones.add(attempt)
             return self.refusal(RefusalReason.BUSY)
-        self.frames[attempt] = frames_of(hand_over, group)
+        self.frames[attempt] = frames_of(hand_over, tokens_per_chunk)
         return None
 
     def revoke(self, attempt: AttemptId, epoch: Epoch) -> NeverRan | MayHaveRun:
@@ -222,9 +222,9 @@
     claims: ClaimStore = field(default_factory=PermissiveClaimStore)
     ran: list[HandOver] = field(default_factory=list)
     """Every attempt that has reached an upstream."""
-    on_the_way: list[HandOver] = field(default_factory=list)
+    in_flight: list[HandOver] = field(default_factory=list)
     """Hand-overs whose arrival the network still holds back."""
-    numbers: count = field(default_factory=count)
+    attempt_numbers: count = field(default_factory=count)
 
     @classmethod
     def with_upstreams(cls, number: int) -> "World":
@@ -240,12 +240,14 @@
         if not left:
             return None
         name = left[which % len(left)]
-        attempt = AttemptId(f"a{next(self.numbers)}")
+        attempt = AttemptId(f"a{next(self.attempt_numbers)}")
         return ChosenUpstream(attempt, name, self.sidecars[name].epoch, name, 0)
 
-    def arrive(self, hand_over: HandOver, busy: bool, group: int):
+    def deliver(self, hand_over: HandOver, busy: bool, tokens_per_chunk: int):
         """Let a hand-over reach its sidecar."""
-        refused = self.sidecars[hand_over.upstream_id].take(hand_over, busy, group)
+        refused = self.sidecars[hand_over.upstream_id].accept(
+            hand_over, busy, tokens_per_chunk
+        )
         if refused is None:
             self.ran.append(hand_over)
         return refused
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -143,7 +143,7 @@
         upstream.held.pop(attempt_id, None)
         self.feed(upstream, UpstreamFinished(attempt_id, whole))
 
-    def work(self, upstream: Upstream) -> None:
+    def run_engine(self, upstream: Upstream) -> None:
         """Let an engine prefill its parts and finish what it generates."""
         for attempt_id, given in tuple(upstream.held.items()):
             if given.to_token is None:
@@ -155,13 +155,13 @@
                 part = KvReference(attempt_id, 1, given.from_token, given.to_token)
                 self.frames[attempt_id].append(PartFilled(attempt_id, part))
 
-    def fail(self, upstream: Upstream) -> None:
+    def drop_first_attempt(self, upstream: Upstream) -> None:
         """Have an engine drop the first of its attempts."""
         for attempt_id in tuple(upstream.held)[:1]:
             self.end_at_engine(upstream, attempt_id, whole=False)
             self.frames[attempt_id].append(PartLost(attempt_id, None, "died"))
 
-    def pass_time(self, seconds: float = STEP_SECONDS) -> None:
+    def advance_time(self, seconds: float = STEP_SECONDS) -> None:
         """Let time pass; living entries are heard, engines tell what they hold."""
         self.now += seconds
         for upstream in self.upstreams.values():
@@ -192,16 +192,16 @@
             for upstream in self.upstreams.values()
         )
 
-    def run_on(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Let everyone who lives go on, in turn."""
         end = self.now + seconds
         while self.now < end:
             for prompt in self.prompts:
-                prompt.act()
-                prompt.act()
+                prompt.step()
+                prompt.step()
             for upstream in self.upstreams.values():
-                self.work(upstream)
-            self.pass_time()
+                self.run_engine(upstream)
+            self.advance_time()
 
 
 class Prompt:
@@ -216,14 +216,14 @@
         self.owner = owner
         self.alive = True
         self.deadline = world.now + DEADLINE
-        self.tries = 0
-        self.wakes_at = 0.0
+        self.placements = 0
+        self.backoff_until = 0.0
         self.place()
 
     def place(self) -> None:
         """Choose the parts afresh, as a retry of the whole request does."""
-        self.tries += 1
-        self.last_id = AttemptId(f"{self.owner}-last-{self.tries}")
+        self.placements += 1
+        self.last_id = AttemptId(f"{self.owner}-last-{self.placements}")
         states = [self.world.upstreams[f"runner-{n}"].state for n in self.numbers]
         places = [
             PartPlace(
@@ -282,9 +282,9 @@
             )
         return True
 
-    def act(self) -> None:
+    def step(self) -> None:
         """Do the one next thing."""
-        if not self.alive or self.world.now < self.wakes_at:
+        if not self.alive or self.world.now < self.backoff_until:
             return
         if self.effects:
             self.perform(self.effects.popleft())
@@ -326,11 +326,11 @@
                 promised = isinstance(answer.answer, NeverRan)
                 self.handle(LastRevoked(promised and not world.loses_answers))
             case BackOff(seconds):
-                self.wakes_at = world.now + seconds
+                self.backoff_until = world.now + seconds
                 self.handle(BackoffElapsed())
             case SpreadBegun() | SpreadRefused() | SpreadUncertain():
                 self.result = effect
 
 
-HALF_AND_MORE = MEMORY_TOKENS * 6 // 10
+OVER_HALF_MEMORY_TOKENS = MEMORY_TOKENS * 6 // 10
 """A part of this size leaves no room for another one beside it."""
--- a/tests/cover/requests/test_claims_taken_over.py
+++ b/tests/cover/requests/test_claims_taken_over.py
@@ -5,10 +5,10 @@
 from common.requests_harness import RequestsHarness
 from common.requests_steps import (
     BUSY,
-    FINE,
     NO_BUDGET,
+    NO_FAULT,
     NOT_RESUMED,
-    is_whole,
+    got_complete_answer,
     refusal_of,
 )
 from cowslipshelf_core.errors import RefusalCode, RefusalReason
@@ -28,8 +28,8 @@
     harness.now += seconds
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
-    assert is_whole(resent)
-    assert harness.world.arrive(killed.question.hand_over, False, 1) is not None
+    assert got_complete_answer(resent)
+    assert harness.world.deliver(killed.question.hand_over, False, 1) is not None
     assert len(harness.world.ran) == 1
 
 
@@ -41,19 +41,19 @@
     """
     harness = RequestsHarness(ClaimTable())
     driven = harness.begin(idempotency_key="k")
-    harness.run(driven, FINE, FINE, BUSY, NO_BUDGET)
+    harness.run(driven, NO_FAULT, NO_FAULT, BUSY, NO_BUDGET)
     assert refusal_of(driven).code is RefusalCode.NOT_RUN
     for _ in range(2):
         resent = harness.begin(idempotency_key="k")
         harness.run(resent)
-        assert is_whole(resent)
+        assert got_complete_answer(resent)
     assert len(harness.world.ran) == 1
 
 
 def killed_before_hand_over(harness: RequestsHarness):
     killed = harness.begin(idempotency_key="k")
-    harness.step(killed, FINE)
-    harness.step(killed, FINE)
+    harness.step(killed, NO_FAULT)
+    harness.step(killed, NO_FAULT)
     killed.dead = True
     return killed
 
@@ -68,20 +68,20 @@
     harness = RequestsHarness(ClaimTable())
     if ended:
         first = harness.begin(idempotency_key="k")
-        harness.run(first, FINE, FINE, BUSY, NO_BUDGET)
+        harness.run(first, NO_FAULT, NO_FAULT, BUSY, NO_BUDGET)
     else:
         killed_before_hand_over(harness)
     resends = [harness.begin(idempotency_key="k") for _ in range(2)]
     for resent in resends:
         while not isinstance(resent.question, MoveClaim):
-            harness.step(resent, FINE)
+            harness.step(resent, NO_FAULT)
     winner, loser = resends
-    harness.step(winner, FINE)
+    harness.step(winner, NO_FAULT)
     harness.run(loser)
     assert refusal_of(loser).reason is RefusalReason.STILL_RUNNING
     assert refusal_of(loser).code is not RefusalCode.NOT_RUN
     harness.run(winner)
-    assert is_whole(winner)
+    assert got_complete_answer(winner)
     assert len(harness.world.ran) == 1
 
 
@@ -95,15 +95,15 @@
     harness = RequestsHarness(ClaimTable())
     killed = harness.begin(idempotency_key="k")
     for _ in range(3 + frames_read):
-        harness.step(killed, FINE)
+        harness.step(killed, NO_FAULT)
     killed.dead = True
     followed = harness.begin(idempotency_key="k")
     harness.run(followed)
-    assert is_whole(followed)
+    assert got_complete_answer(followed)
     assert not [e for e in followed.effects if isinstance(e, Cancel)]
     later = harness.begin(idempotency_key="k")
     harness.run(later)
-    assert is_whole(later)
+    assert got_complete_answer(later)
     assert [e for e in later.effects if isinstance(e, Resume)] == []
     assert len(harness.world.ran) == 1
 
@@ -117,15 +117,15 @@
     harness = RequestsHarness(ClaimTable())
     owner = harness.begin(idempotency_key="k")
     for _ in range(5):
-        harness.step(owner, FINE)
+        harness.step(owner, NO_FAULT)
     owner.dead = True
     follower = harness.begin(idempotency_key="k")
-    harness.run(follower, FINE, FINE, FINE, *[NOT_RESUMED, FINE] * 4)
+    harness.run(follower, NO_FAULT, NO_FAULT, NO_FAULT, *[NOT_RESUMED, NO_FAULT] * 4)
     assert refusal_of(follower).code is RefusalCode.OUTCOME_UNKNOWN
     assert not [e for e in follower.effects if isinstance(e, Cancel)]
     owner.dead = False
     harness.run(owner)
-    assert is_whole(owner)
+    assert got_complete_answer(owner)
     later = harness.begin(idempotency_key="k")
     harness.run(later)
-    assert is_whole(later)
+    assert got_complete_answer(later)
--- a/tests/cover/requests/test_keys_without_upstreams.py
+++ b/tests/cover/requests/test_keys_without_upstreams.py
@@ -5,12 +5,12 @@
 from common.requests_harness import RequestsHarness
 from common.requests_steps import (
     BUSY,
-    FINE,
-    FULL,
     LOST_AFTER_ARRIVAL,
     NO_BUDGET,
+    NO_FAULT,
+    NO_FREE_UPSTREAM,
     NO_QUORUM,
-    is_whole,
+    got_complete_answer,
     refusal_of,
 )
 from cowslipshelf_core.errors import RefusalCode, RefusalReason
@@ -18,7 +18,7 @@
 from cowslipshelf_core.requests import CallerGone, DeadlinePassed, LookUpClaim
 
 
-def keyed(harness: RequestsHarness, *steps, **changes):
+def begin_with_key(harness: RequestsHarness, *steps, **changes):
     driven = harness.begin(idempotency_key="k", **changes)
     for step in steps:
         harness.step(driven, step)
@@ -32,14 +32,14 @@
     before anybody looked at its key, so the clerk would have paid again.
     """
     harness = RequestsHarness(ClaimTable())
-    harness.run(keyed(harness))
-    resent = keyed(harness)
-    harness.run(resent, FULL)
-    assert is_whole(resent)
+    harness.run(begin_with_key(harness))
+    resent = begin_with_key(harness)
+    harness.run(resent, NO_FREE_UPSTREAM)
+    assert got_complete_answer(resent)
     assert len(harness.world.ran) == 1
 
 
-@pytest.mark.parametrize("steps", [(), (FINE, FINE, BUSY, NO_BUDGET)])
+@pytest.mark.parametrize("steps", [(), (NO_FAULT, NO_FAULT, BUSY, NO_BUDGET)])
 def test_not_run_is_told_where_nothing_ran_under_the_key(steps):
     """A mail notice finds the fleet full, the first time or after a true "not run".
 
@@ -48,14 +48,14 @@
     """
     harness = RequestsHarness(ClaimTable())
     if steps:
-        keyed(harness, *steps)
-    refused = keyed(harness)
-    harness.run(refused, FULL)
+        begin_with_key(harness, *steps)
+    refused = begin_with_key(harness)
+    harness.run(refused, NO_FREE_UPSTREAM)
     assert refusal_of(refused).code is RefusalCode.NOT_RUN
     assert refusal_of(refused).reason is RefusalReason.NO_UPSTREAM
-    later = keyed(harness)
+    later = begin_with_key(harness)
     harness.run(later)
-    assert is_whole(later)
+    assert got_complete_answer(later)
 
 
 @pytest.mark.parametrize("owner_dead", [False, True])
@@ -67,17 +67,17 @@
     resend is told that the outcome is unknown, at once.
     """
     harness = RequestsHarness(ClaimTable())
-    keyed(harness, FINE, FINE, LOST_AFTER_ARRIVAL).dead = owner_dead
+    begin_with_key(harness, NO_FAULT, NO_FAULT, LOST_AFTER_ARRIVAL).dead = owner_dead
     harness.now += seconds
-    resent = keyed(harness)
+    resent = begin_with_key(harness)
     started = harness.now
-    harness.run(resent, FULL)
+    harness.run(resent, NO_FREE_UPSTREAM)
     assert refusal_of(resent).code is RefusalCode.OUTCOME_UNKNOWN
     assert harness.now == started
     assert len(harness.world.ran) == 1
 
 
-@pytest.mark.parametrize("asked", [FINE, FULL])
+@pytest.mark.parametrize("asked", [NO_FAULT, NO_FREE_UPSTREAM])
 @pytest.mark.parametrize("end", [NO_QUORUM, DeadlinePassed(), CallerGone()])
 def test_an_unanswered_look_up_or_claim_leaves_the_outcome_unknown(asked, end):
     """A paid line is sent again while no replica answers, or its time runs out.
@@ -85,27 +85,27 @@
     Nobody has looked at its key, so "not run" is more than is known.
     """
     harness = RequestsHarness(ClaimTable())
-    harness.run(keyed(harness))
-    resent = keyed(harness, asked)
+    harness.run(begin_with_key(harness))
+    resent = begin_with_key(harness, asked)
     if end is NO_QUORUM:
         harness.step(resent, end)
     else:
-        harness.end_or_go_on(resent, end)
+        harness.feed_keeping_question(resent, end)
     assert refusal_of(resent).code is RefusalCode.OUTCOME_UNKNOWN
 
 
 def test_another_body_under_the_key_is_refused_without_an_upstream_too():
     """A caller's counter has started again, and gives a used key to another line."""
     harness = RequestsHarness(ClaimTable())
-    harness.run(keyed(harness))
-    other = keyed(harness, body_digest="other")
-    harness.run(other, FULL)
+    harness.run(begin_with_key(harness))
+    other = begin_with_key(harness, body_digest="other")
+    harness.run(other, NO_FREE_UPSTREAM)
     assert refusal_of(other).reason is RefusalReason.KEY_REUSED
 
 
 def test_a_request_that_is_placed_pays_for_no_look_up():
     """The look-up is a log entry; whoever has an upstream learns all by its claim."""
     harness = RequestsHarness(ClaimTable())
-    driven = keyed(harness)
+    driven = begin_with_key(harness)
     harness.run(driven)
     assert not [e for e in driven.effects if isinstance(e, LookUpClaim)]
--- a/tests/cover/requests/test_request_stories.py
+++ b/tests/cover/requests/test_request_failures.py
@@ -5,12 +5,12 @@
 from common.requests_harness import TIGHT, RequestsHarness, Step
 from common.requests_steps import (
     BUSY,
-    CUT,
-    FINE,
     LOST_AFTER_ARRIVAL,
     NO_BUDGET,
+    NO_FAULT,
     NOT_RESUMED,
-    is_whole,
+    STREAM_CUT,
+    got_complete_answer,
     refusal_of,
 )
 from cowslipshelf_core.errors import RefusalCode, RefusalReason
@@ -39,7 +39,7 @@
     for _ in range(2):
         driven = harness.begin(idempotency_key="k")
         harness.run(driven)
-        assert is_whole(driven)
+        assert got_complete_answer(driven)
     assert len(harness.world.ran) == 1
 
 
@@ -51,7 +51,7 @@
     """
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
-    for step in (FINE, FINE, LOST_AFTER_ARRIVAL):
+    for step in (NO_FAULT, NO_FAULT, LOST_AFTER_ARRIVAL):
         harness.step(driven, step)
     for sidecar in harness.world.sidecars.values():
         sidecar.restart()
@@ -72,7 +72,9 @@
     """
     harness = RequestsHarness()
     driven = harness.begin(service_is_idempotent=False)
-    harness.run(driven, FINE, Step(loss="late"), *[Step(loss="question")] * 9)
+    harness.run(
+        driven, NO_FAULT, Step(call_fault="late"), *[Step(call_fault="question")] * 9
+    )
     revokes = [e for e in driven.effects if isinstance(e, Revoke)]
     assert 1 < len(revokes) <= 5
     assert refusal_of(driven).code is RefusalCode.OUTCOME_UNKNOWN
@@ -87,11 +89,11 @@
     """
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
-    harness.run(driven, FINE, FINE, BUSY, NO_BUDGET)
+    harness.run(driven, NO_FAULT, NO_FAULT, BUSY, NO_BUDGET)
     assert refusal_of(driven).code is RefusalCode.NOT_RUN
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
-    assert is_whole(resent)
+    assert got_complete_answer(resent)
 
 
 def test_the_key_of_a_dead_entry_is_taken_over_when_its_attempt_never_ran():
@@ -102,15 +104,15 @@
     """
     harness = RequestsHarness()
     killed = harness.begin(idempotency_key="k")
-    harness.step(killed, FINE)
-    harness.step(killed, FINE)
+    harness.step(killed, NO_FAULT)
+    harness.step(killed, NO_FAULT)
     assert isinstance(killed.question, SendHandOver)
     killed.dead = True
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
-    assert is_whole(resent)
+    assert got_complete_answer(resent)
     late = killed.question.hand_over
-    assert harness.world.arrive(late, False, 1) is not None
+    assert harness.world.deliver(late, False, 1) is not None
 
 
 def test_a_resend_while_the_first_runs_is_told_when_to_ask_again():
@@ -118,7 +120,7 @@
     harness = RequestsHarness()
     running = harness.begin(idempotency_key="k")
     for _ in range(5):
-        harness.step(running, FINE)
+        harness.step(running, NO_FAULT)
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
     refusal = refusal_of(resent)
@@ -126,7 +128,7 @@
     assert refusal.code is not RefusalCode.NOT_RUN
     assert refusal.retry_after_seconds > 0
     harness.run(running)
-    assert is_whole(running)
+    assert got_complete_answer(running)
 
 
 def test_a_claim_granted_after_its_caller_left_is_given_back():
@@ -137,15 +139,15 @@
     """
     harness = RequestsHarness()
     left = harness.begin(idempotency_key="k")
-    harness.step(left, FINE)
+    harness.step(left, NO_FAULT)
     asked = left.question
     assert isinstance(asked, AskClaim)
-    harness.caller_goes(left)
+    harness.disconnect_caller(left)
     granted = harness.world.claims.ask(asked.claim, harness.now)
     harness.feed(left, ClaimAnswered(granted))
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
-    assert is_whole(resent)
+    assert got_complete_answer(resent)
 
 
 def test_work_that_runs_once_outlives_its_caller():
@@ -157,14 +159,14 @@
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
     for _ in range(5):
-        harness.step(driven, FINE)
-    harness.caller_goes(driven)
+        harness.step(driven, NO_FAULT)
+    harness.disconnect_caller(driven)
     assert not driven.finals
     harness.run(driven)
     assert not [e for e in driven.effects if isinstance(e, Cancel)]
     resent = harness.begin(idempotency_key="k")
     harness.run(resent)
-    assert is_whole(resent)
+    assert got_complete_answer(resent)
 
 
 def test_repeatable_work_ends_with_its_caller():
@@ -175,8 +177,8 @@
     harness = RequestsHarness()
     driven = harness.begin()
     for _ in range(5):
-        harness.step(driven, FINE)
-    harness.caller_goes(driven)
+        harness.step(driven, NO_FAULT)
+    harness.disconnect_caller(driven)
     assert [e for e in driven.effects if isinstance(e, Cancel)]
     assert len(driven.finals) == 1
 
@@ -191,10 +193,10 @@
     """
     harness = RequestsHarness()
     driven = harness.begin(streamed=streamed)
-    before = [FINE] * (2 + frames_read)
-    harness.run(driven, *before, CUT, NOT_RESUMED)
+    before = [NO_FAULT] * (2 + frames_read)
+    harness.run(driven, *before, STREAM_CUT, NOT_RESUMED)
     assert len(driven.sent) == 2
-    assert is_whole(driven)
+    assert got_complete_answer(driven)
 
 
 @pytest.mark.parametrize("streamed", [True, False])
@@ -206,7 +208,7 @@
     harness = RequestsHarness()
     driven = harness.begin(config=TIGHT, streamed=streamed, kind="plain")
     for _ in range(5):
-        harness.step(driven, FINE)
+        harness.step(driven, NO_FAULT)
         assert driven.machine.state.delivery.buffered_bytes <= TIGHT.max_buffered_bytes
     assert driven.answer
 
@@ -229,17 +231,17 @@
     harness = RequestsHarness()
     driven = harness.begin()
     for step in (
-        FINE,
-        FINE,
-        FINE,
-        FINE,
-        FINE,
-        CUT,
+        NO_FAULT,
+        NO_FAULT,
+        NO_FAULT,
+        NO_FAULT,
+        NO_FAULT,
+        STREAM_CUT,
         NOT_RESUMED,
-        FINE,
-        FINE,
-        FINE,
-        FINE,
+        NO_FAULT,
+        NO_FAULT,
+        NO_FAULT,
+        NO_FAULT,
     ):
         harness.step(driven, step)
     assert len(driven.sent) == 2
@@ -247,7 +249,7 @@
     harness.feed(driven, FrameArrived(StreamHead(500, ()), attempt))
     harness.run(driven)
     assert len(driven.sent) == 3
-    assert is_whole(driven)
+    assert got_complete_answer(driven)
 
 
 def test_a_choice_that_arrives_twice_opens_one_attempt():
@@ -258,22 +260,22 @@
     """
     harness = RequestsHarness()
     driven = harness.begin()
-    harness.step(driven, FINE)
+    harness.step(driven, NO_FAULT)
     first = driven.events[-1]
     assert isinstance(first, Placed)
-    for step in (BUSY, FINE, FINE):
+    for step in (BUSY, NO_FAULT, NO_FAULT):
         harness.step(driven, step)
     assert isinstance(driven.question, ChoosePlacement)
     assert driven.machine.handle(first, harness.now) == []
     harness.run(driven)
-    assert is_whole(driven)
+    assert got_complete_answer(driven)
 
 
 def test_backoff_grows_and_keeps_within_the_deadline():
     """Busy upstreams must not be asked again in step with everybody else."""
     harness = RequestsHarness()
     driven = harness.begin()
-    harness.run(driven, *[FINE, BUSY, FINE, FINE] * 4)
+    harness.run(driven, *[NO_FAULT, BUSY, NO_FAULT, NO_FAULT] * 4)
     waits = [e.seconds for e in driven.effects if isinstance(e, Wait)]
     assert len(waits) > 1
     assert waits == sorted(waits)
--- a/tests/cover/requests/test_request_machine.py
+++ b/tests/cover/requests/test_request_machine.py
@@ -14,9 +14,9 @@
 )
 
 from common.requests_harness import (
+    CALL_FAULTS,
     DEFAULTS,
-    LOSSES,
-    SPOILS,
+    FRAME_FAULTS,
     TIGHT,
     UPSTREAMS,
     RequestsHarness,
@@ -29,10 +29,10 @@
 SMALL = st.integers(0, 3)
 STEPS = st.builds(
     Step,
-    loss=st.sampled_from(LOSSES),
+    call_fault=st.sampled_from(CALL_FAULTS),
     busy=st.booleans(),
     which=SMALL,
-    spoil=st.sampled_from(SPOILS),
+    frame_fault=st.sampled_from(FRAME_FAULTS),
     full=st.sampled_from([False, False, False, True]),
 )
 
@@ -61,33 +61,33 @@
         return self.harness.begin(**changes)
 
     @rule(driven=requests, steps=st.lists(STEPS, min_size=1, max_size=16))
-    def go_on(self, driven, steps):
+    def take_steps(self, driven, steps):
         for step in steps:
             self.harness.step(driven, step)
 
     @rule(driven=requests, other=requests, which=st.integers(0, 40))
-    def cross_an_event(self, driven, other, which):
-        self.harness.cross_an_event(driven, other, which)
+    def redeliver_event(self, driven, other, which):
+        self.harness.redeliver_event(driven, other, which)
 
-    @rule(which=SMALL, group=st.integers(1, 3), doubled=st.booleans())
-    def late_hand_over_arrives(self, which, group, doubled):
-        self.harness.late_hand_over_arrives(which, group, doubled)
+    @rule(which=SMALL, tokens_per_chunk=st.integers(1, 3), duplicated=st.booleans())
+    def deliver_late_hand_over(self, which, tokens_per_chunk, duplicated):
+        self.harness.deliver_late_hand_over(which, tokens_per_chunk, duplicated)
 
     @rule(which=st.integers(0, UPSTREAMS - 1))
-    def sidecar_restarts(self, which):
+    def restart_sidecar(self, which):
         list(self.harness.world.sidecars.values())[which].restart()
 
     @rule(driven=requests)
-    def caller_goes(self, driven):
-        self.harness.caller_goes(driven)
+    def disconnect_caller(self, driven):
+        self.harness.disconnect_caller(driven)
 
     @rule(driven=consumes(requests))
-    def entry_dies(self, driven):
+    def kill_entry(self, driven):
         driven.dead = True
 
     @rule(driven=requests, seconds=st.sampled_from([0.1, 2.0, 30.0]))
-    def time_passes(self, driven, seconds):
-        self.harness.time_passes(driven, seconds)
+    def advance_time(self, driven, seconds):
+        self.harness.advance_time(driven, seconds)
 
     @invariant()
     def everything_holds(self):
@@ -103,15 +103,17 @@
 TestRequestsUnderFaults = RequestsUnderFaults.TestCase
 
 
-def a_step(random: Random) -> Step:
+def draw_step(random: Random) -> Step:
     """Draw a step in which mostly nothing goes wrong, so that runs get far."""
-    loss = random.choice(LOSSES) if random.random() < 0.25 else "none"
-    spoil = random.choice(SPOILS) if random.random() < 0.25 else "no"
+    call_fault = random.choice(CALL_FAULTS) if random.random() < 0.25 else "none"
+    frame_fault = random.choice(FRAME_FAULTS) if random.random() < 0.25 else "no"
     full = random.random() < 0.1
-    return Step(loss, random.random() < 0.2, random.randrange(3), spoil, full)
+    return Step(
+        call_fault, random.random() < 0.2, random.randrange(3), frame_fault, full
+    )
 
 
-def a_request(random: Random) -> dict:
+def draw_request(random: Random) -> dict:
     """Draw a request; half of them share a key."""
     return {
         "config": random.choice([DEFAULTS, DEFAULTS, TIGHT]),
@@ -123,23 +125,23 @@
     }
 
 
-def a_fault(harness: RequestsHarness, random: Random) -> None:
+def inject_fault(harness: RequestsHarness, random: Random) -> None:
     """Let something go wrong that no exchange causes."""
     driven = random.choice(harness.driven)
     match random.randrange(7):
         case 0:
             random.choice(list(harness.world.sidecars.values())).restart()
         case 1:
-            harness.caller_goes(driven)
+            harness.disconnect_caller(driven)
         case 2:
             driven.dead = True
         case 3:
-            harness.time_passes(driven, random.choice([0.1, 2.0, 60.0]))
+            harness.advance_time(driven, random.choice([0.1, 2.0, 60.0]))
         case 4:
-            harness.late_hand_over_arrives(random.randrange(3), 1, True)
+            harness.deliver_late_hand_over(random.randrange(3), 1, True)
         case _:
             other = random.choice(harness.driven)
-            harness.cross_an_event(driven, other, random.randrange(40))
+            harness.redeliver_event(driven, other, random.randrange(40))
 
 
 @given(st.integers(0, 2**64 - 1))
@@ -156,11 +158,11 @@
     harness = RequestsHarness(random.choice([PermissiveClaimStore, ClaimTable])())
     for _ in range(120):
         if len(harness.driven) < MOST_REQUESTS and random.random() < 0.1:
-            harness.begin(**a_request(random))
+            harness.begin(**draw_request(random))
         if not harness.driven:
             continue
         if random.random() < 0.04:
-            a_fault(harness, random)
-        harness.step(random.choice(harness.driven), a_step(random))
+            inject_fault(harness, random)
+        harness.step(random.choice(harness.driven), draw_step(random))
         harness.check()
     harness.finish()
--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from common.sidecars import MEMORY_TOKENS, hand_over, sidecar
-from common.spread_world import DEADLINE, HALF_AND_MORE, SpreadWorld
+from common.spread_world import DEADLINE, OVER_HALF_MEMORY_TOKENS, SpreadWorld
 from cowslipshelf_core.errors import RefusalCode, RefusalReason
 from cowslipshelf_core.messages import NeverRan
 from cowslipshelf_core.sidecar import (
@@ -36,9 +36,10 @@
     """
     world = SpreadWorld(ENGINES, seed=0)
     prompts = [
-        world.add_prompt(numbers, HALF_AND_MORE) for numbers in ([0, 1], [1, 2], [1, 2])
+        world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS)
+        for numbers in ([0, 1], [1, 2], [1, 2])
     ]
-    world.run_on(SETTLED_SECONDS)
+    world.run_for(SETTLED_SECONDS)
     assert [type(prompt.result) for prompt in prompts] == [SpreadBegun] * len(prompts)
 
 
@@ -85,10 +86,10 @@
     the other's and hold its own until the deadline.
     """
     world = SpreadWorld(ENGINES, seed)
-    prompts = [world.add_prompt(numbers, HALF_AND_MORE) for numbers in wanted]
+    prompts = [world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS) for numbers in wanted]
     for turn in turns:
-        prompts[turn % len(prompts)].act()
-    world.run_on(SETTLED_SECONDS)
+        prompts[turn % len(prompts)].step()
+    world.run_for(SETTLED_SECONDS)
     assert [type(prompt.result) for prompt in prompts] == [SpreadBegun] * len(prompts)
     assert all(prompt.last_id in world.finished for prompt in prompts)
     assert world.is_empty()
@@ -161,21 +162,21 @@
     def begin(self, wanted) -> None:
         self.world = SpreadWorld(ENGINES)
         for numbers in wanted:
-            self.world.add_prompt(numbers, HALF_AND_MORE)
+            self.world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS)
 
     @rule(number=st.integers(0, 2), times=st.integers(1, 6))
-    def act(self, number, times) -> None:
+    def step(self, number, times) -> None:
         prompts = self.world.prompts
         for _ in range(times):
-            prompts[number % len(prompts)].act()
+            prompts[number % len(prompts)].step()
 
     @rule(number=st.integers(0, ENGINES - 1))
-    def work(self, number) -> None:
-        self.world.work(self.world.upstreams[f"runner-{number}"])
+    def run_engine(self, number) -> None:
+        self.world.run_engine(self.world.upstreams[f"runner-{number}"])
 
     @rule(seconds=st.sampled_from([0.25, 1.0, 4.0]))
-    def pass_time(self, seconds) -> None:
-        self.world.pass_time(seconds)
+    def advance_time(self, seconds) -> None:
+        self.world.advance_time(seconds)
 
     @rule(number=st.integers(0, 2))
     def entry_dies(self, number) -> None:
@@ -187,7 +188,7 @@
 
     @rule(number=st.integers(0, ENGINES - 1))
     def part_dies(self, number) -> None:
-        self.world.fail(self.world.upstreams[f"runner-{number}"])
+        self.world.drop_first_attempt(self.world.upstreams[f"runner-{number}"])
 
     @rule(lost=st.booleans())
     def cancels_are_lost(self, lost) -> None:
@@ -219,11 +220,11 @@
         world.loses_cancels = False
         world.loses_answers = False
         self.end_uncertain_attempts()
-        world.run_on(SETTLED_SECONDS)
+        world.run_for(SETTLED_SECONDS)
         assert all(prompt.ended for prompt in world.prompts if prompt.alive)
         if world.entry_cancel_was_lost:
             config = world.upstreams["runner-0"].state.config
-            world.run_on(config.leak_seconds(DEADLINE) - SETTLED_SECONDS)
+            world.run_for(config.leak_seconds(DEADLINE) - SETTLED_SECONDS)
         assert world.is_empty()
 
     def end_uncertain_attempts(self) -> None:
