--- a/tests/common/requests_harness.py
+++ b/tests/common/requests_harness.py
@@ -1,4 +1,4 @@
-"""Drive request machines against a world that fails, and check what callers see."""
+"""Drive request machines in a simulated world with faults, and check the answers."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -64,7 +64,7 @@
 
 
 class Step(NamedTuple):
-    """Choose what goes wrong in one exchange."""
+    """Choose the faults of one exchange."""
 
     call_fault: str = "none"
     busy: bool = False
@@ -83,13 +83,13 @@
 
 @dataclass
 class DrivenRequest:
-    """Drive one machine and keep what its caller has seen."""
+    """Hold one request's machine and what its caller has received."""
 
     request: CallerRequest
     machine: RequestMachine
     question: object = None
     unread_frames: list = field(default_factory=list)
-    """Frames of the open stream that have not been read yet."""
+    """Frames of the open stream that were not read yet."""
     reading_attempt: str = ""
     answer: list[bytes] = field(default_factory=list)
     finals: list = field(default_factory=list)
@@ -103,7 +103,7 @@
 
 
 class RequestsHarness:
-    """Run requests, some under one key, while everything around them fails."""
+    """Run requests, some under one key, with faults in everything around them."""
 
     def __init__(self, claims: ClaimStore | None = None) -> None:
         self.world = World.with_upstreams(UPSTREAMS)
@@ -113,7 +113,7 @@
         self.driven: list[DrivenRequest] = []
 
     def begin(self, config: RequestConfig = DEFAULTS, **changes) -> DrivenRequest:
-        """Start a request with a new id, at an entry of its own."""
+        """Start a request with a new id, at a separate entry."""
         number = len(self.driven)
         request = caller_request(request_id=f"r{number}", owner=f"entry{number}")
         request = request._replace(**changes)
@@ -132,14 +132,14 @@
             self.read_frame(driven, step.frame_fault)
 
     def run(self, driven: DrivenRequest, *steps: Step) -> None:
-        """Go through the steps, then on without faults to the end."""
+        """Take the given steps, then steps without faults to the end."""
         for step in steps:
             self.step(driven, step)
         while not driven.finals:
             self.step(driven, Step())
 
     def feed(self, driven: DrivenRequest, event) -> None:
-        """Give an event to a machine and perform what needs no answer."""
+        """Feed an event to a machine and perform the effects that need no answer."""
         driven.events.append(event)
         if isinstance(event, Placed):
             driven.placed.append(event.chosen.attempt_id)
@@ -245,7 +245,7 @@
         if call_fault in ("none", "doubled"):
             owner = answer.owner if isinstance(answer, ClaimHeld) else None
             gone = any(d.dead and d.request.owner == owner for d in self.driven)
-            # A living owner is only out of hearing, and may move or run meanwhile.
+            # A living owner may also be believed dead, and move or run meanwhile.
             gone = gone or call_fault == "doubled"
             return ClaimAnswered(answer, gone)
         return ClaimUnavailable(NO_QUORUM)
@@ -278,10 +278,10 @@
     def redeliver_event(
         self, driven: DrivenRequest, other: DrivenRequest, which: int
     ) -> None:
-        """Deliver again an event that this or another request got before.
+        """Deliver an event again that this or another request got before.
 
-        A choice or a budget that is granted twice is a new one, so those are not
-        repeated to others.
+        A placement or a retry granted to another request would count as a new one, so
+        those are not delivered to others.
         """
         if driven.dead:
             return
@@ -305,7 +305,7 @@
     def deliver_late_hand_over(
         self, which: int, tokens_per_chunk: int, duplicated: bool
     ) -> None:
-        """Let the network deliver a hand-over that was given up as lost."""
+        """Deliver a hand-over that was reported lost."""
         waiting = self.world.in_flight
         if not waiting:
             return
@@ -321,7 +321,7 @@
             self.feed_keeping_question(driven, CallerGone())
 
     def advance_time(self, driven: DrivenRequest, seconds: float) -> None:
-        """Let time pass, for one request past its deadline perhaps."""
+        """Advance the time, and send `DeadlinePassed` if it is due."""
         self.now += seconds
         if self.now >= driven.machine.deadline() and not driven.dead:
             self.feed_keeping_question(driven, DeadlinePassed())
@@ -334,7 +334,7 @@
             driven.question = driven.question or asked
 
     def check(self) -> None:
-        """Check everything that must always hold."""
+        """Check all invariants."""
         self.nothing_that_must_run_once_runs_twice()
         self.not_run_is_true_and_stays_true()
         self.a_whole_answer_is_whole()
@@ -354,10 +354,10 @@
                     assert not self.world.ran_of(driven.request.request_id)
 
     def not_run_is_true_for_the_key(self, driven, final):
-        """Check what a resend is told against all that ran under its key till then.
+        """Check that "not run" is true of every request under the key so far.
 
-        A holder that was taken for dead speaks of its own run only; it learns too late
-        that another request has its key.
+        A holder that was wrongly believed dead reports its own run only: it learns too
+        late that another request has its key.
         """
         request, state = driven.request, driven.machine.state
         if not request.has_key() or state.claim_attempt is not None:
@@ -382,7 +382,7 @@
             assert len({h.attempt_id for h in driven.sent}) == len(driven.sent)
 
     def finish(self) -> None:
-        """Pass every deadline, deliver what is still on the way, and check again."""
+        """Pass every deadline, deliver all hand-overs in flight, and check again."""
         self.now += 60.0
         for driven in self.driven:
             if driven.dead:
--- a/tests/common/requests_steps.py
+++ b/tests/common/requests_steps.py
@@ -1,4 +1,4 @@
-"""Name the steps that stories of requests are told in."""
+"""Name the steps of the tests of requests."""
 
 from common.requests_harness import DrivenRequest, Step
 from common.requests_world import COMPLETE_ANSWER
@@ -16,11 +16,11 @@
 
 
 def got_complete_answer(driven: DrivenRequest) -> bool:
-    """Tell whether a caller got the whole answer and its end."""
+    """Return whether a caller got the complete answer and its end."""
     ended = isinstance(driven.finals[0], AnswerEnd)
     return ended and b"".join(driven.answer) == COMPLETE_ANSWER
 
 
 def refusal_of(driven: DrivenRequest) -> Refusal:
-    """Give the refusal that a caller got."""
+    """Return the refusal that a caller got."""
     return driven.finals[0].refusal
--- a/tests/common/requests_world.py
+++ b/tests/common/requests_world.py
@@ -1,7 +1,7 @@
-"""Stand in for what surrounds a request: sidecars, the claim store and the callers.
+"""Simulate what surrounds a request: sidecars, the claim store and the callers.
 
-Everything here keeps the truth that the machine under test can't see: which attempts
-have reached an upstream, and what a whole answer is.
+The simulation knows what the machine under test can't see: which attempts reached an
+upstream, and what a complete answer is.
 """
 
 from dataclasses import dataclass, field
@@ -73,7 +73,7 @@
 
 
 def frames_of(hand_over: HandOver, tokens_per_chunk: int) -> list[Frame]:
-    """Give an attempt's frames; an engine cuts the same tokens where it likes."""
+    """Return an attempt's frames; engines may chunk the same tokens differently."""
     done = hand_over.delivered_tokens
     frames: list[Frame] = [HEAD]
     pieces = [] if done else [(OPENING, 0)]
@@ -89,7 +89,7 @@
 
 @dataclass
 class FakeSidecar:
-    """Keep its promises, and forget everything when it restarts."""
+    """Simulate a sidecar, which loses all state when it restarts."""
 
     upstream_id: UpstreamId
     epoch: Epoch = Epoch("e0")
@@ -97,7 +97,7 @@
     frames: dict[AttemptId, list[Frame]] = field(default_factory=dict)
 
     def refusal(self, reason: RefusalReason) -> AttemptRefused:
-        """Refuse with a promise that the attempt never runs."""
+        """Refuse with the guarantee that the attempt never runs."""
         refusal = Refusal(RefusalCode.NOT_RUN, reason, "admit", self.upstream_id)
         return AttemptRefused(refusal, LoadReport())
 
@@ -119,7 +119,7 @@
         return None
 
     def revoke(self, attempt: AttemptId, epoch: Epoch) -> NeverRan | MayHaveRun:
-        """Promise that an attempt never runs, where that can be known."""
+        """Guarantee that an attempt never runs, if that is known."""
         if epoch != self.epoch:
             return MayHaveRun(attempt, known=False)
         if attempt in self.frames:
@@ -128,23 +128,23 @@
         return NeverRan(attempt)
 
     def restart(self) -> None:
-        """Lose all memory."""
+        """Lose all state and change the epoch."""
         self.epoch = Epoch(f"{self.epoch}+")
         self.tombstones.clear()
         self.frames.clear()
 
 
 class ClaimStore(Protocol):
-    """Be the replicated state as far as requests use it."""
+    """Define the part of the replicated state that requests use."""
 
     def ask(self, asked: ClaimAsked, at: float):
-        """Grant the key to the first, and tell the others who has it."""
+        """Grant the key to the first request, and return its claim to the others."""
 
     def look_up(self, asked: ClaimLookedUp, at: float):
-        """Tell who has the key, and leave it as it is."""
+        """Return who holds the key, without claiming it."""
 
     def move(self, moved: ClaimMoved, at: float):
-        """Compare the attempt and set it."""
+        """Replace the attempt by compare-and-set."""
 
     def finish(self, finished: ClaimFinished, at: float):
         """Store how the open attempt ended."""
@@ -152,14 +152,14 @@
 
 @dataclass
 class PermissiveClaimStore:
-    """Be one key that any request may take over; only a stored answer is final."""
+    """Store one key that any request may take over; only a stored answer is final."""
 
     holder: ClaimAsked | None = None
     asked_at: float = 0.0
     finished: ClaimFinished | None = None
 
     def ask(self, asked: ClaimAsked, at: float):
-        """Grant the key to the first, and tell the others who has it."""
+        """Grant the key to the first request, and return its claim to the others."""
         if self.holder is None:
             self.holder = asked
             self.asked_at = at
@@ -168,11 +168,11 @@
         return self.held(at)
 
     def look_up(self, _asked: ClaimLookedUp, at: float):
-        """Tell who has the key, and leave it as it is."""
+        """Return who holds the key, without claiming it."""
         return ClaimAbsent() if self.holder is None else self.held(at)
 
     def held(self, now: float) -> ClaimHeld:
-        """Tell who holds the key."""
+        """Describe the holder of the key."""
         holder = self.holder
         return ClaimHeld(
             request_id=holder.request_id,
@@ -186,7 +186,7 @@
         )
 
     def move(self, moved: ClaimMoved, at: float):
-        """Compare the attempt and set it, whoever asks."""
+        """Replace the attempt by compare-and-set, for any request."""
         holder = self.holder
         if holder is None or holder.attempt_id != moved.from_attempt:
             return self.held(at)
@@ -216,26 +216,26 @@
 
 @dataclass
 class World:
-    """Hold the truth about everything outside the machines."""
+    """Hold the true state of everything outside the machines."""
 
     sidecars: dict[UpstreamId, FakeSidecar]
     claims: ClaimStore = field(default_factory=PermissiveClaimStore)
     ran: list[HandOver] = field(default_factory=list)
-    """Every attempt that has reached an upstream."""
+    """Every attempt that reached an upstream."""
     in_flight: list[HandOver] = field(default_factory=list)
-    """Hand-overs whose arrival the network still holds back."""
+    """Hand-overs that the network has delayed."""
     attempt_numbers: count = field(default_factory=count)
 
     @classmethod
     def with_upstreams(cls, number: int) -> "World":
-        """Make the given number of upstreams."""
+        """Create the given number of upstreams."""
         ids = [UpstreamId(f"u{index}") for index in range(number)]
         return cls({name: FakeSidecar(name) for name in ids})
 
     def choose(
         self, excluded: frozenset[UpstreamId], which: int
     ) -> ChosenUpstream | None:
-        """Choose among the upstreams that are left."""
+        """Choose one of the upstreams that are not excluded."""
         left = sorted(set(self.sidecars) - excluded)
         if not left:
             return None
@@ -244,7 +244,7 @@
         return ChosenUpstream(attempt, name, self.sidecars[name].epoch, name, 0)
 
     def deliver(self, hand_over: HandOver, busy: bool, tokens_per_chunk: int):
-        """Let a hand-over reach its sidecar."""
+        """Deliver a hand-over to its sidecar."""
         refused = self.sidecars[hand_over.upstream_id].accept(
             hand_over, busy, tokens_per_chunk
         )
@@ -253,5 +253,5 @@
         return refused
 
     def ran_of(self, request_id: RequestId) -> list[HandOver]:
-        """List the request's attempts that have reached an upstream."""
+        """List the request's attempts that reached an upstream."""
         return [entry for entry in self.ran if entry.request_id == request_id]
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -1,4 +1,4 @@
-"""Play spread prompts against real sidecar states, with engines that only count."""
+"""Simulate spread prompts on real sidecar states, with engines that only count."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
@@ -61,28 +61,29 @@
 
 @dataclass
 class Upstream:
-    """Be one sidecar and the engine beside it."""
+    """Hold one sidecar and its engine."""
 
     name: str
     state: SidecarState
     held: dict[AttemptId, HandOver] = field(default_factory=dict)
-    """What the engine holds memory for; it outlives a start of the sidecar."""
+    """Attempts that the engine holds memory for; kept when the sidecar restarts."""
     filled: set[AttemptId] = field(default_factory=set)
+    """Attempts whose part was prefilled."""
 
     def held_tokens(self) -> int:
-        """Return the memory that the engine holds."""
+        """Return the engine's memory in use, in tokens."""
         return sum(map(tokens_of, self.held.values()))
 
 
 def tokens_of(given: HandOver) -> int:
-    """Count the memory of one attempt at its engine."""
+    """Return the memory of one attempt at its engine, in tokens."""
     if given.to_token is not None:
         return given.to_token - given.from_token
     return given.prompt_tokens - given.from_token + given.most_output_tokens
 
 
 class SpreadWorld:
-    """Own the time, the upstreams and the frames that wait to be read."""
+    """Hold the time, the upstreams and the frames that were not read yet."""
 
     def __init__(self, upstreams: int, seed: int = 0) -> None:
         self.now = 0.0
@@ -93,7 +94,7 @@
         self.finished: set[AttemptId] = set()
         self.loses_cancels = False
         self.loses_answers = False
-        """Whether what an entry asks arrives and the answer does not."""
+        """Whether calls of entries arrive but their answers are lost."""
         self.entry_cancel_was_lost = False
         self.upstreams = {
             f"runner-{number}": Upstream(f"runner-{number}", self.new_state(number))
@@ -102,7 +103,7 @@
         self.prompts: list[Prompt] = []
 
     def new_state(self, number: int) -> SidecarState:
-        """Start a sidecar that has its configuration."""
+        """Create a new start of a sidecar, with its configuration."""
         self.starts += 1
         config = SidecarConfig(description(f"runner-{number}"), f"start-{self.starts}")
         state = SidecarState.from_config(config)
@@ -110,14 +111,14 @@
         return state
 
     def restart(self, number: int) -> None:
-        """Start a sidecar again: streams are cut, the engine keeps what it holds."""
+        """Restart a sidecar: its streams are cut, its engine keeps its memory."""
         upstream = self.upstreams[f"runner-{number}"]
         for attempt_id in upstream.state.table.alive:
             self.frames[attempt_id].append(PartLost(attempt_id, None, "cut"))
         upstream.state = self.new_state(number)
 
     def feed(self, upstream: Upstream, event) -> list:
-        """Give a sidecar an event; return what it answers to whoever asked."""
+        """Feed a sidecar an event and return its answers to the caller."""
         answers = []
         for effect in upstream.state.handle(event, self.now):
             match effect:
@@ -139,12 +140,12 @@
     def end_at_engine(
         self, upstream: Upstream, attempt_id: AttemptId, whole: bool
     ) -> None:
-        """End an attempt at its engine, which frees its memory."""
+        """End an attempt at its engine and free its memory."""
         upstream.held.pop(attempt_id, None)
         self.feed(upstream, UpstreamFinished(attempt_id, whole))
 
     def run_engine(self, upstream: Upstream) -> None:
-        """Let an engine prefill its parts and finish what it generates."""
+        """Let an engine prefill its parts and finish its answers."""
         for attempt_id, given in tuple(upstream.held.items()):
             if given.to_token is None:
                 self.end_at_engine(upstream, attempt_id, whole=True)
@@ -156,13 +157,13 @@
                 self.frames[attempt_id].append(PartFilled(attempt_id, part))
 
     def drop_first_attempt(self, upstream: Upstream) -> None:
-        """Have an engine drop the first of its attempts."""
+        """Let the first attempt of an engine fail."""
         for attempt_id in tuple(upstream.held)[:1]:
             self.end_at_engine(upstream, attempt_id, whole=False)
             self.frames[attempt_id].append(PartLost(attempt_id, None, "died"))
 
     def advance_time(self, seconds: float = STEP_SECONDS) -> None:
-        """Let time pass; living entries are heard, engines tell what they hold."""
+        """Advance the time; entries send heartbeats and engines their inventories."""
         self.now += seconds
         for upstream in self.upstreams.values():
             for prompt in self.prompts:
@@ -176,7 +177,7 @@
             self.feed(upstream, TickElapsed())
 
     def add_prompt(self, numbers: list[int], part_tokens: int) -> "Prompt":
-        """Let an entry of its own place a prompt over some upstreams."""
+        """Place a prompt over the numbered upstreams, by a separate entry."""
         prompt = Prompt(
             self, sorted(numbers), part_tokens, f"entry-{len(self.prompts)}"
         )
@@ -184,7 +185,7 @@
         return prompt
 
     def is_empty(self) -> bool:
-        """Tell whether no memory is reserved, awaited or held anywhere."""
+        """Return whether no memory is reserved, awaited or in use anywhere."""
         return all(
             not upstream.held
             and not upstream.state.table.alive
@@ -193,7 +194,7 @@
         )
 
     def run_for(self, seconds: float) -> None:
-        """Let everyone who lives go on, in turn."""
+        """Run all living prompts and the engines in turn."""
         end = self.now + seconds
         while self.now < end:
             for prompt in self.prompts:
@@ -205,7 +206,7 @@
 
 
 class Prompt:
-    """Be one prompt whose entry drives its decider as the daemon does."""
+    """Drive the state machine of one prompt as the daemon does."""
 
     def __init__(
         self, world: SpreadWorld, numbers: list[int], part_tokens: int, owner: str
@@ -221,7 +222,7 @@
         self.place()
 
     def place(self) -> None:
-        """Choose the parts afresh, as a retry of the whole request does."""
+        """Choose new parts, as a retry of the whole request does."""
         self.placements += 1
         self.last_id = AttemptId(f"{self.owner}-last-{self.placements}")
         states = [self.world.upstreams[f"runner-{n}"].state for n in self.numbers]
@@ -267,13 +268,13 @@
         self.handle(SpreadStarted())
 
     def handle(self, event) -> None:
-        """Give the decider an event."""
+        """Feed the state machine an event and queue its effects."""
         effects = self.machine.handle(event, self.world.now, self.world.random)
         self.effects.extend(effects)
 
     @property
     def ended(self) -> bool:
-        """Return whether the prompt was answered, or given up for good."""
+        """Return whether the prompt was answered or given up."""
         if self.result is None or self.effects:
             return False
         if isinstance(self.result, SpreadBegun):
@@ -283,7 +284,7 @@
         return True
 
     def step(self) -> None:
-        """Do the one next thing."""
+        """Perform one effect or handle one frame."""
         if not self.alive or self.world.now < self.backoff_until:
             return
         if self.effects:
@@ -297,7 +298,7 @@
             self.handle(TimePassed())
 
     def perform(self, effect) -> None:
-        """Carry out one effect."""
+        """Perform one effect."""
         world = self.world
         match effect:
             case HandOverPart(address, given):
@@ -333,4 +334,4 @@
 
 
 OVER_HALF_MEMORY_TOKENS = MEMORY_TOKENS * 6 // 10
-"""A part of this size leaves no room for another one beside it."""
+"""A part of this size leaves no memory for a second one."""
--- a/tests/cover/requests/test_claims_taken_over.py
+++ b/tests/cover/requests/test_claims_taken_over.py
@@ -1,4 +1,4 @@
-"""Tell how a resend takes over or follows the key of a request that ended."""
+"""Test how a resend takes over the key of a dead request or follows its attempt."""
 
 import pytest
 
@@ -18,10 +18,10 @@
 
 @pytest.mark.parametrize("seconds", [0.0, 100.0])
 def test_the_control_state_gives_a_dead_holders_key_to_its_resend(seconds):
-    """An entry dies between claim and hand-over; its caller sends again elsewhere.
+    """An entry dies between claim and hand-over, and its caller resends elsewhere.
 
-    Its attempt is revoked, so the resend runs whole, within the dead one's deadline or
-    after it. Were the entry only slow, its late hand-over would be refused.
+    Its attempt is revoked, so that the resend runs, within the first deadline or after
+    it. If the entry was only slow, its late hand-over is refused.
     """
     harness = RequestsHarness(ClaimTable())
     killed = killed_before_hand_over(harness)
@@ -34,10 +34,10 @@
 
 
 def test_the_resend_of_a_stored_not_run_runs_whole():
-    """Every upstream was busy, and the caller sends its payment line again later.
+    """All upstreams were busy, and the caller resends its payment later.
 
-    The control state has stored the refusal. Repeating it would keep the line from
-    being paid for an hour, though nothing ever ran under its key.
+    The control state has stored the refusal. Repeating it would block the payment for
+    an hour, although nothing ever ran under its key.
     """
     harness = RequestsHarness(ClaimTable())
     driven = harness.begin(idempotency_key="k")
@@ -60,10 +60,10 @@
 
 @pytest.mark.parametrize("ended", [True, False])
 def test_of_two_resends_that_want_a_key_one_runs_and_the_other_waits(ended):
-    """A caller's impatient client resends twice, through two entries at once.
+    """A client resends twice, through two entries at once.
 
-    Both find that nothing ran under the key. One gets it; the other must not say
-    "not run" from what it saw before, since a new key would then pay twice.
+    Both find that nothing ran under the key, and one of them gets it. The other must
+    not answer "not run" from its stale view: a resend under a new key would pay twice.
     """
     harness = RequestsHarness(ClaimTable())
     if ended:
@@ -87,10 +87,10 @@
 
 @pytest.mark.parametrize("frames_read", range(8))
 def test_a_resend_reads_on_where_the_entry_of_the_first_died(frames_read):
-    """A notice is being listed when the entry instance that passes it on is killed.
+    """An entry is killed while it streams an answer; upstream and sidecar live.
 
-    The upstream and its sidecar live. The resend, through another entry, gets that
-    run's whole answer from the sidecar, and a later one gets it from the store.
+    The resend, through another entry, gets the complete answer of that run from the
+    sidecar, and a later resend gets it from the store.
     """
     harness = RequestsHarness(ClaimTable())
     killed = harness.begin(idempotency_key="k")
@@ -109,10 +109,10 @@
 
 
 def test_a_follower_that_gives_up_spoils_nothing_for_the_owner():
-    """A resend believes the first request's entry dead, and its own stream breaks.
+    """A resend takes the first request's entry for dead, and its own stream breaks.
 
-    The entry had only been out of hearing. What it then stores must be the whole
-    answer; a stored "unknown", or a cancel, would lose a verdict that was reached.
+    The entry was only unreachable, and must still store the complete answer. If the
+    resend stored "unknown" or cancelled the attempt, the answer would be lost.
     """
     harness = RequestsHarness(ClaimTable())
     owner = harness.begin(idempotency_key="k")
--- a/tests/cover/requests/test_keys_without_upstreams.py
+++ b/tests/cover/requests/test_keys_without_upstreams.py
@@ -1,4 +1,4 @@
-"""Tell what a request under a key is told when no upstream is free."""
+"""Test the answers to requests with a key when no upstream is free."""
 
 import pytest
 
@@ -26,10 +26,10 @@
 
 
 def test_a_stored_answer_is_repeated_when_no_upstream_is_free():
-    """A payment line was paid, its answer lost, and the fleet is full by the resend.
+    """A payment was made, its answer was lost, and the fleet is full at the resend.
 
-    Repeating what is stored needs no upstream. The resend was refused as "not run"
-    before anybody looked at its key, so the clerk would have paid again.
+    Repeating the stored answer needs no upstream. The resend was refused as "not run"
+    before its key was looked up, so that the caller would have paid again.
     """
     harness = RequestsHarness(ClaimTable())
     harness.run(begin_with_key(harness))
@@ -41,9 +41,9 @@
 
 @pytest.mark.parametrize("steps", [(), (NO_FAULT, NO_FAULT, BUSY, NO_BUDGET)])
 def test_not_run_is_told_where_nothing_ran_under_the_key(steps):
-    """A mail notice finds the fleet full, the first time or after a true "not run".
+    """The fleet is full at the first request, or at a resend after a true "not run".
 
-    Nothing ran, so the caller is told so, with the router's own reason; the key stays
+    Nothing ran, so the caller gets "not run" with the router's reason. The key stays
     free, and a later resend runs.
     """
     harness = RequestsHarness(ClaimTable())
@@ -63,8 +63,8 @@
 def test_a_resend_without_an_upstream_never_denies_a_run(owner_dead, seconds):
     """The first request runs, or its entry died while it ran, and the fleet is full.
 
-    Nothing can be taken over without an upstream. "Not run" would be false, so the
-    resend is told that the outcome is unknown, at once.
+    The key can't be taken over without an upstream, and "not run" would be false. The
+    resend gets "outcome unknown" at once.
     """
     harness = RequestsHarness(ClaimTable())
     begin_with_key(harness, NO_FAULT, NO_FAULT, LOST_AFTER_ARRIVAL).dead = owner_dead
@@ -80,9 +80,9 @@
 @pytest.mark.parametrize("asked", [NO_FAULT, NO_FREE_UPSTREAM])
 @pytest.mark.parametrize("end", [NO_QUORUM, DeadlinePassed(), CallerGone()])
 def test_an_unanswered_look_up_or_claim_leaves_the_outcome_unknown(asked, end):
-    """A paid line is sent again while no replica answers, or its time runs out.
+    """A payment is resent while no replica answers, or its deadline passes.
 
-    Nobody has looked at its key, so "not run" is more than is known.
+    The key was not looked up, so "not run" would claim more than is known.
     """
     harness = RequestsHarness(ClaimTable())
     harness.run(begin_with_key(harness))
@@ -95,7 +95,7 @@
 
 
 def test_another_body_under_the_key_is_refused_without_an_upstream_too():
-    """A caller's counter has started again, and gives a used key to another line."""
+    """A client's key counter restarts and reuses a key for another payment."""
     harness = RequestsHarness(ClaimTable())
     harness.run(begin_with_key(harness))
     other = begin_with_key(harness, body_digest="other")
@@ -104,7 +104,7 @@
 
 
 def test_a_request_that_is_placed_pays_for_no_look_up():
-    """The look-up is a log entry; whoever has an upstream learns all by its claim."""
+    """A look-up costs a log entry, and the claim of a placed request says the same."""
     harness = RequestsHarness(ClaimTable())
     driven = begin_with_key(harness)
     harness.run(driven)
--- a/tests/cover/requests/test_request_failures.py
+++ b/tests/cover/requests/test_request_failures.py
@@ -1,4 +1,4 @@
-"""Tell the failures that a request has to come through, one by one."""
+"""Test the failures that a request must handle, one by one."""
 
 import pytest
 
@@ -30,10 +30,10 @@
 
 
 def test_a_resend_gets_the_stored_answer():
-    """A clerk's payment line is answered, the answer is lost, and she sends it again.
+    """The answer to a payment is lost, and the caller resends it.
 
-    The second request reaches another entry instance. It must show the first answer;
-    running again would pay twice.
+    The resend reaches another entry instance and must get the first answer; running
+    again would pay twice.
     """
     harness = RequestsHarness()
     for _ in range(2):
@@ -44,10 +44,10 @@
 
 
 def test_an_unknown_outcome_is_told_at_once_and_never_run_again():
-    """A sidecar takes a payment line, dies before it answers, and comes back empty.
+    """A sidecar accepts a payment, dies before it answers, and restarts empty.
 
-    Asked to revoke, it can't know. The caller is told so long before its deadline,
-    and a resend is told the same.
+    Asked to revoke, it can't know whether the payment ran. The caller is told so long
+    before its deadline, and a resend gets the same answer.
     """
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
@@ -65,10 +65,10 @@
 
 
 def test_an_unreachable_sidecar_is_asked_a_bounded_number_of_times():
-    """A hand-over gets no answer and the sidecar's machine has gone silent.
+    """A hand-over gets no answer because the sidecar's host is unreachable.
 
-    The request must not wait for it until its deadline: the caller could do nothing
-    meanwhile. A few questions, then "outcome unknown".
+    The request must not block until its deadline: after a few revoke calls it ends as
+    "outcome unknown", so that the caller can act.
     """
     harness = RequestsHarness()
     driven = harness.begin(service_is_idempotent=False)
@@ -82,10 +82,10 @@
 
 
 def test_a_resend_after_not_run_runs():
-    """Every upstream is busy, the caller is told "not run" and sends again later.
+    """All upstreams are busy; the caller gets "not run" and resends later.
 
-    The key was claimed by the first request. If that claim stayed, the caller could
-    never run its request under the key it must keep.
+    The first request claimed the key. If that claim stayed, the request could never
+    run under its key.
     """
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
@@ -97,10 +97,10 @@
 
 
 def test_the_key_of_a_dead_entry_is_taken_over_when_its_attempt_never_ran():
-    """An entry instance claims a key and is killed before it hands over.
+    """An entry instance claims a key and is killed before the hand-over.
 
     The resend finds the key held by a dead owner. The sidecar named in the claim
-    promises never to run that attempt, so the resend runs, once.
+    guarantees never to run that attempt, so the resend runs, once.
     """
     harness = RequestsHarness()
     killed = harness.begin(idempotency_key="k")
@@ -116,7 +116,7 @@
 
 
 def test_a_resend_while_the_first_runs_is_told_when_to_ask_again():
-    """A caller loses patience and resends while its first request still runs."""
+    """A caller resends while its first request is still running."""
     harness = RequestsHarness()
     running = harness.begin(idempotency_key="k")
     for _ in range(5):
@@ -132,10 +132,10 @@
 
 
 def test_a_claim_granted_after_its_caller_left_is_given_back():
-    """A caller leaves while its claim is being committed, and comes back at once.
+    """A caller disconnects while its claim is being committed, and resends at once.
 
-    Nobody will hand over under the granted claim. Left open, it would answer "still
-    running" to every resend until the first deadline.
+    No attempt will be handed over under the granted claim. Left open, it would refuse
+    every resend as "still running" until the first deadline.
     """
     harness = RequestsHarness()
     left = harness.begin(idempotency_key="k")
@@ -151,10 +151,10 @@
 
 
 def test_work_that_runs_once_outlives_its_caller():
-    """A lorry gate's connection drops while its sampling verdict is being written.
+    """A caller's connection drops during the answer of a request with a key.
 
-    Cancelling would lose the verdict, and a second run could give another. The first
-    run goes on, and the resend gets its answer.
+    Cancelling would lose the answer, and a second run could give a different one. The
+    first run continues, and the resend gets its answer.
     """
     harness = RequestsHarness()
     driven = harness.begin(idempotency_key="k")
@@ -170,7 +170,7 @@
 
 
 def test_repeatable_work_ends_with_its_caller():
-    """A caller closes its connection in the middle of a long summary.
+    """A caller closes its connection in the middle of a long answer.
 
     Nobody will read the rest, so the engine is freed at once.
     """
@@ -186,10 +186,10 @@
 @pytest.mark.parametrize("frames_read", range(9))
 @pytest.mark.parametrize("streamed", [True, False])
 def test_an_answer_cut_anywhere_goes_on_at_another_engine(frames_read, streamed):
-    """An engine and its sidecar die after any piece of an answer, also the last.
+    """An engine and its sidecar die after any chunk of an answer, even the last.
 
-    The next engine skips the tokens that the caller has and sends whatever has none
-    again. The caller sees every byte once.
+    The next engine skips the tokens that the caller has and repeats chunks without
+    tokens. The caller gets every byte once.
     """
     harness = RequestsHarness()
     driven = harness.begin(streamed=streamed)
@@ -201,9 +201,9 @@
 
 @pytest.mark.parametrize("streamed", [True, False])
 def test_what_is_held_back_for_a_retry_is_bounded(streamed):
-    """A plain service sends a huge answer, and a thousand callers ask for it.
+    """A thousand callers request a huge answer of a plain service.
 
-    Held back whole, the answers would fill the instance's memory.
+    If whole answers were buffered, they would fill the instance's memory.
     """
     harness = RequestsHarness()
     driven = harness.begin(config=TIGHT, streamed=streamed, kind="plain")
@@ -214,7 +214,7 @@
 
 
 def test_a_key_with_another_body_is_refused():
-    """A client uses one key for two payment lines; the second must not look paid."""
+    """A client uses one key for two payments; the second must not look paid."""
     harness = RequestsHarness(ClaimTable())
     harness.run(harness.begin(idempotency_key="k"))
     other = harness.begin(idempotency_key="k", body_digest="other")
@@ -223,10 +223,10 @@
 
 
 def test_an_error_page_is_no_continuation():
-    """An engine dies in mid-stream and the next one answers with an error page.
+    """An engine dies in mid-stream, and the next one answers with an error page.
 
-    The caller's stream has begun with status 200. The page must not be spliced into
-    it; a third engine continues instead.
+    The caller's stream has begun with status 200, and the page must not be inserted
+    into it. A third engine continues instead.
     """
     harness = RequestsHarness()
     driven = harness.begin()
@@ -253,10 +253,10 @@
 
 
 def test_a_choice_that_arrives_twice_opens_one_attempt():
-    """The router's answer to the first question is delivered again after a refusal.
+    """The router's first placement is delivered again after a refusal.
 
-    Taking it for the answer to the second question would hand the same attempt over
-    twice, which its sidecar can't tell from a late copy.
+    Taken for the second placement, it would hand over the same attempt twice, which
+    the sidecar can't tell from a late copy.
     """
     harness = RequestsHarness()
     driven = harness.begin()
@@ -272,7 +272,7 @@
 
 
 def test_backoff_grows_and_keeps_within_the_deadline():
-    """Busy upstreams must not be asked again in step with everybody else."""
+    """Synchronized retries would overload busy upstreams again."""
     harness = RequestsHarness()
     driven = harness.begin()
     harness.run(driven, *[NO_FAULT, BUSY, NO_FAULT, NO_FAULT] * 4)
--- a/tests/cover/requests/test_request_machine.py
+++ b/tests/cover/requests/test_request_machine.py
@@ -1,4 +1,4 @@
-"""Try a request against lost, late, crossed and doubled events at every step."""
+"""Test requests with lost, late, misdirected and duplicated events at every step."""
 
 from random import Random
 
@@ -38,7 +38,7 @@
 
 
 class RequestsUnderFaults(RuleBasedStateMachine):
-    """Let Hypothesis choose requests, faults and their order."""
+    """Let Hypothesis choose the requests, the faults and their order."""
 
     requests = Bundle("requests")
 
@@ -104,7 +104,7 @@
 
 
 def draw_step(random: Random) -> Step:
-    """Draw a step in which mostly nothing goes wrong, so that runs get far."""
+    """Draw a step that is mostly without fault, so that requests get far."""
     call_fault = random.choice(CALL_FAULTS) if random.random() < 0.25 else "none"
     frame_fault = random.choice(FRAME_FAULTS) if random.random() < 0.25 else "no"
     full = random.random() < 0.1
@@ -114,7 +114,7 @@
 
 
 def draw_request(random: Random) -> dict:
-    """Draw a request; half of them share a key."""
+    """Draw a request; half of all requests share a key."""
     return {
         "config": random.choice([DEFAULTS, DEFAULTS, TIGHT]),
         "idempotency_key": random.choice([None, "k"]),
@@ -126,7 +126,7 @@
 
 
 def inject_fault(harness: RequestsHarness, random: Random) -> None:
-    """Let something go wrong that no exchange causes."""
+    """Inject a fault that is independent of any exchange."""
     driven = random.choice(harness.driven)
     match random.randrange(7):
         case 0:
@@ -147,12 +147,12 @@
 @given(st.integers(0, 2**64 - 1))
 @settings(max_examples=1500, deadline=None, derandomize=True)
 def test_whatever_fails_each_caller_gets_one_true_end(seed):
-    """Requests and resends of one key run through many more steps than shrink well.
+    """Requests and resends under one key run through many steps with faults.
 
-    The claims are kept by the control state itself, or by a store that lets any
-    request take a key over; neither may lead to a second run. The seed draws
-    requests, faults and their order, so that runs get as far as a move to a third
-    upstream, which single draws for each step seldom reach.
+    Claims are kept by the real control state, or by a store that lets any request take
+    over a key; neither may lead to a second run. Requests, faults and their order are
+    drawn from one seed, so that requests get as far as a third upstream. Separate draws
+    for each step seldom reach that and do not shrink well over so many steps.
     """
     random = Random(seed)
     harness = RequestsHarness(random.choice([PermissiveClaimStore, ClaimTable])())
--- a/tests/cover/requests/test_retry_budget.py
+++ b/tests/cover/requests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Check that retries cannot multiply load."""
+"""Test that retries cannot multiply load."""
 
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
@@ -32,9 +32,9 @@
 def test_retries_stay_below_their_share_of_any_window(ratio, least, steps):
     """Upstreams fail, and each request wants another attempt just as capacity shrinks.
 
-    Wherever a window is laid, it holds no more retries than the ratio of the first
-    attempts in it allows, plus the few that are always allowed. Where a reading of the
-    clock is behind an earlier one, the earlier one holds: time seen never shrinks.
+    Any window, wherever it starts, holds no more retries than the ratio of its first
+    attempts allows, plus the constant number that is always allowed. If the clock steps
+    back, the latest time seen is used.
     """
     budget = RetryBudget.from_config(RetryBudgetConfig(ratio, WINDOW, least))
     now = seen = 1000.0
@@ -56,7 +56,7 @@
 
 
 def test_a_quiet_process_can_retry_and_recovers_its_budget():
-    """One request an hour must be able to use a second upstream, each time."""
+    """One request an hour must be able to retry each time."""
     budget = RetryBudget.from_config(RetryBudgetConfig(0.1, WINDOW, 1))
     assert budget.try_retry(0.0)
     assert not budget.try_retry(1.0)
--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -1,4 +1,4 @@
-"""Check spread prompts that contend for engines, whatever dies meanwhile."""
+"""Test spread prompts that contend for engines, with crashes and lost messages."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -24,15 +24,15 @@
 
 ENGINES = 4
 SETTLED_SECONDS = 60.0
-"""Far below the deadline: what comes back only then has not come back by this."""
+"""Far below the deadline, so that memory freed only by the deadline is noticed."""
 SETS = st.lists(st.integers(0, ENGINES - 1), min_size=2, max_size=ENGINES, unique=True)
 
 
 def test_a_last_part_that_finds_its_engine_busy_is_tried_again():
-    """A ledger that shares engines with two others is refused as busy.
+    """A long prompt that shares engines with two others is refused as busy.
 
-    All helpers of the first are reserved when the engine of its last part turns it
-    down; the refusal would pass in a moment, and nobody waits for it.
+    All helpers of the first are reserved when the engine of its last part refuses it.
+    The refusal is transient, but the prompt was not tried again.
     """
     world = SpreadWorld(ENGINES, seed=0)
     prompts = [
@@ -44,11 +44,11 @@
 
 
 def test_a_copy_of_a_last_part_that_was_refused_reserves_and_never_runs():
-    """A ledger's last part is refused as busy, and a copy of it comes late.
+    """A last part is refused as busy, and a copy of its hand-over arrives late.
 
-    The caller has its "not run". By now there is room, so the copy gets memory; it
-    must not run without the word to begin, and the memory comes back once it is
-    revoked. A handed over request that is not spread stays refused for good.
+    The caller has got "not run". The copy may reserve memory that is free by then, but
+    must not run without a `PartsReady`, and a revoke frees the memory. The hand-over of
+    a request that is not spread stays refused.
     """
     state = sidecar()
     state.handle(HandOverArrived(hand_over("first", prompt_tokens=800)), 0.0)
@@ -79,11 +79,11 @@
     seed=st.integers(0, 1000),
 )
 def test_of_prompts_that_want_the_same_engines_every_one_gets_them(wanted, turns, seed):
-    """Check that two ledgers never each hold half of what both need.
+    """Check that two prompts never each hold half of what both need.
 
-    Each needs most of the memory of several engines. Their entries ask at the same
-    time, interleaved in any way; without one order each would get one engine, wait for
-    the other's and hold its own until the deadline.
+    Each needs most of the memory of several engines, and their entries reserve it
+    concurrently in any interleaving. Without a fixed order each could get one engine
+    and hold it while waiting for the other's, until the deadline.
     """
     world = SpreadWorld(ENGINES, seed)
     prompts = [world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS) for numbers in wanted]
@@ -105,10 +105,11 @@
 def test_a_reserved_part_that_was_given_up_never_runs(
     part, non_idempotent, ending, late
 ):
-    """Check that "not run" stays true of a part whose word to begin comes late.
+    """Check that "not run" stays true of a part whose `PartsReady` arrives late.
 
-    An entry reserves memory, falls silent and is given up. Another one has the promise
-    that nothing ran and runs the request elsewhere; then the first one's word arrives.
+    An entry reserves memory, becomes unreachable and its part is ended. Another entry
+    has the guarantee that nothing ran and runs the request elsewhere; then the first
+    entry's `PartsReady` arrives.
     """
     state = sidecar()
     given = hand_over(
@@ -144,19 +145,19 @@
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
-@given(words=st.integers(1, 5))
-def test_a_part_begins_once_however_often_it_is_told(words):
+@given(times=st.integers(1, 5))
+def test_a_part_begins_once_however_often_it_is_told(times):
     state = sidecar()
     given = hand_over("last", from_token=50)
     state.handle(HandOverArrived(given), 0.0)
     effects = []
-    for _ in range(words):
+    for _ in range(times):
         effects += state.handle(PartsArrived("last", ()), 1.0)
     assert effects == [StartAttempt(given)]
 
 
 class SpreadMachineUnderFaults(RuleBasedStateMachine):
-    """Let entries, sidecars and parts die at any step."""
+    """Let entries, sidecars and parts fail at any step."""
 
     @initialize(wanted=st.lists(SETS, min_size=2, max_size=3))
     def begin(self, wanted) -> None:
@@ -213,7 +214,7 @@
                 assert prompt.last_id not in self.world.started
 
     def teardown(self) -> None:
-        """Check that all memory is back within the bound, and that nobody hangs."""
+        """Check that all memory is freed in time and that every living prompt ends."""
         if not hasattr(self, "world"):
             return
         world = self.world
@@ -228,7 +229,7 @@
         assert world.is_empty()
 
     def end_uncertain_attempts(self) -> None:
-        """Cancel what a request's own decider cancels: a last part it gave up."""
+        """Cancel uncertain last parts, as the state machine of the request does."""
         for prompt in self.world.prompts:
             if isinstance(prompt.result, SpreadUncertain):
                 address = prompt.machine.chosen.upstream_id
