--- a/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/caller_request.py
@@ -32,7 +32,7 @@
     deadline_seconds: float
     """The caller's timeout in seconds, counted from `Started`."""
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     prefix_hash: int
     method: str
     path: str
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -121,7 +121,7 @@
             request.service,
             request.model,
             request.prompt_tokens,
-            request.most_output_tokens,
+            request.max_output_tokens,
             request.prefix_hash,
             seconds,
         )
--- a/tests/common/requests_world.py
+++ b/tests/common/requests_world.py
@@ -61,7 +61,7 @@
         streamed=True,
         deadline_seconds=10.0,
         prompt_tokens=4,
-        most_output_tokens=len(TOKENS),
+        max_output_tokens=len(TOKENS),
         prefix_hash=0,
         method="POST",
         path="/v1/completions",
