--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -48,7 +48,7 @@
 
     The caller has got "not run". The copy may reserve memory that is free by then, but
     must not run without a `PartsReady`, and a revoke frees the memory. The hand-over of
-    a request that is not spread stays refused.
+    a request that is not spread stays refused for good.
     """
     state = sidecar()
     state.handle(HandOverArrived(hand_over("first", prompt_tokens=800)), 0.0)
