--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -1,20 +1,20 @@
 """Offer the types between a gateway and the adapter of its machines' protocol."""
 
-from cowslipshelf_core.internal.routed.dialect import (
+from cowslipshelf_core.internal.gateway.dialect import (
     AnswerFacts,
     CallerFacts,
     ControlCall,
     Dialect,
     ForwardFacts,
     Headers,
-    Helper,
     MemoryTicket,
     OutgoingRequest,
+    ParsedConfiguration,
+    PrefillHelper,
     PutConfiguration,
     ReadConfiguration,
-    ReadDocument,
-    TakeHeartbeat,
-    TakeLeaving,
+    RecordHeartbeat,
+    RemoveUpstream,
 )
 
 __all__ = [
@@ -24,12 +24,12 @@
     "Dialect",
     "ForwardFacts",
     "Headers",
-    "Helper",
+    "PrefillHelper",
     "MemoryTicket",
     "OutgoingRequest",
     "PutConfiguration",
     "ReadConfiguration",
-    "ReadDocument",
-    "TakeHeartbeat",
-    "TakeLeaving",
+    "ParsedConfiguration",
+    "RecordHeartbeat",
+    "RemoveUpstream",
 ]
--- a/packages/core/src/cowslipshelf_core/internal/routed/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -25,7 +25,10 @@
     UpstreamId,
     UpstreamName,
 )
-from cowslipshelf_core.internal.routed.upstream_start import NOT_TOLD, UpstreamStart
+from cowslipshelf_core.internal.gateway.upstream_start import (
+    START_UNKNOWN,
+    UpstreamStart,
+)
 
 NUMBER_OF_LEAVING = 1 << 62
 """Sequence number of an upstream that has left: no heartbeat can be newer."""
@@ -68,7 +71,7 @@
 
     heartbeat: UpstreamHeartbeat
     age_seconds: float
-    began_ms: int = NOT_TOLD
+    began_ms: int = START_UNKNOWN
 
     @classmethod
     def from_heartbeat(cls, heartbeat: UpstreamHeartbeat, age_seconds: float) -> Self:
@@ -78,7 +81,7 @@
         return cls(named, age_seconds, start.began_ms)
 
     @property
-    def of_start(self) -> UpstreamHeartbeat:
+    def with_start_id(self) -> UpstreamHeartbeat:
         """Return the heartbeat under the id of its start."""
         name = UpstreamName(self.heartbeat.upstream_id)
         start = UpstreamStart(name, self.began_ms)
@@ -93,19 +96,19 @@
     heartbeat: UpstreamHeartbeat
     heard_at: float
 
-    def takes_address_from(self, other: "KnownUpstream") -> bool:
+    def replaces_at_address(self, other: "KnownUpstream") -> bool:
         """Tell whether this one is at an address that both name.
 
         Late word of one that is gone must not hide the one that began there after it;
         where one of them doesn't tell of its start, the one heard last is there.
         """
-        if self.start.is_told and other.start.is_told:
+        if self.start.is_known and other.start.is_known:
             began, other_began = self.start.began_ms, other.start.began_ms
             if began != other_began:
                 return began > other_began
         return self.heard_at > other.heard_at
 
-    def join(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> None:
+    def merge(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> None:
         """Take in a heartbeat of this start, whether it is newer or came late."""
         phase = max(self.heartbeat.phase, heartbeat.phase, key=PHASES.index)
         if heartbeat.sequence > self.heartbeat.sequence:
@@ -143,7 +146,7 @@
         latest = self.latest.get(UpstreamStart.of(upstream_id).name)
         return None if latest is None else self.known[latest]
 
-    def take(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> bool:
+    def record(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> bool:
         """Take in a heartbeat heard at a time; return whether it changes the phase.
 
         An upstream that is new here, or has started again, counts as a change of
@@ -152,19 +155,19 @@
         """
         start = UpstreamStart.of(heartbeat.upstream_id)
         known = self.latest_start(heartbeat.upstream_id)
-        if known is not None and not start.is_told:
+        if known is not None and not start.is_known:
             start = known.start
             heartbeat = heartbeat._replace(upstream_id=start.upstream_id)
         if known is None or start > known.start:
-            self.begin(start, heartbeat, heard_at)
+            self.add_start(start, heartbeat, heard_at)
             return True
         if start < known.start:
             return False
         before = known.heartbeat.phase
-        known.join(heartbeat, heard_at)
+        known.merge(heartbeat, heard_at)
         return known.heartbeat.phase is not before
 
-    def begin(
+    def add_start(
         self, start: UpstreamStart, heartbeat: UpstreamHeartbeat, heard_at: float
     ) -> None:
         """Know a start, in place of any earlier one of its upstream."""
@@ -190,10 +193,12 @@
                 NUMBER_OF_LEAVING,
             )
         left = leaving._replace(phase=UpstreamPhase.LEFT, sequence=NUMBER_OF_LEAVING)
-        self.take(left, now)
+        self.record(left, now)
         return HeartbeatSeen.from_heartbeat(left, 0.0)
 
-    def in_use(self, service: ServiceName, now: float) -> list[UpstreamHeartbeat]:
+    def ready_upstreams(
+        self, service: ServiceName, now: float
+    ) -> list[UpstreamHeartbeat]:
         """List the upstreams of a service that take new work, one at each address."""
         by_address: dict[str, KnownUpstream] = {}
         oldest = now - self.config.silence_seconds
@@ -201,7 +206,7 @@
             if known.heard_at < oldest:
                 continue
             held = by_address.get(known.heartbeat.address)
-            if held is None or known.takes_address_from(held):
+            if held is None or known.replaces_at_address(held):
                 by_address[known.heartbeat.address] = known
         return [
             known.heartbeat
@@ -221,11 +226,11 @@
             del self.latest[self.known.pop(upstream_id).start.name]
         return old
 
-    def all_seen(self, now: float) -> tuple[HeartbeatSeen, ...]:
+    def all_heartbeats(self, now: float) -> tuple[HeartbeatSeen, ...]:
         """List everything known, for an entry that may have missed some of it."""
-        return self.seen_of(self.known, now)
+        return self.heartbeats_of(self.known, now)
 
-    def seen_of(
+    def heartbeats_of(
         self, upstream_ids: Iterable[UpstreamId], now: float
     ) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams, with their age."""
--- a/packages/core/src/cowslipshelf_core/internal/routed/repeat_budget.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/retry_budget.py
@@ -15,7 +15,7 @@
 windows of the bound slide while these counts only follow."""
 
 
-class RepeatBudgetConfig(NamedTuple):
+class ServiceRetryBudgetConfig(NamedTuple):
     """Set the allowance of all entries together."""
 
     window_seconds: float
@@ -40,14 +40,14 @@
 
 
 @dataclass(slots=True)
-class RepeatBudget:
+class ServiceRetryBudget:
     """Be one entry's part of the allowance."""
 
-    config: RepeatBudgetConfig
+    config: ServiceRetryBudgetConfig
     counts: dict[ServiceName, ServiceCount] = field(default_factory=dict)
 
     @classmethod
-    def from_config(cls, config: RepeatBudgetConfig) -> Self:
+    def from_config(cls, config: ServiceRetryBudgetConfig) -> Self:
         """Begin with nothing counted."""
         return cls(config)
 
@@ -55,7 +55,7 @@
         """Count a request's first hand-over."""
         self.count_of(service, now).requests.append(now)
 
-    def allow_repeat(self, service: ServiceName, entries: int, now: float) -> bool:
+    def allow_retry(self, service: ServiceName, entries: int, now: float) -> bool:
         """Spend one repeat, if this entry's part of the slack of all allows it."""
         count = self.count_of(service, now)
         slack = self.config.slack / max(1, entries)
--- a/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/delivery.py
@@ -1,15 +1,16 @@
-"""Keep the order of an answer's pieces and decide when they are passed on.
+"""Buffer the chunks of an answer and decide when they are sent to the caller.
 
-What the caller has can't be taken back, so an answer is passed on no further than
-the point from which another upstream could go on:
+What was sent to the caller can't be taken back, so an answer is sent no further than
+the point from which another upstream could continue it:
 
-* an answer that is wanted whole is held back to its end;
-* a stream that an engine can continue is passed on up to the last piece with tokens,
-  since an engine skips whole tokens and would send the pieces without any again;
-* any other stream is passed on as it comes, and can't be moved once it has begun.
+* an answer that is not streamed is buffered to its end;
+* a stream that an engine can continue is sent up to the last chunk with tokens, since
+  another engine skips whole tokens and sends the chunks without tokens again;
+* any other stream is sent as it arrives, and can't move to another upstream once it
+  has begun.
 
-What is held back is bounded: past the bound it is passed on, and then the answer can
-only be resumed where it runs.
+The buffer is bounded: beyond the bound it is flushed, and then the answer can only be
+resumed at the same upstream.
 """
 
 from dataclasses import dataclass, field
@@ -28,99 +29,103 @@
 
 @dataclass(slots=True)
 class Delivery:
-    """Hold what the caller has and what is held back."""
+    """Track what was sent to the caller and what is buffered."""
 
     streamed: bool
     continuable: bool
-    keeps_answer: bool
-    held_back_bytes: int
-    stored_answer_bytes: int
+    """Whether another engine can continue the answer within its stream."""
+    stores_answer: bool
+    max_buffered_bytes: int
+    max_stored_answer_bytes: int
     head: StreamHead | None = None
     head_sent: bool = False
-    passed_tokens: int = 0
-    ends_at_token: bool = True
-    held: list[bytes] = field(default_factory=list)
-    held_size: int = 0
-    held_tokens: int = 0
+    delivered_tokens: int = 0
+    flushed_at_token: bool = True
+    """Whether the last chunk that was sent had tokens."""
+    buffered: list[bytes] = field(default_factory=list)
+    """Chunks that were not sent to the caller yet."""
+    buffered_bytes: int = 0
+    buffered_tokens: int = 0
     stored: list[bytes] = field(default_factory=list)
-    stored_size: int = 0
+    """Copy of the answer for resends."""
+    stored_bytes: int = 0
 
     @classmethod
     def from_config(cls, request: CallerRequest, config: RequestConfig) -> "Delivery":
-        """Choose how the request's answer is passed on."""
+        """Create the delivery of one request's answer."""
         return cls(
             streamed=request.streamed,
             continuable=request.can_be_continued(),
-            keeps_answer=request.has_key(),
-            held_back_bytes=config.held_back_bytes,
-            stored_answer_bytes=config.stored_answer_bytes,
+            stores_answer=request.has_key(),
+            max_buffered_bytes=config.max_buffered_bytes,
+            max_stored_answer_bytes=config.max_stored_answer_bytes,
         )
 
-    def can_start_again(self) -> bool:
-        """Tell whether another attempt can give what the caller still lacks."""
-        return not self.head_sent or (self.continuable and self.ends_at_token)
+    def can_retry_elsewhere(self) -> bool:
+        """Return whether another attempt can supply the rest of the answer."""
+        return not self.head_sent or (self.continuable and self.flushed_at_token)
 
-    def start_again(self) -> None:
-        """Forget what is held back, for another attempt will give it again."""
-        self.held.clear()
-        self.held_size = 0
-        self.held_tokens = 0
+    def reset_for_retry(self) -> None:
+        """Clear the buffer, since the next attempt sends its content again."""
+        self.buffered.clear()
+        self.buffered_bytes = 0
+        self.buffered_tokens = 0
         if not self.head_sent:
             self.head = None
 
-    def accepts_head(self, head: StreamHead) -> bool:
-        """Take the head of an attempt; False where it contradicts the sent one."""
+    def accept_head(self, head: StreamHead) -> bool:
+        """Set the head; return False if its status differs from the one sent."""
         if not self.head_sent:
             self.head = head
             return True
         return self.head is not None and self.head.status == head.status
 
-    def take(self, chunk: StreamChunk) -> list[RequestEffect]:
-        """Take the next piece in order and pass on what may be."""
-        self.held.append(chunk.data)
-        self.held_size += len(chunk.data)
-        self.held_tokens += chunk.tokens
+    def add_chunk(self, chunk: StreamChunk) -> list[RequestEffect]:
+        """Add the next chunk in order, and return what is sent to the caller."""
+        self.buffered.append(chunk.data)
+        self.buffered_bytes += len(chunk.data)
+        self.buffered_tokens += chunk.tokens
         self.store(chunk.data)
-        if not self.must_pass_on(chunk):
+        if not self.must_flush(chunk):
             return []
-        self.ends_at_token = chunk.tokens > 0
-        return self.pass_on()
+        self.flushed_at_token = chunk.tokens > 0
+        return self.flush()
 
-    def must_pass_on(self, chunk: StreamChunk) -> bool:
-        """Tell whether what is held back goes to the caller with this piece."""
-        if self.held_size > self.held_back_bytes:
+    def must_flush(self, chunk: StreamChunk) -> bool:
+        """Return whether the buffer is sent to the caller after this chunk."""
+        if self.buffered_bytes > self.max_buffered_bytes:
             return True
         return self.streamed and not (self.continuable and not chunk.tokens)
 
     def store(self, data: bytes) -> None:
-        """Keep a copy for resends, as long as the answer is small enough."""
-        if not self.keeps_answer:
+        """Keep a copy for resends unless the answer is too large."""
+        if not self.stores_answer:
             return
-        self.stored_size += len(data)
-        if self.stored_size > self.stored_answer_bytes:
+        self.stored_bytes += len(data)
+        if self.stored_bytes > self.max_stored_answer_bytes:
             self.stored.clear()
             return
         self.stored.append(data)
 
-    def pass_on(self) -> list[RequestEffect]:
-        """Give the caller all that is held back, after the head."""
+    def flush(self) -> list[RequestEffect]:
+        """Send the head, if it was not sent yet, and the buffer."""
         effects: list[RequestEffect] = []
         if not self.head_sent and self.head is not None:
             self.head_sent = True
             effects.append(AnswerHead(self.head.status, self.head.headers))
-        data = self.held[0] if len(self.held) == 1 else b"".join(self.held)
+        data = self.buffered[0] if len(self.buffered) == 1 else b"".join(self.buffered)
         if data:
             effects.append(AnswerChunk(data))
-        self.passed_tokens += self.held_tokens
-        self.held.clear()
-        self.held_size = 0
-        self.held_tokens = 0
+        self.delivered_tokens += self.buffered_tokens
+        self.buffered.clear()
+        self.buffered_bytes = 0
+        self.buffered_tokens = 0
         return effects
 
     def stored_answer(self) -> StoredAnswer | None:
-        """Be the answer that resends get, once it has ended whole."""
+        """Return the answer for resends, after it has ended complete."""
         if self.head is None:
             return None
-        whole = self.stored_size <= self.stored_answer_bytes
+        whole = self.stored_bytes <= self.max_stored_answer_bytes
         body = b"".join(self.stored) if whole else b""
         return StoredAnswer(self.head.status, self.head.headers, body, whole)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -16,12 +16,7 @@
     ProposalResult,
 )
 from cowslipshelf_core.dialect import Dialect
-from cowslipshelf_core.messages import (
-    FetchRoutes,
-    PeerAlive,
-    RoutesSnapshot,
-)
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     CallerLimits,
     FetchWork,
     HeartbeatsSeen,
@@ -30,6 +25,11 @@
     WorkChanged,
     WorkHeld,
 )
+from cowslipshelf_core.messages import (
+    FetchRoutes,
+    PeerAlive,
+    RoutesSnapshot,
+)
 from cowslipshelf_daemon.internal.control_gateway import GatewayActor
 from cowslipshelf_daemon.internal.gateway.attempt import AttemptRunner
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
@@ -233,7 +233,7 @@
 
     async def answer_ready(self, request: HttpRequest, responder: Responder) -> None:
         """Tell whether callers should be sent here."""
-        if self.dialect.is_ready_question(request.method, request.path):
+        if self.dialect.is_readiness_probe(request.method, request.path):
             await responder.whole(200 if self.is_ready() else 503, [])
         else:
             await responder.whole(404, [])
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -14,12 +14,16 @@
     Dialect,
     PutConfiguration,
     ReadConfiguration,
-    TakeHeartbeat,
-    TakeLeaving,
+    RecordHeartbeat,
+    RemoveUpstream,
+)
+from cowslipshelf_core.gateway import (
+    UpstreamHeartbeat,
+    compress_configuration,
+    decompress_configuration,
 )
 from cowslipshelf_core.identifiers import UpstreamName
 from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import UpstreamHeartbeat, packed, unpacked
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.gossip import Gossip
@@ -69,9 +73,9 @@
                 await self.put_configuration(request, responder)
             case ReadConfiguration():
                 await self.read_configuration(responder)
-            case TakeHeartbeat(name):
+            case RecordHeartbeat(name):
                 await self.take_heartbeat(name, request, responder)
-            case TakeLeaving(name):
+            case RemoveUpstream(name):
                 await self.take_leaving(name, request, responder)
             case None:
                 await responder.whole(UNKNOWN, [])
@@ -152,7 +156,7 @@
 
     async def show(self, document: RoutesDocument, responder: Responder) -> None:
         """Answer with a configuration as its operator wrote it."""
-        match unpacked(document.body):
+        match decompress_configuration(document.body):
             case Ok(body):
                 await responder.whole(DONE, [JSON], body)
             case Err(problem):
@@ -192,7 +196,7 @@
                 await self.refuse_word("Leaving refused.", problem, request, responder)
             case Ok(began_ms):
                 seen = self.view.take_leaving(name, began_ms)
-                self.gossip.tell_heartbeat(seen.of_start, urgent=True)
+                self.gossip.tell_heartbeat(seen.with_start_id, urgent=True)
                 await responder.whole(DONE, [JSON], b"{}")
 
     async def refuse_word(
@@ -211,4 +215,6 @@
 
 def document_packed(document: RoutesDocument) -> RoutesDocument:
     """Return a configuration as it travels and is held."""
-    return RoutesDocument(document.version, document.digest, packed(document.body))
+    return RoutesDocument(
+        document.version, document.digest, compress_configuration(document.body)
+    )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -8,30 +8,21 @@
 from random import Random
 from typing import Self
 
-from cowslipshelf_core.identifiers import (
-    AttemptId,
-    Epoch,
-    InstanceId,
-    ServiceName,
-    UpstreamId,
-    UpstreamName,
-)
-from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import (
-    NOT_TOLD,
+from cowslipshelf_core.gateway import (
+    START_UNKNOWN,
     AnswerTimes,
-    EngineBoard,
+    EngineTracker,
     EngineWork,
     HeartbeatSeen,
     HeartbeatsSeen,
     KnownUpstream,
-    PeerBook,
-    PeerBookConfig,
+    PeerTable,
+    PeerTableConfig,
     RegistryConfig,
-    RepeatBudget,
-    RepeatBudgetConfig,
     RouteConfiguration,
     RouteTable,
+    ServiceRetryBudget,
+    ServiceRetryBudgetConfig,
     UpstreamHealth,
     UpstreamHeartbeat,
     UpstreamPhase,
@@ -39,6 +30,15 @@
     UpstreamStart,
     WorkChanged,
 )
+from cowslipshelf_core.identifiers import (
+    AttemptId,
+    Epoch,
+    InstanceId,
+    ServiceName,
+    UpstreamId,
+    UpstreamName,
+)
+from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.settings import GatewaySettings
 from cowslipshelf_daemon.internal.gateway.time_of_day import unix_milliseconds
 from cowslipshelf_host.logs import part_logger
@@ -60,13 +60,13 @@
 
     settings: GatewaySettings
     registry: UpstreamRegistry
-    peers: PeerBook
-    budget: RepeatBudget
+    peers: PeerTable
+    budget: ServiceRetryBudget
     tell_work: Callable[[WorkChanged], None]
     """Tells the other gateways; set once the process is put together."""
     drop_start: Callable[[UpstreamStart, UpstreamStart], None]
     """Ends what is open at a start that gave way to a later one; set likewise."""
-    board: EngineBoard = field(default_factory=EngineBoard)
+    board: EngineTracker = field(default_factory=EngineTracker)
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
     times: AnswerTimes = field(default_factory=AnswerTimes)
     running: dict[UpstreamId, int] = field(default_factory=dict)
@@ -84,8 +84,8 @@
         return cls(
             settings,
             UpstreamRegistry.from_config(RegistryConfig(silence)),
-            PeerBook.from_config(
-                PeerBookConfig(
+            PeerTable.from_config(
+                PeerTableConfig(
                     settings.instance,
                     Epoch(uuid.uuid4().hex),
                     settings.data_centre,
@@ -94,7 +94,7 @@
                     settings.data_folder is not None,
                 )
             ),
-            RepeatBudget.from_config(budget_config(settings)),
+            ServiceRetryBudget.from_config(budget_config(settings)),
             tell_work=lambda _changed: None,
             drop_start=lambda _former, _later: None,
         )
@@ -132,12 +132,12 @@
     def is_behind(self) -> bool:
         """Tell whether another gateway has a later configuration than this one."""
         now = time.monotonic()
-        return bool(self.peers.holders(self.document.version, now))
+        return bool(self.peers.peers_with_newer(self.document.version, now))
 
     def take_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
         """Take in an upstream's heartbeat; return whether its phase is news."""
         known = self.registry.latest_start(heartbeat.upstream_id)
-        changed = self.registry.take(heartbeat, time.monotonic() - age)
+        changed = self.registry.record(heartbeat, time.monotonic() - age)
         if changed:
             self.wake_waiting()
             LOG.info(
@@ -194,7 +194,7 @@
         if known.heartbeat.service != heartbeat.service:
             return f"the upstream is known to serve {known.heartbeat.service}"
         start = UpstreamStart.of(heartbeat.upstream_id)
-        if known.start.is_told and not start.is_told:
+        if known.start.is_known and not start.is_known:
             return "the time of the start is missing, and was told before"
         return None
 
@@ -206,15 +206,15 @@
         """
         start = UpstreamStart(name, began_ms)
         known = self.registry.latest_start(UpstreamId(name))
-        if not start.is_told and known is not None:
+        if not start.is_known and known is not None:
             start = known.start
-        elif not start.is_told:
+        elif not start.is_known:
             start = UpstreamStart(name, unix_milliseconds())
         seen = self.registry.leave(start, time.monotonic())
         if known is not None:
-            self.forget_if_over(known, seen.of_start, 0.0)
+            self.forget_if_over(known, seen.with_start_id, 0.0)
         LOG.info(
-            "Upstream left.", upstream=start.upstream_id, told=began_ms != NOT_TOLD
+            "Upstream left.", upstream=start.upstream_id, told=began_ms != START_UNKNOWN
         )
         return seen
 
@@ -240,7 +240,7 @@
     def take_heartbeats(self, message: HeartbeatsSeen) -> None:
         """Take in heartbeats that another gateway passes on."""
         for seen in message.seen:
-            self.take_heartbeat(seen.of_start, seen.age_seconds)
+            self.take_heartbeat(seen.with_start_id, seen.age_seconds)
 
     def take_work(self, owner: InstanceId, message: WorkChanged) -> None:
         """Take in what another gateway does on engines."""
@@ -269,7 +269,7 @@
 
     def upstreams_of(self, service: ServiceName) -> list[UpstreamHeartbeat]:
         """List the upstreams of a service that take new work."""
-        return self.registry.in_use(service, time.monotonic())
+        return self.registry.ready_upstreams(service, time.monotonic())
 
     def heartbeat_age(self, upstream: UpstreamHeartbeat) -> float:
         """Return how old the last word of an upstream is, in seconds."""
@@ -287,7 +287,7 @@
         service = None if known is None else services.get(known.heartbeat.service)
         if service is None:
             return 1
-        return max(1, service.most_connections // (2 * self.gateways()))
+        return max(1, service.max_connections // (2 * self.gateways()))
 
     def gateways(self) -> int:
         """Return how many gateways there seem to be, this one included."""
@@ -323,19 +323,19 @@
         silence = self.registry.config.silence_seconds
         recent = max(0.0, silence - RECALLED_SECONDS)
         for each in seen:
-            self.take_heartbeat(each.of_start, recent)
+            self.take_heartbeat(each.with_start_id, recent)
 
     def seen_of(self, upstream_ids: Iterable[UpstreamId]) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams."""
-        return self.registry.seen_of(upstream_ids, time.monotonic())
+        return self.registry.heartbeats_of(upstream_ids, time.monotonic())
 
     def all_heartbeats(self) -> tuple[HeartbeatSeen, ...]:
         """List every upstream known, for a gateway that may have missed some."""
-        return self.registry.all_seen(time.monotonic())
+        return self.registry.all_heartbeats(time.monotonic())
 
 
-def budget_config(settings: GatewaySettings) -> RepeatBudgetConfig:
+def budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
     """Return the allowance of repeats that the settings give."""
-    return RepeatBudgetConfig(
+    return ServiceRetryBudgetConfig(
         settings.repeat_window_seconds, settings.repeat_ratio, settings.repeat_slack
     )
--- a/tests/cover/adapter/test_configuration.py
+++ b/tests/cover/adapter/test_configuration.py
@@ -12,7 +12,7 @@
     decode_heartbeat,
     decode_leaving,
 )
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     HeartbeatSeen,
     RouteKind,
     UpstreamPhase,
@@ -82,8 +82,8 @@
     engine = read.configuration.services[0].engine
     assert engine.step_seconds == pytest.approx(1.31e-3)
     assert engine.step_seconds_per_context_token == pytest.approx(2.13e-9)
-    assert engine.read_seconds_per_token == pytest.approx(1 / 154_000)
-    assert engine.seconds_per_pair == pytest.approx(1.62e-10)
+    assert engine.prefill_seconds_per_token == pytest.approx(1 / 154_000)
+    assert engine.prefill_seconds_per_pair == pytest.approx(1.62e-10)
     assert read.configuration.limits.body_bytes == 100
     assert read.configuration.limits.idle_seconds == 15.0
     assert read.configuration.customers[0].keys == ("k1", "k2")
@@ -258,7 +258,7 @@
         seen = HeartbeatSeen.from_heartbeat(read.ok_value, 0.0)
         data = msgspec.msgpack.encode(seen)
         again = msgspec.msgpack.decode(data, type=HeartbeatSeen)
-        assert again.of_start == read.ok_value
+        assert again.with_start_id == read.ok_value
 
 
 ROUTES = st.lists(
--- a/tests/cover/adapter/test_wire.py
+++ b/tests/cover/adapter/test_wire.py
@@ -9,14 +9,14 @@
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import (
     ForwardFacts,
-    Helper,
     MemoryTicket,
+    PrefillHelper,
     PutConfiguration,
     ReadConfiguration,
-    TakeHeartbeat,
-    TakeLeaving,
+    RecordHeartbeat,
+    RemoveUpstream,
 )
-from cowslipshelf_core.routed import PromptSize
+from cowslipshelf_core.gateway import PromptSize
 
 DIALECT = MachinesDialect()
 SENT = [
@@ -129,8 +129,8 @@
     [
         ("PUT", "/api/config", PutConfiguration()),
         ("GET", "/api/config", ReadConfiguration()),
-        ("PUT", "/api/runners/i-1", TakeHeartbeat("i-1")),
-        ("DELETE", "/api/runners/i-1", TakeLeaving("i-1")),
+        ("PUT", "/api/runners/i-1", RecordHeartbeat("i-1")),
+        ("DELETE", "/api/runners/i-1", RemoveUpstream("i-1")),
         ("PUT", "/api/runners/", None),
         ("POST", "/api/config", None),
         ("GET", "/else", None),
@@ -159,7 +159,7 @@
 
 
 def test_helpers_are_named_with_their_tickets():
-    helpers = (Helper("10.0.0.1:80", "t-1"), Helper("10.0.0.2:80"))
+    helpers = (PrefillHelper("10.0.0.1:80", "t-1"), PrefillHelper("10.0.0.2:80"))
     assert forwarded(helpers=helpers)[b"x-helpers"] == b"10.0.0.1:80/t-1,10.0.0.2:80"
 
 
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -19,7 +19,7 @@
 import msgspec
 import pytest
 
-from common.routed import GATEWAY_SETTINGS
+from common.gateway_samples import GATEWAY_SETTINGS
 from common.slow_links import (
     LinkPost,
     SlowWorld,
@@ -29,9 +29,9 @@
     replica_that_holds,
 )
 from cowslipshelf_adapter.wire import MachinesDialect
+from cowslipshelf_core.gateway import RouteTable
 from cowslipshelf_core.identifiers import DataCentre, Epoch
 from cowslipshelf_core.messages import FetchRoutes, PeerAlive, RoutesSnapshot
-from cowslipshelf_core.routed import RouteTable
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
@@ -101,7 +101,7 @@
         read = MachinesDialect().read_configuration(held).ok_value
         view.put_in_force(read.document, read.configuration)
         alive = PeerAlive(Epoch("e"), DataCentre("here"), True, 9, ())
-        view.peers.heard(REPLICA, alive, time.monotonic())
+        view.peers.record_alive(REPLICA, alive, time.monotonic())
         self.client = ControlClient(None, self)
         post = LinkPost(None, self.instance)
         told = Gossip(view, post, self.client, MachinesDialect(), Metrics())
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -6,18 +6,18 @@
 import msgspec
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, configuration, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, configuration, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
-from cowslipshelf_core.messages import RoutesDocument
-from cowslipshelf_core.routed import (
-    Alone,
-    EndTold,
+from cowslipshelf_core.gateway import (
+    AllowedAlone,
+    ExitReport,
     HeldBack,
+    SuspectRequestReport,
     SuspectRequestsTold,
-    SuspectRequestTold,
-    UpstreamEnd,
+    UpstreamExit,
     request_digest,
 )
+from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     Answered,
     AttemptOutcome,
@@ -69,7 +69,7 @@
     def __init__(self, *outcomes: AttemptOutcome, **changes) -> None:
         self.view = FleetView.from_settings(GATEWAY_SETTINGS)
         self.told: list[str] = []
-        usual = {"most_attempts": 3}
+        usual = {"max_attempts": 3}
         routes = configuration(route(**(usual | changes)))
         self.view.put_in_force(RoutesDocument(1, "", b""), routes)
         for number in range(8):
@@ -127,8 +127,8 @@
     gateway = PlayedGateway()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
-        gateway.suspects.quarantine.upstream_ended(DIGEST, upstream, now)
-    gateway.suspects.quarantine.begin_trial(DIGEST, Alone(probe=False), now)
+        gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
+    gateway.suspects.quarantine.begin_trial(DIGEST, AllowedAlone(probe=False), now)
     answer = gateway.ask()
     assert answer.status == 503
     assert answer.headers[b"retry-after"] == b"0.5"
@@ -140,7 +140,7 @@
     gateway = PlayedGateway()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
-        gateway.suspects.quarantine.upstream_ended(DIGEST, upstream, now)
+        gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
 
     async def never_end(task, placement) -> AttemptOutcome:
         await asyncio.Event().wait()
@@ -159,15 +159,17 @@
         await asyncio.wait({serving})
 
     asyncio.run(leave())
-    assert gateway.suspects.quarantine.verdict(DIGEST, time.monotonic()) == Alone(False)
+    assert gateway.suspects.quarantine.verdict(
+        DIGEST, time.monotonic()
+    ) == AllowedAlone(False)
 
 
-def told(*upstreams: str, age: float = 1.0) -> SuspectRequestTold:
-    ends = tuple(EndTold(UpstreamEnd(each, 0), age, False) for each in upstreams)
-    return SuspectRequestTold(DIGEST, ends, 0, 0, 0.0, 0)
+def told(*upstreams: str, age: float = 1.0) -> SuspectRequestReport:
+    ends = tuple(ExitReport(UpstreamExit(each, 0), age, False) for each in upstreams)
+    return SuspectRequestReport(DIGEST, ends, 0, 0, 0.0, 0)
 
 
-def written(suspect: SuspectRequestTold, at: float) -> SuspectRequestsDocument:
+def written(suspect: SuspectRequestReport, at: float) -> SuspectRequestsDocument:
     return SuspectRequestsDocument(at, SuspectRequestsTold((suspect,)))
 
 
@@ -176,7 +178,7 @@
     gateway = PlayedGateway()
     odd = told("u-1", "u-2", "u-3", age=float("nan"))
     gateway.suspects.take("peer", SuspectRequestsTold((odd, told("u-1"))))
-    assert gateway.suspects.quarantine.ends_of(DIGEST) == 1
+    assert gateway.suspects.quarantine.exit_count(DIGEST) == 1
 
 
 def test_a_restart_recalls_what_is_held_back(tmp_path):
@@ -188,7 +190,7 @@
     assert recalled.ends[0].age_seconds == pytest.approx(6.0, abs=1.0)
     suspects = SuspectRequests("10.0.0.1", Metrics(), lambda _digest: None)
     suspects.take("10.0.0.1", told_again)
-    assert suspects.quarantine.ends_of(DIGEST) == 1
+    assert suspects.quarantine.exit_count(DIGEST) == 1
 
 
 def test_a_time_of_day_that_was_put_back_makes_no_end_lie_in_the_future(tmp_path):
--- a/tests/cover/routed/test_engine_placing.py
+++ b/tests/cover/gateway_core/test_prompt_placement.py
@@ -6,20 +6,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.routed import ENGINE
-from cowslipshelf_core.routed import (
-    Candidate,
-    EngineBoard,
+from common.gateway_samples import ENGINE
+from cowslipshelf_core.gateway import (
+    EngineCandidate,
     EnginePart,
     EnginesChosen,
+    EngineTracker,
     EngineView,
     EngineWork,
     NoEngine,
-    PromptAsked,
     PromptSize,
+    PromptToPlace,
     WorkHeld,
     place_prompt,
-    read_seconds,
+    prefill_seconds,
 )
 
 SHORT = PromptSize(5_000, 1_300)
@@ -32,8 +32,8 @@
     """Place prompts one after the other on one board."""
 
     def __init__(self, engines: int, seed: int = 0) -> None:
-        self.board = EngineBoard()
-        self.candidates = [Candidate(f"e-{number}") for number in range(engines)]
+        self.board = EngineTracker()
+        self.candidates = [EngineCandidate(f"e-{number}") for number in range(engines)]
         self.random = Random(seed)
         self.placed = 0
 
@@ -41,7 +41,7 @@
         self, size: PromptSize, now: float, objective: float, pause: float
     ) -> EnginesChosen | NoEngine:
         self.placed += 1
-        asked = PromptAsked(f"a-{self.placed}", size, objective, pause, 10.0)
+        asked = PromptToPlace(f"a-{self.placed}", size, objective, pause, 10.0)
         chosen = place_prompt(
             asked, self.candidates, ENGINE, self.board, now, self.random
         )
@@ -70,7 +70,7 @@
     """
     load = Load(engines=14)
     chosen = load.place(PromptSize(250_000, 700), 0.0, objective=4.0, pause=1.0)
-    assert read_seconds(ENGINE, 250_000) > 4.0
+    assert prefill_seconds(ENGINE, 250_000) > 4.0
     assert len(chosen.helpers) >= 1
     assert chosen.first_token_seconds < 0.7 * 4.0
 
@@ -120,7 +120,7 @@
     chosen = []
     for seed in range(20):
         load = Load(engines=78, seed=seed)
-        part = EnginePart("e-5", 0.02, 1, writes=True)
+        part = EnginePart("e-5", 0.02, 1, decodes=True)
         load.board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
         load.board.first_token("w", 0.1)
         chosen.append(load.short(0.2).upstream_id)
@@ -160,7 +160,7 @@
     load = Load(engines=1)
     for _ in range(2):
         load.long(0.0)
-    asked = PromptAsked("late", SHORT, 0.3, 0.25, 2.0)
+    asked = PromptToPlace("late", SHORT, 0.3, 0.25, 2.0)
     chosen = place_prompt(asked, load.candidates, ENGINE, load.board, 0.1, load.random)
     assert isinstance(chosen, NoEngine)
     assert chosen.retry_after_seconds > 1.0
@@ -236,21 +236,21 @@
     """Each placing fails, by a configuration that gives no time to a step."""
     model = ENGINE._replace(
         step_seconds=0.0,
-        step_seconds_per_writer=0.0,
+        step_seconds_per_decode=0.0,
         step_seconds_per_context_token=0.0,
     )
-    board = EngineBoard()
-    part = EnginePart("e", 0.02, 1, writes=True)
+    board = EngineTracker()
+    part = EnginePart("e", 0.02, 1, decodes=True)
     board.begin(EngineWork("w", (part,), 1.5, 0.3, 0.25), "g", 0.0)
     board.first_token("w", 0.1)
-    assert board.view("e", model, 0.5).writes
+    assert board.view("e", model, 0.5).is_decoding
 
 
 def test_a_gateway_that_has_just_started_learns_what_runs():
     """The first prompts after a restart go to engines that are reading for seconds."""
     old, new = Load(engines=14), Load(engines=14)
     long = old.long(0.0)
-    new.board.replace("gateway", old.board.held_by("gateway", 0.3), 10.0)
+    new.board.replace("gateway", old.board.snapshot_of("gateway", 0.3), 10.0)
     for candidate in old.candidates:
         seen = old.board.view(candidate.upstream_id, ENGINE, 0.3)
         told = new.board.view(candidate.upstream_id, ENGINE, 10.0)
@@ -269,11 +269,11 @@
     short = old.short(0.0)
     old.board.first_token(short.work.attempt_id, 0.1)
     for board in (old.board, new.board):
-        board.replace("gateway", old.board.held_by("gateway", 2.0), 2.0)
-        board.replace("gateway", old.board.held_by("gateway", 3.0), 3.0)
-        (writer,) = board.view("e-0", ENGINE, 3.0).writers
+        board.replace("gateway", old.board.snapshot_of("gateway", 2.0), 2.0)
+        board.replace("gateway", old.board.snapshot_of("gateway", 3.0), 3.0)
+        (writer,) = board.view("e-0", ENGINE, 3.0).decoding_attempts
         assert not writer.late
-        assert board.view("e-0", ENGINE, 3.0).writes
+        assert board.view("e-0", ENGINE, 3.0).is_decoding
 
 
 def test_what_a_gateway_no_longer_tells_of_has_ended():
@@ -289,13 +289,13 @@
     Parts that an engine reads for others go ahead of its own prompts. Placed on it
     one after the other, they starve the prompt that came first.
     """
-    board = EngineBoard()
-    own = EnginePart("e", 1.0, 10, writes=True)
-    other = EnginePart("e", 0.5, 5, writes=False)
+    board = EngineTracker()
+    own = EnginePart("e", 1.0, 10, decodes=True)
+    other = EnginePart("e", 0.5, 5, decodes=False)
     board.begin(EngineWork("first", (own,), 1.0, 4.0, 1.0), "g", 0.0)
     board.begin(EngineWork("second", (other,), 1.0, 4.0, 1.0), "g", 0.2)
     board.begin(EngineWork("third", (other,), 1.0, 4.0, 1.0), "g", 0.4)
-    unread = board.view("e", ENGINE, 0.5).unread
+    unread = board.view("e", ENGINE, 0.5).pending_parts
     order = [each.work.attempt_id for each in unread]
     left = [each.left_seconds for each in unread]
     assert order == ["third", "second", "first"]
@@ -304,18 +304,18 @@
 
 def test_parts_do_not_proceed_side_by_side():
     """An engine that has seconds to read looks idle soon."""
-    board = EngineBoard()
+    board = EngineTracker()
     for number in range(4):
-        part = EnginePart("e", 1.0, 10, writes=False)
+        part = EnginePart("e", 1.0, 10, decodes=False)
         work = EngineWork(f"a-{number}", (part,), 1.0, 4.0, 1.0)
         board.begin(work, "g", 0.0)
     assert board.view("e", ENGINE, 1.5).backlog_seconds == pytest.approx(2.5)
 
 
-def board_with_a_long_read_beside_a_writer() -> EngineBoard:
-    board = EngineBoard()
-    own = EnginePart("e", 0.1, 1, writes=True)
-    other = EnginePart("e", 1.9, 30, writes=False)
+def board_with_a_long_read_beside_a_writer() -> EngineTracker:
+    board = EngineTracker()
+    own = EnginePart("e", 0.1, 1, decodes=True)
+    other = EnginePart("e", 1.9, 30, decodes=False)
     board.begin(EngineWork("own", (own,), 1.0, 0.3, 0.25), "g", 0.0)
     board.view("e", ENGINE, 0.0)
     assert board.excused_seconds("own", 0.05) == 0.0
@@ -343,11 +343,11 @@
     """
     for seed in range(20):
         load = Load(engines=2, seed=seed)
-        busy = EnginePart("e-0", 0.02, 1, writes=True)
+        busy = EnginePart("e-0", 0.02, 1, decodes=True)
         load.board.begin(EngineWork("w", (busy,), 1.5, 0.3, 0.25), "g", 0.0)
         load.board.first_token("w", 0.1)
         load.board.view("e-0", ENGINE, 0.15)
-        part = EnginePart("e-0", 1.2, 30, writes=False)
+        part = EnginePart("e-0", 1.2, 30, decodes=False)
         load.board.begin(EngineWork("long", (part,), 5.0, 4.0, 1.0), "g", 0.2)
         short = load.short(0.4)
         assert short.upstream_id == "e-1"
@@ -361,7 +361,7 @@
     """
     load = Load(engines=3)
     for number in range(3):
-        part = EnginePart(f"e-{number}", 0.02, 1, writes=True)
+        part = EnginePart(f"e-{number}", 0.02, 1, decodes=True)
         name = f"w-{number}"
         load.board.begin(EngineWork(name, (part,), 6.0, 0.3, 0.25), "g", 0.0)
         load.board.first_token(name, 0.9 if number == 1 else 0.1)
@@ -385,11 +385,11 @@
     Its own engine has nothing to do; one that helps it was given parts of others,
     which go ahead.
     """
-    board = EngineBoard()
-    writer = EnginePart("writer", 0.5, 8, writes=True)
-    helper = EnginePart("helper", 0.5, 8, writes=False)
+    board = EngineTracker()
+    writer = EnginePart("writer", 0.5, 8, decodes=True)
+    helper = EnginePart("helper", 0.5, 8, decodes=False)
     board.begin(EngineWork("dossier", (writer, helper), 1.0, 4.0, 1.0), "g", 0.0)
-    ahead = EnginePart("helper", 3.0, 40, writes=False)
+    ahead = EnginePart("helper", 3.0, 40, decodes=False)
     board.begin(EngineWork("later", (ahead,), 1.0, 4.0, 1.0), "g", 0.1)
     for engine in ("writer", "helper"):
         board.view(engine, ENGINE, 0.2)
--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -1,11 +1,11 @@
-"""Check spread prompts that contend for engines, whatever dies meanwhile."""
+"""Test spread prompts that contend for engines, with crashes and lost messages."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from common.sidecars import MEMORY_TOKENS, hand_over, sidecar
-from common.spread_world import DEADLINE, HALF_AND_MORE, SpreadWorld
+from common.spread_world import DEADLINE, OVER_HALF_MEMORY_TOKENS, SpreadWorld
 from cowslipshelf_core.errors import RefusalCode, RefusalReason
 from cowslipshelf_core.messages import NeverRan
 from cowslipshelf_core.sidecar import (
@@ -24,30 +24,31 @@
 
 ENGINES = 4
 SETTLED_SECONDS = 60.0
-"""Far below the deadline: what comes back only then has not come back by this."""
+"""Far below the deadline, so that memory freed only by the deadline is noticed."""
 SETS = st.lists(st.integers(0, ENGINES - 1), min_size=2, max_size=ENGINES, unique=True)
 
 
 def test_a_last_part_that_finds_its_engine_busy_is_tried_again():
-    """A ledger that shares engines with two others is refused as busy.
+    """A long prompt that shares engines with two others is refused as busy.
 
-    All helpers of the first are reserved when the engine of its last part turns it
-    down; the refusal would pass in a moment, and nobody waits for it.
+    All helpers of the first are reserved when the engine of its last part refuses it.
+    The refusal is transient, but the prompt was not tried again.
     """
     world = SpreadWorld(ENGINES, seed=0)
     prompts = [
-        world.add_prompt(numbers, HALF_AND_MORE) for numbers in ([0, 1], [1, 2], [1, 2])
+        world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS)
+        for numbers in ([0, 1], [1, 2], [1, 2])
     ]
-    world.run_on(SETTLED_SECONDS)
+    world.run_for(SETTLED_SECONDS)
     assert [type(prompt.result) for prompt in prompts] == [SpreadBegun] * len(prompts)
 
 
 def test_a_copy_of_a_last_part_that_was_refused_reserves_and_never_runs():
-    """A ledger's last part is refused as busy, and a copy of it comes late.
+    """A last part is refused as busy, and a copy of its hand-over arrives late.
 
-    The caller has its "not run". By now there is room, so the copy gets memory; it
-    must not run without the word to begin, and the memory comes back once it is
-    revoked. A handed over request that is not spread stays refused for good.
+    The caller has got "not run". The copy may reserve memory that is free by then, but
+    must not run without a `PartsReady`, and a revoke frees the memory. The hand-over of
+    a request that is not spread stays refused for good.
     """
     state = sidecar()
     state.handle(HandOverArrived(hand_over("first", prompt_tokens=800)), 0.0)
@@ -78,17 +79,17 @@
     seed=st.integers(0, 1000),
 )
 def test_of_prompts_that_want_the_same_engines_every_one_gets_them(wanted, turns, seed):
-    """Check that two ledgers never each hold half of what both need.
+    """Check that two prompts never each hold half of what both need.
 
-    Each needs most of the memory of several engines. Their entries ask at the same
-    time, interleaved in any way; without one order each would get one engine, wait for
-    the other's and hold its own until the deadline.
+    Each needs most of the memory of several engines, and their entries reserve it
+    concurrently in any interleaving. Without a fixed order each could get one engine
+    and hold it while waiting for the other's, until the deadline.
     """
     world = SpreadWorld(ENGINES, seed)
-    prompts = [world.add_prompt(numbers, HALF_AND_MORE) for numbers in wanted]
+    prompts = [world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS) for numbers in wanted]
     for turn in turns:
-        prompts[turn % len(prompts)].act()
-    world.run_on(SETTLED_SECONDS)
+        prompts[turn % len(prompts)].step()
+    world.run_for(SETTLED_SECONDS)
     assert [type(prompt.result) for prompt in prompts] == [SpreadBegun] * len(prompts)
     assert all(prompt.last_id in world.finished for prompt in prompts)
     assert world.is_empty()
@@ -104,10 +105,11 @@
 def test_a_reserved_part_that_was_given_up_never_runs(
     part, non_idempotent, ending, late
 ):
-    """Check that "not run" stays true of a part whose word to begin comes late.
+    """Check that "not run" stays true of a part whose `PartsReady` arrives late.
 
-    An entry reserves memory, falls silent and is given up. Another one has the promise
-    that nothing ran and runs the request elsewhere; then the first one's word arrives.
+    An entry reserves memory, becomes unreachable and its part is ended. Another entry
+    has the guarantee that nothing ran and runs the request elsewhere; then the first
+    entry's `PartsReady` arrives.
     """
     state = sidecar()
     given = hand_over(
@@ -143,39 +145,39 @@
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
-@given(words=st.integers(1, 5))
-def test_a_part_begins_once_however_often_it_is_told(words):
+@given(times=st.integers(1, 5))
+def test_a_part_begins_once_however_often_it_is_told(times):
     state = sidecar()
     given = hand_over("last", from_token=50)
     state.handle(HandOverArrived(given), 0.0)
     effects = []
-    for _ in range(words):
+    for _ in range(times):
         effects += state.handle(PartsArrived("last", ()), 1.0)
     assert effects == [StartAttempt(given)]
 
 
 class SpreadMachineUnderFaults(RuleBasedStateMachine):
-    """Let entries, sidecars and parts die at any step."""
+    """Let entries, sidecars and parts fail at any step."""
 
     @initialize(wanted=st.lists(SETS, min_size=2, max_size=3))
     def begin(self, wanted) -> None:
         self.world = SpreadWorld(ENGINES)
         for numbers in wanted:
-            self.world.add_prompt(numbers, HALF_AND_MORE)
+            self.world.add_prompt(numbers, OVER_HALF_MEMORY_TOKENS)
 
     @rule(number=st.integers(0, 2), times=st.integers(1, 6))
-    def act(self, number, times) -> None:
+    def step(self, number, times) -> None:
         prompts = self.world.prompts
         for _ in range(times):
-            prompts[number % len(prompts)].act()
+            prompts[number % len(prompts)].step()
 
     @rule(number=st.integers(0, ENGINES - 1))
-    def work(self, number) -> None:
-        self.world.work(self.world.upstreams[f"runner-{number}"])
+    def run_engine(self, number) -> None:
+        self.world.run_engine(self.world.upstreams[f"runner-{number}"])
 
     @rule(seconds=st.sampled_from([0.25, 1.0, 4.0]))
-    def pass_time(self, seconds) -> None:
-        self.world.pass_time(seconds)
+    def advance_time(self, seconds) -> None:
+        self.world.advance_time(seconds)
 
     @rule(number=st.integers(0, 2))
     def entry_dies(self, number) -> None:
@@ -187,7 +189,7 @@
 
     @rule(number=st.integers(0, ENGINES - 1))
     def part_dies(self, number) -> None:
-        self.world.fail(self.world.upstreams[f"runner-{number}"])
+        self.world.drop_first_attempt(self.world.upstreams[f"runner-{number}"])
 
     @rule(lost=st.booleans())
     def cancels_are_lost(self, lost) -> None:
@@ -212,22 +214,22 @@
                 assert prompt.last_id not in self.world.started
 
     def teardown(self) -> None:
-        """Check that all memory is back within the bound, and that nobody hangs."""
+        """Check that all memory is freed in time and that every living prompt ends."""
         if not hasattr(self, "world"):
             return
         world = self.world
         world.loses_cancels = False
         world.loses_answers = False
         self.end_uncertain_attempts()
-        world.run_on(SETTLED_SECONDS)
+        world.run_for(SETTLED_SECONDS)
         assert all(prompt.ended for prompt in world.prompts if prompt.alive)
         if world.entry_cancel_was_lost:
             config = world.upstreams["runner-0"].state.config
-            world.run_on(config.leak_seconds(DEADLINE) - SETTLED_SECONDS)
+            world.run_for(config.leak_seconds(DEADLINE) - SETTLED_SECONDS)
         assert world.is_empty()
 
     def end_uncertain_attempts(self) -> None:
-        """Cancel what a request's own decider cancels: a last part it gave up."""
+        """Cancel uncertain last parts, as the state machine of the request does."""
         for prompt in self.world.prompts:
             if isinstance(prompt.result, SpreadUncertain):
                 address = prompt.machine.chosen.upstream_id
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import CallerFacts, MemoryTicket, OutgoingRequest
-from cowslipshelf_core.routed import EnginePart, EngineWork, RouteKind
+from cowslipshelf_core.gateway import EnginePart, EngineWork, RouteKind
 from cowslipshelf_daemon.internal.gateway.attempt import AttemptRunner
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     AttemptOutcome,
@@ -120,7 +120,7 @@
 
 def spread_prompt() -> Placement:
     """Place a prompt on one engine whose memory lies at another one too."""
-    parts = (EnginePart("u-1", 9.0, 1, writes=True), EnginePart("u-2", 9.0, 1, False))
+    parts = (EnginePart("u-1", 9.0, 1, decodes=True), EnginePart("u-2", 9.0, 1, False))
     work = EngineWork("w-1", parts, 9.0, 4.0, 1.0)
     ticket = MemoryTicket("u-2", HOLDER, "w-1-0", 150_000)
     head = heartbeat("u-1", address=HEAD)
