--- /dev/null
+++ b/packages/core/src/cowslipshelf_core/gateway.py
@@ -0,0 +1,181 @@
+"""Export the decision logic of gateways, which serve requests by configured routes."""
+
+from cowslipshelf_core.internal.gateway.answer_times import AnswerTimes
+from cowslipshelf_core.internal.gateway.compression import (
+    compress_configuration,
+    decompress_configuration,
+)
+from cowslipshelf_core.internal.gateway.configuration import (
+    CallerLimits,
+    EngineModel,
+    GatewayCustomer,
+    Route,
+    RouteConfiguration,
+    RouteKind,
+    ServiceConfiguration,
+    WeightedService,
+)
+from cowslipshelf_core.internal.gateway.configuration_checks import (
+    configuration_problem,
+)
+from cowslipshelf_core.internal.gateway.engine_forecast import abandon_seconds
+from cowslipshelf_core.internal.gateway.engine_tracker import EngineTracker, EngineView
+from cowslipshelf_core.internal.gateway.memory_lease import (
+    MemoryLease,
+    MemoryLeaseConfig,
+)
+from cowslipshelf_core.internal.gateway.messages import (
+    EnginePart,
+    EngineWork,
+    ExitReport,
+    FetchWork,
+    HeartbeatsSeen,
+    HeldWork,
+    Relayed,
+    SuspectRequestReport,
+    SuspectRequestsTold,
+    UpstreamExit,
+    WorkChanged,
+    WorkHeld,
+)
+from cowslipshelf_core.internal.gateway.peer_table import (
+    KnownPeer,
+    PeerChange,
+    PeerTable,
+    PeerTableConfig,
+)
+from cowslipshelf_core.internal.gateway.placement_cost import (
+    EngineCandidate,
+    PromptToPlace,
+)
+from cowslipshelf_core.internal.gateway.prompt_cost import (
+    PromptSize,
+    admission_priority,
+    answer_value,
+    decode_pass_seconds,
+    prefill_chunks,
+    prefill_seconds,
+)
+from cowslipshelf_core.internal.gateway.prompt_placement import (
+    EnginesChosen,
+    NoEngine,
+    place_prompt,
+)
+from cowslipshelf_core.internal.gateway.quarantine import (
+    Allowed,
+    AllowedAlone,
+    HeldBack,
+    ListedSuspect,
+    RequestQuarantine,
+    Verdict,
+)
+from cowslipshelf_core.internal.gateway.registry import (
+    HeartbeatSeen,
+    KnownUpstream,
+    RegistryConfig,
+    UpstreamHeartbeat,
+    UpstreamPhase,
+    UpstreamRegistry,
+)
+from cowslipshelf_core.internal.gateway.request_digest import (
+    RequestDigest,
+    request_digest,
+)
+from cowslipshelf_core.internal.gateway.retry_budget import (
+    ServiceRetryBudget,
+    ServiceRetryBudgetConfig,
+)
+from cowslipshelf_core.internal.gateway.route_table import RouteTable, choose_service
+from cowslipshelf_core.internal.gateway.routes_fetch import RoutesFetch
+from cowslipshelf_core.internal.gateway.suspect_request import (
+    QuarantineConfig,
+    suspect_report_problem,
+)
+from cowslipshelf_core.internal.gateway.upstream_choice import (
+    UpstreamCandidate,
+    choose_upstream,
+)
+from cowslipshelf_core.internal.gateway.upstream_health import (
+    HealthEstimate,
+    UpstreamHealth,
+)
+from cowslipshelf_core.internal.gateway.upstream_start import (
+    START_UNKNOWN,
+    UpstreamStart,
+)
+from cowslipshelf_core.internal.gateway.work_gaps import WorkGapDetector
+
+__all__ = [
+    "AllowedAlone",
+    "AnswerTimes",
+    "CallerLimits",
+    "EngineCandidate",
+    "ExitReport",
+    "EngineTracker",
+    "EngineModel",
+    "EnginePart",
+    "EngineView",
+    "EngineWork",
+    "EnginesChosen",
+    "FetchWork",
+    "Allowed",
+    "HealthEstimate",
+    "HeartbeatSeen",
+    "HeartbeatsSeen",
+    "HeldBack",
+    "HeldWork",
+    "KnownPeer",
+    "KnownUpstream",
+    "ListedSuspect",
+    "MemoryLease",
+    "MemoryLeaseConfig",
+    "START_UNKNOWN",
+    "NoEngine",
+    "PeerTable",
+    "PeerTableConfig",
+    "PeerChange",
+    "UpstreamCandidate",
+    "PromptToPlace",
+    "PromptSize",
+    "QuarantineConfig",
+    "RegistryConfig",
+    "Relayed",
+    "ServiceRetryBudget",
+    "ServiceRetryBudgetConfig",
+    "RequestDigest",
+    "RequestQuarantine",
+    "Route",
+    "RouteConfiguration",
+    "RouteKind",
+    "RouteTable",
+    "GatewayCustomer",
+    "RoutesFetch",
+    "ServiceConfiguration",
+    "SuspectRequestReport",
+    "SuspectRequestsTold",
+    "UpstreamExit",
+    "UpstreamHealth",
+    "UpstreamHeartbeat",
+    "UpstreamPhase",
+    "UpstreamRegistry",
+    "UpstreamStart",
+    "Verdict",
+    "WeightedService",
+    "WorkChanged",
+    "WorkHeld",
+    "WorkGapDetector",
+    "admission_priority",
+    "choose_service",
+    "choose_upstream",
+    "configuration_problem",
+    "abandon_seconds",
+    "compress_configuration",
+    "decode_pass_seconds",
+    "place_prompt",
+    "suspect_report_problem",
+    "prefill_chunks",
+    "prefill_seconds",
+    "request_digest",
+    "decompress_configuration",
+    "answer_value",
+]
--- a/packages/core/src/cowslipshelf_core/internal/routed/plain_placing.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
@@ -14,21 +14,21 @@
 """Parts of the slots that another data centre counts for: it breaks ties only."""
 
 
-class PlainCandidate(NamedTuple):
+class UpstreamCandidate(NamedTuple):
     """Be an upstream that may be chosen."""
 
     upstream_id: UpstreamId
     slots: int
     running: int
     """Requests that this gateway has there."""
-    failing: float
+    failure_rate: float
     slowness: float
     avoided: bool
     near: bool
 
 
 def choose_upstream(
-    candidates: list[PlainCandidate], random: Random
+    candidates: list[UpstreamCandidate], random: Random
 ) -> UpstreamId | None:
     """Return the upstream that is likely to answer first, or nothing without any."""
     if not candidates:
@@ -37,10 +37,10 @@
     return min(shuffled, key=expected_cost).upstream_id
 
 
-def expected_cost(candidate: PlainCandidate) -> float:
+def expected_cost(candidate: UpstreamCandidate) -> float:
     """Return a cost that grows with load, failures, slowness and distance."""
     load = (candidate.running + 1) / max(1, candidate.slots)
-    cost = load * candidate.slowness + FAILING_COST * candidate.failing
+    cost = load * candidate.slowness + FAILING_COST * candidate.failure_rate
     if candidate.avoided:
         cost += AVOIDED_COST
     if not candidate.near:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -13,7 +13,7 @@
     Headers,
     OutgoingRequest,
 )
-from cowslipshelf_core.routed import RouteKind, UpstreamStart
+from cowslipshelf_core.gateway import RouteKind, UpstreamStart
 from cowslipshelf_daemon.internal.gateway.attempt_outcomes import (
     Answered,
     AttemptOutcome,
@@ -118,7 +118,7 @@
         """
         upstream = placement.upstream
         now = time.monotonic()
-        usual = self.view.times.longest_wait(upstream.service)
+        usual = self.view.times.answer_timeout(upstream.service)
         if placement.first_token_seconds is not None or usual is None:
             return
         if task.route.name not in self.view.times.answered_routes:
@@ -131,7 +131,7 @@
                 seconds=round(now - began, 3),
                 usual=round(usual, 3),
             )
-            self.view.health.lost(upstream.upstream_id, now)
+            self.view.health.record_lost(upstream.upstream_id, now)
 
     def learn(
         self, placement: Placement, outcome: AttemptOutcome, seconds: float
@@ -141,14 +141,14 @@
         now = time.monotonic()
         match outcome:
             case NotReached() | Broken() | NotRun(HTTPStatus.MISDIRECTED_REQUEST):
-                self.view.health.lost(upstream_id, now)
+                self.view.health.record_lost(upstream_id, now)
             case FailedThere():
-                self.view.health.answered(upstream_id, True, None, now)
+                self.view.health.record_answer(upstream_id, True, None, now)
             case NotRun():
-                self.view.health.answered(upstream_id, True, None, now)
+                self.view.health.record_answer(upstream_id, True, None, now)
             case Answered(pace=pace):
                 slowness = self.slowness_of(placement, pace, seconds)
-                self.view.health.answered(upstream_id, False, slowness, now)
+                self.view.health.record_answer(upstream_id, False, slowness, now)
 
     def slowness_of(
         self, placement: Placement, pace: StreamPace | None, seconds: float
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -104,7 +104,7 @@
         if now < self.status_due or self.view.table is None:
             return
         self.status_due = now + STATUS_SECONDS
-        if self.view.peers.wants_own_replica():
+        if self.view.peers.should_hold_replica():
             LOG.info("Replica wanted here.", replicas=self.replicas)
             self.view.peers.holds_replica = True
 
@@ -200,7 +200,7 @@
             return
         if now - self.started < FOUND_AFTER_SECONDS:
             return
-        if self.view.peers.founder() == settings.instance:
+        if self.view.peers.bootstrap_instance() == settings.instance:
             self.founded = True
             LOG.info("Cluster founded.", replicas=self.replicas)
             self.actor.tell(BootstrapCluster())
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from cowslipshelf_core.dialect import CallerFacts, Dialect
+from cowslipshelf_core.gateway import HeldBack, choose_service, request_digest
 from cowslipshelf_core.identifiers import ServiceName, UpstreamId
-from cowslipshelf_core.routed import HeldBack, choose_service, request_digest
 from cowslipshelf_daemon.internal.gateway.admission import (
     MOST_WAITED_SHARE,
     NOT_RUN,
@@ -226,7 +226,7 @@
     def may_repeat(self, service: ServiceName) -> bool:
         """Spend a repeat of the common budget."""
         now = time.monotonic()
-        return self.view.budget.allow_repeat(service, self.view.gateways(), now)
+        return self.view.budget.allow_retry(service, self.view.gateways(), now)
 
     async def attempt(
         self, task: AttemptTask, placement: Placement, progress: Progress
@@ -239,7 +239,7 @@
         # Until the outcome is known, the upstream may be running it: a timeout in
         # between must not be answered with the promise that it did not.
         ran_before, progress.may_have_run = progress.may_have_run, True
-        may_repeat = task.route.repeatable and progress.sent < task.route.most_attempts
+        may_repeat = task.route.repeatable and progress.sent < task.route.max_attempts
         patience = patience_of(
             task.route,
             placement.upstream.service,
@@ -393,6 +393,6 @@
         case NotReached():
             return progress.unreached < MOST_UNREACHED
         case NotRun():
-            return progress.sent < task.route.most_attempts
+            return progress.sent < task.route.max_attempts
         case _:
-            return task.route.repeatable and progress.sent < task.route.most_attempts
+            return task.route.repeatable and progress.sent < task.route.max_attempts
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from cowslipshelf_core.dialect import Dialect
+from cowslipshelf_core.gateway import RoutesFetch, decompress_configuration
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
-from cowslipshelf_core.routed import RoutesFetch, unpacked
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.post import Post
@@ -50,14 +50,14 @@
         """Ask somebody for a newer configuration, if it is time to."""
         now = time.monotonic()
         peers = self.view.peers
-        if self.fetch.is_awaited(lambda peer: peers.is_alive(peer, now), now):
+        if self.fetch.is_waiting(lambda peer: peers.is_alive(peer, now), now):
             return
         have = self.view.document.version
-        holders = peers.holders(have, now)
+        holders = peers.peers_with_newer(have, now)
         known = [peers.known[peer].alive for peer in holders]
         size = max((alive.routes_bytes for alive in known), default=0)
         waits = self.view.table is None
-        chosen = self.fetch.next_asked(holders, size, waits, now)
+        chosen = self.fetch.next_peer(holders, size, waits, now)
         if chosen is None:
             return
         LOG.info(
@@ -80,7 +80,7 @@
         elif sender != self.view.settings.instance:
             self.note_copy(sender, document)
         if document.body and self.take_routes(document):
-            self.fetch.came(len(document.body), time.monotonic())
+            self.fetch.note_received(len(document.body), time.monotonic())
 
     def note_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a copy of the configuration; those in vain fill links."""
@@ -99,7 +99,9 @@
         """Put a newer configuration in force and tell of it; return whether it is."""
         if document.version <= self.view.document.version:
             return False
-        read = unpacked(document.body).and_then(self.dialect.read_accepted)
+        read = decompress_configuration(document.body).and_then(
+            self.dialect.read_accepted
+        )
         if read.is_err():
             # It was checked before it was accepted; only a gateway of another
             # version can disagree, and it keeps what it has.
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.routed import EngineModel, PromptSize, leaves_after
+from cowslipshelf_core.gateway import EngineModel, PromptSize, abandon_seconds
 
 
 class Lengths(NamedTuple):
@@ -38,7 +38,7 @@
     @property
     def leave_seconds(self) -> float:
         """Return the silence after which a caller leaves."""
-        return leaves_after(self.objective_seconds, self.pause_seconds)
+        return abandon_seconds(self.objective_seconds, self.pause_seconds)
 
 
 class Fleet(NamedTuple):
@@ -76,10 +76,10 @@
     memory_tokens=405_000,
     steps_per_pass=34,
     step_seconds=1.31e-3,
-    step_seconds_per_writer=1.834e-6,
+    step_seconds_per_decode=1.834e-6,
     step_seconds_per_context_token=2.13e-9,
-    read_seconds_per_token=1 / 154_000,
-    seconds_per_pair=0.162e-9,
+    prefill_seconds_per_token=1 / 154_000,
+    prefill_seconds_per_pair=0.162e-9,
     chunk_tokens=2048,
 )
 GROWN_ENGINE = ENGINE._replace(slots=6, memory_tokens=344_250, steps_per_pass=38)
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
-from cowslipshelf_core.routed import (
-    Candidate,
-    EngineBoard,
+from cowslipshelf_core.gateway import (
+    EngineCandidate,
     EngineModel,
     EnginePart,
     EnginesChosen,
+    EngineTracker,
     EngineWork,
     NoEngine,
-    PromptAsked,
+    PromptToPlace,
     place_prompt,
 )
+from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
 
 
 @dataclass
@@ -26,10 +26,10 @@
     engines: tuple[UpstreamId, ...]
     model: EngineModel
     random: Random
-    board: EngineBoard = field(default_factory=EngineBoard)
+    board: EngineTracker = field(default_factory=EngineTracker)
 
     @abstractmethod
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose engines for a prompt."""
 
     def begin(self, work: EngineWork, owner: str, now: float) -> None:
@@ -48,9 +48,9 @@
 class LeastHarm(Policy):
     """Decide as the product's gateways do."""
 
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Weigh the prompt's lateness against the harm to all others."""
-        candidates = [Candidate(engine) for engine in self.engines]
+        candidates = [EngineCandidate(engine) for engine in self.engines]
         return place_prompt(asked, candidates, self.model, self.board, now, self.random)
 
 
@@ -61,10 +61,10 @@
     def pick(self) -> UpstreamId:
         """Choose the engine."""
 
-    def place(self, asked: PromptAsked, now: float) -> EnginesChosen | NoEngine:
+    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose one engine; what it can't hold is refused."""
         del now
-        tokens = asked.size.prompt_tokens + asked.size.most_output_tokens
+        tokens = asked.size.prompt_tokens + asked.size.max_output_tokens
         if tokens > self.model.memory_tokens:
             return NoEngine("too large for one engine", 1.0)
         part = EnginePart(self.pick(), 0.0, 1, True, tokens)
