--- a/packages/core/src/cowslipshelf_core/internal/directory/directory.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/directory.py
@@ -30,7 +30,7 @@
     Shown,
     UpstreamRecord,
 )
-from cowslipshelf_core.internal.standstill import StandstillWatch
+from cowslipshelf_core.internal.pause_detector import PauseDetector
 from cowslipshelf_core.messages import Announce, Suspect, Withdraw
 
 
@@ -39,7 +39,7 @@
     """Tell the router which upstreams may be given work, as one entry sees them."""
 
     config: DirectoryConfig
-    watch: StandstillWatch
+    watch: PauseDetector
     mass_loss: MassLossJudge
     records: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
     restless: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
@@ -53,7 +53,7 @@
     @classmethod
     def from_config(cls, config: DirectoryConfig) -> Self:
         """Start knowing no upstream."""
-        watch = StandstillWatch()
+        watch = PauseDetector()
         return cls(config, watch, MassLossJudge(config))
 
     def handle(self, event: DirectoryEvent, now: float) -> list[DirectoryEffect]:
@@ -134,7 +134,7 @@
 
     def _tick(self, now: float) -> list[DirectoryEffect]:
         standstill = self.watch.tick(now)
-        # See StandstillWatch: else the whole fleet would seem to have fallen silent.
+        # See PauseDetector: else the whole fleet would seem to have fallen silent.
         if standstill:
             self._prolong_leases(standstill, now)
         self._drop_forgotten(now)
--- a/packages/core/src/cowslipshelf_core/internal/standstill.py
+++ b/packages/core/src/cowslipshelf_core/internal/pause_detector.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-LEAST_STANDSTILL_SECONDS = 1.0
+MIN_PAUSE_SECONDS = 1.0
 """Four times the time between the ticks by which leases are looked at: with ticks that
 are later than that all the time, leases run slower than the clock. It has to be below
 every lease by more than the time between two messages that renew it: at 5 s, pauses of
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class StandstillWatch:
+class PauseDetector:
     """Measure how long this process stood still between ticks.
 
     A process that was frozen, or starved of processor time, finds on waking that every
@@ -20,7 +20,7 @@
     dead end even where every tick is late.
     """
 
-    least_seconds: float = LEAST_STANDSTILL_SECONDS
+    least_seconds: float = MIN_PAUSE_SECONDS
     """Only what is beyond so long a gap between ticks counts as a standstill."""
     ticked_at: float | None = None
 
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/owners.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/owners.py
@@ -4,8 +4,8 @@
 from typing import Self
 
 from cowslipshelf_core.identifiers import InstanceId
+from cowslipshelf_core.internal.pause_detector import PauseDetector
 from cowslipshelf_core.internal.sidecar.config import SidecarConfig
-from cowslipshelf_core.internal.standstill import StandstillWatch
 
 
 @dataclass
@@ -13,13 +13,13 @@
     """Know which owners were heard of lately."""
 
     config: SidecarConfig
-    watch: StandstillWatch
+    watch: PauseDetector
     seen: dict[InstanceId, float] = field(default_factory=dict)
 
     @classmethod
     def from_config(cls, config: SidecarConfig) -> Self:
         """Start knowing no owner."""
-        return cls(config, StandstillWatch())
+        return cls(config, PauseDetector())
 
     def renew(self, owner: InstanceId, now: float) -> None:
         """Prolong an owner's lease."""
@@ -28,7 +28,7 @@
     def tick(self, now: float) -> list[InstanceId]:
         """Return the owners whose leases have ended since the last tick."""
         standstill = self.watch.tick(now)
-        # See StandstillWatch: live owners' messages may still wait to be read.
+        # See PauseDetector: live owners' messages may still wait to be read.
         if standstill:
             for owner, seen_at in self.seen.items():
                 self.seen[owner] = min(now, seen_at + standstill)
