--- a/benchmarks/slopes/announcers.py
+++ b/benchmarks/slopes/announcers.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from cowslipshelf_core.announcing import EntryPlace, roster_digest
+from cowslipshelf_core.announcing import EntryEndpoint, roster_digest
 from cowslipshelf_core.identifiers import NO_CONFIGURATION
 from cowslipshelf_core.messages import AnnounceAnswer
 from cowslipshelf_daemon.internal.wire import MailboxMessage
@@ -39,7 +39,9 @@
         """Take in the list of an answer that brings one."""
         match received.message:
             case AnnounceAnswer(entries=entries) if entries:
-                self.digest = roster_digest([EntryPlace(*entry) for entry in entries])
+                self.digest = roster_digest(
+                    [EntryEndpoint(*entry) for entry in entries]
+                )
 
 
 def started_mailbox(number: int, pace: Pace, roster: Roster) -> Mailbox:
--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/deciders.py
@@ -7,7 +7,7 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
+    EntryEndpoint,
     roster_digest,
 )
 from cowslipshelf_core.directory import (
@@ -192,7 +192,7 @@
 def measure_announcing(entries: int, repeats: int) -> list[list[Reading]]:
     """Time how a sidecar chooses entries, and how lists of entries are compared."""
     places = [
-        EntryPlace(f"coruche-hall-entry-{n:03}", f"10.20.30.40:{10_000 + n}")
+        EntryEndpoint(f"coruche-hall-entry-{n:03}", f"10.20.30.40:{10_000 + n}")
         for n in range(entries)
     ]
     config = EntryChooserConfig(description(0).upstream_id)
--- a/packages/core/src/cowslipshelf_core/announcing.py
+++ b/packages/core/src/cowslipshelf_core/announcing.py
@@ -10,7 +10,7 @@
 RANK_BYTES = 8
 
 
-class EntryPlace(NamedTuple):
+class EntryEndpoint(NamedTuple):
     """Be an entry instance and the address of its mailbox."""
 
     instance: InstanceId
@@ -18,8 +18,8 @@
 
 
 def choose_entries(
-    upstream_id: UpstreamId, entries: Collection[EntryPlace], most: int
-) -> tuple[EntryPlace, ...]:
+    upstream_id: UpstreamId, entries: Collection[EntryEndpoint], most: int
+) -> tuple[EntryEndpoint, ...]:
     """Choose at most `most` entries, spread evenly over all upstreams.
 
     Each upstream ranks the entries by a hash of both names (rendezvous hashing), so an
@@ -36,7 +36,7 @@
     return blake2b(text, digest_size=RANK_BYTES).digest()
 
 
-def roster_digest(entries: Collection[EntryPlace]) -> str:
+def roster_digest(entries: Collection[EntryEndpoint]) -> str:
     """Return a digest by which two lists of entries can be told apart."""
     digest = blake2b(digest_size=RANK_BYTES)
     for entry in sorted(entries):
@@ -59,7 +59,7 @@
 class Contact:
     """Be what is known of one entry; times in monotonic seconds."""
 
-    place: EntryPlace
+    place: EntryEndpoint
     asked_since: float | None = None
     """When it was first announced to without an answer since."""
 
@@ -84,14 +84,14 @@
 
     @classmethod
     def from_config(
-        cls, config: EntryChooserConfig, entries: Iterable[EntryPlace]
+        cls, config: EntryChooserConfig, entries: Iterable[EntryEndpoint]
     ) -> Self:
         """Start with the entries of the settings."""
         chooser = cls(config)
         chooser.learn(entries)
         return chooser
 
-    def learn(self, entries: Iterable[EntryPlace]) -> None:
+    def learn(self, entries: Iterable[EntryEndpoint]) -> None:
         """Add entries that another one named."""
         known = len(self.contacts)
         for place in entries:
@@ -107,7 +107,7 @@
         if contact is not None:
             contact.asked_since = None
 
-    def targets(self, now: float) -> tuple[EntryPlace, ...]:
+    def targets(self, now: float) -> tuple[EntryEndpoint, ...]:
         """Choose the entries to announce to now, and count them as asked."""
         heard = [
             contact.place
--- a/packages/core/src/cowslipshelf_core/chosen_upstream.py
+++ b/packages/core/src/cowslipshelf_core/chosen_upstream.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId, Epoch, UpstreamId
-from cowslipshelf_core.prompt_parts import PartPlace
+from cowslipshelf_core.prompt_parts import PartAssignment
 
 
 class ChosenUpstream(NamedTuple):
@@ -20,7 +20,7 @@
     """Lower is served first."""
     load_sequence: int = 0
     """`LoadReport.sequence` on which the choice was based; see `HandOver`."""
-    helpers: tuple[PartPlace, ...] = ()
+    helpers: tuple[PartAssignment, ...] = ()
     """Who prefills the prompt before `from_token`, in token order.
 
     That is also the order of their upstream ids, and this upstream's comes last.
--- a/packages/core/src/cowslipshelf_core/internal/routing/spreading.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/spreading.py
@@ -6,7 +6,7 @@
 from cowslipshelf_core.internal.routing.cost import RequestCost
 from cowslipshelf_core.internal.routing.fleet import Group
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
-from cowslipshelf_core.prompt_parts import PartPlace
+from cowslipshelf_core.prompt_parts import PartAssignment
 
 USUAL_MEMORY_SHARE = 0.8
 """Part of each upstream's memory that a spread prompt takes where enough upstreams
@@ -20,7 +20,7 @@
     last: UpstreamView
     from_token: int
     """Where the last one's part begins."""
-    helpers: tuple[PartPlace, ...]
+    helpers: tuple[PartAssignment, ...]
 
     @property
     def reason(self) -> str:
@@ -89,9 +89,9 @@
     return Spread(views[-1], start, tuple(helpers))
 
 
-def place_of(view: UpstreamView, start: int, end: int) -> PartPlace:
+def place_of(view: UpstreamView, start: int, end: int) -> PartAssignment:
     """Say where a part goes."""
-    return PartPlace(
+    return PartAssignment(
         view.description.upstream_id,
         view.epoch,
         view.description.attempts_address,
--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -40,7 +40,7 @@
     TimePassed,
 )
 from cowslipshelf_core.messages import AttemptRefused
-from cowslipshelf_core.prompt_parts import KvReference, PartPlace
+from cowslipshelf_core.prompt_parts import KvReference, PartAssignment
 from cowslipshelf_core.upstream import HandOver, LoadReport
 
 STEP = "spread"
@@ -183,7 +183,7 @@
         self.handed_over.append(self.hand_over._replace(deadline_seconds=left))
         return [HandOverPart(self.chosen.attempts_address, self.handed_over[-1])]
 
-    def build_part(self, place: PartPlace, index: int, left: float) -> HandOver:
+    def build_part(self, place: PartAssignment, index: int, left: float) -> HandOver:
         """Build the hand-over of a helper's part; prefill only, so it is idempotent."""
         last_id = self.hand_over.attempt_id
         return self.hand_over._replace(
--- a/packages/core/src/cowslipshelf_core/prompt_parts.py
+++ b/packages/core/src/cowslipshelf_core/prompt_parts.py
@@ -15,7 +15,7 @@
     to_token: int
 
 
-class PartPlace(NamedTuple):
+class PartAssignment(NamedTuple):
     """Tell which engine prefills a part of a prompt for another engine."""
 
     upstream_id: UpstreamId
--- a/packages/daemon/src/cowslipshelf_daemon/internal/post.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/post.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from typing import NamedTuple
 
-from cowslipshelf_core.announcing import EntryPlace, roster_digest
+from cowslipshelf_core.announcing import EntryEndpoint, roster_digest
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import Message
 from cowslipshelf_fleet.mailboxes import Mailbox
@@ -44,7 +44,7 @@
             if self.addresses.get(instance) == address:
                 return
             self.addresses[instance] = address
-            places = [EntryPlace(*entry) for entry in self.addresses.items()]
+            places = [EntryEndpoint(*entry) for entry in self.addresses.items()]
             self.roster = roster_digest(places)
 
     def entries(self) -> tuple[tuple[InstanceId, str], ...]:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
+    EntryEndpoint,
 )
 from cowslipshelf_core.configuration_view import (
     ApplyConfiguration,
@@ -131,7 +131,8 @@
         silent_seconds=settings.timings.lease_seconds,
     )
     entries = [
-        EntryPlace(entry.instance, entry.mailbox_address) for entry in settings.entries
+        EntryEndpoint(entry.instance, entry.mailbox_address)
+        for entry in settings.entries
     ]
     return EntryChooser.from_config(config, entries)
 
@@ -319,7 +320,7 @@
         self.look_at_configuration(seen, now)
         match received.message:
             case AnnounceAnswer(entries=entries):
-                self.chooser.learn(EntryPlace(*entry) for entry in entries)
+                self.chooser.learn(EntryEndpoint(*entry) for entry in entries)
                 self.chooser.answered(received.sender_address)
             case ConfigurationSnapshot() as snapshot:
                 arrived = SnapshotArrived(snapshot, received.sender_address)
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.messages import NeverRan
-from cowslipshelf_core.prompt_parts import KvReference, PartPlace
+from cowslipshelf_core.prompt_parts import KvReference, PartAssignment
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
     CancelArrived,
@@ -227,7 +227,7 @@
         self.last_id = AttemptId(f"{self.owner}-last-{self.placements}")
         states = [self.world.upstreams[f"runner-{n}"].state for n in self.numbers]
         places = [
-            PartPlace(
+            PartAssignment(
                 state.config.description.upstream_id,
                 state.config.epoch,
                 state.config.description.upstream_id,
--- a/tests/cover/announcing/test_choosing.py
+++ b/tests/cover/announcing/test_choosing.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
+    EntryEndpoint,
     choose_entries,
     roster_digest,
 )
@@ -17,8 +17,8 @@
 MOST = st.integers(1, 12)
 
 
-def places(names: set[str]) -> list[EntryPlace]:
-    return [EntryPlace(name, f"10.0.0.1:{len(name)}") for name in names]
+def places(names: set[str]) -> list[EntryEndpoint]:
+    return [EntryEndpoint(name, f"10.0.0.1:{len(name)}") for name in names]
 
 
 @given(names=NAMES, most=MOST, newcomer=st.text("xyz", min_size=1, max_size=4))
@@ -64,7 +64,7 @@
     The dead ones still stand in the list that a sidecar announces to. Those that come
     back under the same address are used again.
     """
-    entries = [EntryPlace(name, f"10.0.0.1:{name}") for name in names]
+    entries = [EntryEndpoint(name, f"10.0.0.1:{name}") for name in names]
     dead = set(data.draw(st.lists(st.sampled_from(entries), max_size=len(names) - 1)))
     config = EntryChooserConfig("runner", most_entries=3)
     chooser = EntryChooser.from_config(config, entries)
