--- a/packages/core/src/cowslipshelf_core/directory.py
+++ b/packages/core/src/cowslipshelf_core/directory.py
@@ -16,8 +16,8 @@
     MassLossBegan,
     MassLossEnded,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     TickElapsed,
     WithdrawArrived,
 )
@@ -34,7 +34,7 @@
     "MassLossEnded",
     "ObserversChanged",
     "SuspectArrived",
-    "TellEntries",
+    "SendSuspicion",
     "TickElapsed",
     "UnavailableReason",
     "UpstreamAvailable",
--- a/packages/core/src/cowslipshelf_core/internal/directory/directory.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/directory.py
@@ -18,8 +18,8 @@
     DirectoryEvent,
     DrainingChanged,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     TickElapsed,
     WithdrawArrived,
 )
@@ -217,7 +217,7 @@
             if record.silent_since is not None and rested:
                 record.told_at = now
                 silence = now - record.heard_at
-                effects.append(TellEntries(Suspect(name, record.epoch, silence)))
+                effects.append(SendSuspicion(Suspect(name, record.epoch, silence)))
         return effects
 
     def _unavailable_reason(
--- a/packages/core/src/cowslipshelf_core/internal/directory/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/events.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellEntries:
+class SendSuspicion:
     """Send a suspicion to all other entry instances."""
 
     suspect: Suspect
@@ -91,7 +91,7 @@
     UpstreamAvailable
     | UpstreamUnavailable
     | LoadUpdated
-    | TellEntries
+    | SendSuspicion
     | MassLossBegan
     | MassLossEnded
 )
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
@@ -17,11 +17,11 @@
 from cowslipshelf_core.internal.sidecar.costs import CostEstimator, HotPrefixes
 from cowslipshelf_core.internal.sidecar.effects import (
     CancelAtUpstream,
+    DropFrames,
     EndAttempt,
-    ForgetAttempt,
+    ReportReserved,
     SidecarEffect,
     StartAttempt,
-    TellReserved,
 )
 from cowslipshelf_core.internal.sidecar.memory import MemoryLedger
 from cowslipshelf_core.internal.sidecar.spent import Fate, SpentAttempts
@@ -111,12 +111,12 @@
     def _fits_now(self, hand_over: HandOver) -> bool:
         return not self.memory.is_bounded or self.memory.fits(tokens_needed(hand_over))
 
-    def _start(self, attempt: Attempt, now: float) -> StartAttempt | TellReserved:
+    def _start(self, attempt: Attempt, now: float) -> StartAttempt | ReportReserved:
         self.waiting.remove(attempt)
         self.memory.reserve(attempt.attempt_id, tokens_needed(attempt.hand_over))
         if attempt.hand_over.is_spread:
             attempt.phase = AttemptPhase.RESERVED
-            return TellReserved(attempt.attempt_id)
+            return ReportReserved(attempt.attempt_id)
         return self._give(attempt, (), now)
 
     def begin(
@@ -190,7 +190,7 @@
             return []
         oldest = next(iter(self.finished))
         del self.finished[oldest]
-        return [ForgetAttempt(oldest)]
+        return [DropFrames(oldest)]
 
     def tombstone(self, attempt: Attempt) -> None:
         """Make sure that an attempt which was not given never starts."""
@@ -278,4 +278,4 @@
         over = [name for name, until in self.finished.items() if until <= now]
         for name in over:
             del self.finished[name]
-        return [ForgetAttempt(name) for name in over]
+        return [DropFrames(name) for name in over]
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/effects.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/effects.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellReserved:
+class ReportReserved:
     """Tell the owner that memory is reserved for a part of a spread prompt."""
 
     attempt_id: AttemptId
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForgetAttempt:
+class DropFrames:
     """Drop the frames of a finished attempt: nobody may read them any more."""
 
     attempt_id: AttemptId
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveOrder:
+class RunOrder:
     """Give the upstream an order; `OrderFinished` must follow."""
 
     order: FencedOrder
@@ -105,28 +105,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskFencing:
+class RequestFencing:
     """Ask a quorum for the upstream's newest fencing number."""
 
     upstream_id: UpstreamId
 
 
 @dataclass(frozen=True, slots=True)
-class LeftForGood:
+class LeavingFinished:
     """Say that nothing runs here any more and nothing ever will."""
 
 
 SidecarEffect = (
     StartAttempt
-    | TellReserved
+    | ReportReserved
     | RefuseAttempt
     | EndAttempt
     | CancelAtUpstream
     | ReleaseAtUpstream
-    | ForgetAttempt
+    | DropFrames
     | AnswerRevoke
-    | GiveOrder
+    | RunOrder
     | RefuseOrder
-    | AskFencing
-    | LeftForGood
+    | RequestFencing
+    | LeavingFinished
 )
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeavingBegun:
+class LeavingStarted:
     """Begin to leave for good: no new work, running work finishes."""
 
 
@@ -152,7 +152,7 @@
     | OwnerSeen
     | InventoryRead
     | ConfigurationApplied
-    | LeavingBegun
+    | LeavingStarted
     | OrderArrived
     | FencingConfirmed
     | OrderFinished
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
@@ -5,10 +5,10 @@
 from cowslipshelf_core.identifiers import FencingNumber
 from cowslipshelf_core.internal.sidecar.config import SidecarConfig
 from cowslipshelf_core.internal.sidecar.effects import (
-    AskFencing,
-    GiveOrder,
     OrderRefusalReason,
     RefuseOrder,
+    RequestFencing,
+    RunOrder,
     SidecarEffect,
 )
 from cowslipshelf_core.internal.sidecar.events import FencedOrder
@@ -87,7 +87,7 @@
         if self.pending is None or not rested:
             return []
         self.asked_at = now
-        return [AskFencing(self.config.description.upstream_id)]
+        return [RequestFencing(self.config.description.upstream_id)]
 
     def refuse_pending(self) -> list[SidecarEffect]:
         """Refuse what waits, because the upstream leaves."""
@@ -97,10 +97,10 @@
             return []
         return [RefuseOrder(order, OrderRefusalReason.LEAVING, self.newest)]
 
-    def _give(self, order: FencedOrder) -> GiveOrder:
+    def _give(self, order: FencedOrder) -> RunOrder:
         self.running = order
         self.given = order.fencing
-        return GiveOrder(order)
+        return RunOrder(order)
 
     def _refuse_old(self, order: FencedOrder) -> RefuseOrder:
         return RefuseOrder(order, OrderRefusalReason.OLD_NUMBER, self.newest)
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
@@ -12,7 +12,7 @@
 from cowslipshelf_core.internal.sidecar.config import SidecarConfig
 from cowslipshelf_core.internal.sidecar.effects import (
     AnswerRevoke,
-    LeftForGood,
+    LeavingFinished,
     RefuseAttempt,
     ReleaseAtUpstream,
     SidecarEffect,
@@ -25,7 +25,7 @@
     HandOverArrived,
     HeldMemory,
     InventoryRead,
-    LeavingBegun,
+    LeavingStarted,
     OrderArrived,
     OrderFinished,
     OwnerSeen,
@@ -139,7 +139,7 @@
                 return self._compare(held, now)
             case ConfigurationApplied(configuration):
                 self._apply(configuration)
-            case LeavingBegun():
+            case LeavingStarted():
                 self.leaving = True
                 return self.orders.refuse_pending()
             case OrderArrived(order):
@@ -300,4 +300,4 @@
         if busy or self.left:
             return []
         self.left = True
-        return [LeftForGood()]
+        return [LeavingFinished()]
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -17,8 +17,8 @@
     MassLossBegan,
     MassLossEnded,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     UpstreamAvailable,
     UpstreamUnavailable,
     WithdrawArrived,
@@ -341,7 +341,7 @@
         """Give the directory an event and pass on what it says."""
         for effect in self.directory.handle(event, now):
             match effect:
-                case TellEntries(suspect):
+                case SendSuspicion(suspect):
                     self.post.tell_other_entries(suspect)
                 case MassLossBegan(silent, known):
                     LOG.warning("most upstreams silent", silent=silent, known=known)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -38,19 +38,17 @@
 from cowslipshelf_core.prompt_parts import KvReference
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
-    AskFencing,
     CancelArrived,
     CancelAtUpstream,
     ConfigurationApplied,
+    DropFrames,
     EndAttempt,
     FencingConfirmed,
     FirstTokenArrived,
-    ForgetAttempt,
-    GiveOrder,
     HandOverArrived,
     InventoryRead,
-    LeavingBegun,
-    LeftForGood,
+    LeavingFinished,
+    LeavingStarted,
     OrderArrived,
     OrderFinished,
     OwnerSeen,
@@ -58,11 +56,13 @@
     RefuseAttempt,
     RefuseOrder,
     ReleaseAtUpstream,
+    ReportReserved,
+    RequestFencing,
+    RunOrder,
     SidecarEffect,
     SidecarEvent,
     SidecarState,
     StartAttempt,
-    TellReserved,
     TickElapsed,
     UpstreamAccepted,
     UpstreamFinished,
@@ -178,7 +178,7 @@
             case LeaveAsked():
                 self.leave = message
                 LOG.info("leaving", upstream=self.description.upstream_id)
-                self.decide(LeavingBegun(), now)
+                self.decide(LeavingStarted(), now)
                 self.announce(now)
             case UpstreamFinished(attempt_id=attempt_id):
                 self.runners.pop(attempt_id, None)
@@ -248,22 +248,22 @@
         match effect:
             case StartAttempt(hand_over, parts):
                 self.start_attempt(hand_over, parts)
-            case TellReserved(attempt_id):
+            case ReportReserved(attempt_id):
                 self.attempts.find(attempt_id).append(AttemptReserved())
             case EndAttempt(attempt_id, refusal):
                 self.end_attempt(attempt_id, refusal)
             case CancelAtUpstream(attempt_id) | ReleaseAtUpstream(attempt_id):
                 self.cancel_at_upstream(attempt_id)
-            case ForgetAttempt(attempt_id):
+            case DropFrames(attempt_id):
                 self.attempts.forget(attempt_id)
-            case LeftForGood():
+            case LeavingFinished():
                 self.left_for_good()
-            case GiveOrder(order):
+            case RunOrder(order):
                 LOG.info("order given", order=order.order_id, fencing=order.fencing)
                 OrderRunner(order, self.orders).start()
             case RefuseOrder(order, reason, newest):
                 LOG.info("order refused", order=order.order_id, why=reason, new=newest)
-            case AskFencing():
+            case RequestFencing():
                 self.ask_fencing()
 
     def start_attempt(
--- a/tests/common/matrix_fleet.py
+++ b/tests/common/matrix_fleet.py
@@ -22,13 +22,13 @@
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
     CancelAtUpstream,
+    DropFrames,
     EndAttempt,
     FirstTokenArrived,
-    ForgetAttempt,
     HandOverArrived,
     HeldMemory,
     InventoryRead,
-    LeavingBegun,
+    LeavingStarted,
     OwnerSeen,
     RefuseAttempt,
     ReleaseAtUpstream,
@@ -271,7 +271,7 @@
 
     def leave(self) -> None:
         self.left_at = self.timeline.now
-        self.decide(LeavingBegun())
+        self.decide(LeavingStarted())
 
     def drain(self) -> None:
         """Put a configuration in force that drains this upstream, for good."""
@@ -359,7 +359,7 @@
                     runner.cancelled = True
                 cancel = self.engine.cancel
                 self.call_engine(lambda: cancel(attempt_id), lambda: None)
-            case ForgetAttempt(attempt_id):
+            case DropFrames(attempt_id):
                 self.frames.pop(attempt_id, None)
 
     def append(self, attempt_id: AttemptId, frame: Frame) -> None:
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -23,11 +23,11 @@
     PartsArrived,
     RefuseAttempt,
     ReleaseAtUpstream,
+    ReportReserved,
     RevokeArrived,
     SidecarConfig,
     SidecarState,
     StartAttempt,
-    TellReserved,
     TickElapsed,
     UpstreamFinished,
 )
@@ -122,7 +122,7 @@
         answers = []
         for effect in upstream.state.handle(event, self.now):
             match effect:
-                case TellReserved(attempt_id):
+                case ReportReserved(attempt_id):
                     self.frames[attempt_id].append(PartReserved(attempt_id))
                 case StartAttempt(given):
                     assert given.attempt_id not in self.started
--- a/tests/cover/sidecar/test_orders.py
+++ b/tests/cover/sidecar/test_orders.py
@@ -14,11 +14,11 @@
 
 from common.sidecars import sidecar
 from cowslipshelf_core.sidecar import (
-    AskFencing,
     FencingConfirmed,
-    GiveOrder,
     OrderArrived,
     OrderFinished,
+    RequestFencing,
+    RunOrder,
     TickElapsed,
 )
 
@@ -75,9 +75,9 @@
     def take(self, event):
         for effect in self.state.handle(event, self.now):
             match effect:
-                case AskFencing():
+                case RequestFencing():
                     self.asked = True
-                case GiveOrder(order):
+                case RunOrder(order):
                     assert self.asked
                     assert self.running is None
                     assert order.fencing >= self.given
--- a/tests/cover/sidecar/test_promises.py
+++ b/tests/cover/sidecar/test_promises.py
@@ -26,7 +26,7 @@
     HandOverArrived,
     HeldMemory,
     InventoryRead,
-    LeavingBegun,
+    LeavingStarted,
     OwnerSeen,
     RefuseAttempt,
     ReleaseAtUpstream,
@@ -174,7 +174,7 @@
             case "restart":
                 self.restart()
             case "leave":
-                self.take(LeavingBegun())
+                self.take(LeavingStarted())
             case "allow":
                 self.take(ConfigurationApplied(configuration(self.version)))
             case "forbid":
--- a/tests/cover/sidecar/test_work.py
+++ b/tests/cover/sidecar/test_work.py
@@ -12,8 +12,8 @@
     HandOverArrived,
     HeldMemory,
     InventoryRead,
-    LeavingBegun,
-    LeftForGood,
+    LeavingFinished,
+    LeavingStarted,
     OwnerSeen,
     RefuseAttempt,
     ReleaseAtUpstream,
@@ -92,17 +92,17 @@
     open_names = []
     for name in names:
         open_names += started(state.handle(HandOverArrived(hand_over(name)), 0.0))
-    effects = state.handle(LeavingBegun(), 1.0)
+    effects = state.handle(LeavingStarted(), 1.0)
     refusal = state.handle(HandOverArrived(hand_over("late")), 1.0)[0]
     assert isinstance(refusal, RefuseAttempt)
     assert refusal.refused.refusal.code is RefusalCode.NOT_RUN
     assert refusal.refused.refusal.reason is RefusalReason.LEAVING
     while open_names:
-        assert LeftForGood() not in effects
+        assert LeavingFinished() not in effects
         ended = UpstreamFinished(open_names.pop(), True)
         effects = state.handle(ended, 2.0)
         open_names += started(effects)
-    assert effects.count(LeftForGood()) == 1
+    assert effects.count(LeavingFinished()) == 1
     assert state.handle(TickElapsed(), 3.0) == []
 
 
--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -14,9 +14,9 @@
     HandOverArrived,
     OwnerSeen,
     PartsArrived,
+    ReportReserved,
     RevokeArrived,
     StartAttempt,
-    TellReserved,
     TickElapsed,
     UpstreamFinished,
 )
@@ -65,7 +65,7 @@
     (refused_again,) = state.handle(HandOverArrived(plain), 0.0)
     assert refused_again.refused.refusal.reason is RefusalReason.TOMBSTONED
     copied = state.handle(HandOverArrived(spread), 0.0)
-    assert copied == [TellReserved("last")]
+    assert copied == [ReportReserved("last")]
     revoked = RevokeArrived("last", spread.sidecar_epoch, spread.load_sequence)
     assert state.handle(revoked, 0.0) == [AnswerRevoke(NeverRan("last"))]
     assert state.handle(PartsArrived("last", ()), 0.0) == []
@@ -118,7 +118,7 @@
         to_token=80 if part else None,
         non_idempotent=non_idempotent,
     )
-    assert state.handle(HandOverArrived(given), 0.0) == [TellReserved("last")]
+    assert state.handle(HandOverArrived(given), 0.0) == [ReportReserved("last")]
     assert state.table.memory.reserved_tokens > 0
     now = 1.0
     match ending:
@@ -139,7 +139,7 @@
     for _ in range(late):
         effects += state.handle(PartsArrived("last", ()), now)
         effects += state.handle(HandOverArrived(given), now)
-    assert not any(isinstance(each, StartAttempt | TellReserved) for each in effects)
+    assert not any(isinstance(each, StartAttempt | ReportReserved) for each in effects)
     (answered,) = state.handle(RevokeArrived("last", "start-1", 1), now)
     assert answered.answer == NeverRan("last")
 
