--- a/benchmarks/slopes/announcers.py
+++ b/benchmarks/slopes/announcers.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from cowslipshelf_core.announcing import EntryEndpoint, roster_digest
+from cowslipshelf_core.announcing import EntryEndpoint, digest_entries
 from cowslipshelf_core.identifiers import NO_CONFIGURATION
 from cowslipshelf_core.messages import AnnounceAnswer
 from cowslipshelf_daemon.internal.wire import MailboxMessage
@@ -39,7 +39,7 @@
         """Take in the list of an answer that brings one."""
         match received.message:
             case AnnounceAnswer(entries=entries) if entries:
-                self.digest = roster_digest(
+                self.digest = digest_entries(
                     [EntryEndpoint(*entry) for entry in entries]
                 )
 
--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/deciders.py
@@ -8,7 +8,7 @@
     EntryChooser,
     EntryChooserConfig,
     EntryEndpoint,
-    roster_digest,
+    digest_entries,
 )
 from cowslipshelf_core.directory import (
     AnnounceArrived,
@@ -202,7 +202,7 @@
         chooser.targets(0.0)
 
     def digest(_: int) -> None:
-        roster_digest(places)
+        digest_entries(places)
 
     return repeated(repeats, {"choice": choice, "digest of the list": digest})
 
--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -71,7 +71,7 @@
 ) -> Announce:
     """Announce one of many engines."""
     described, report = description(number), load(sequence)
-    return Announce(described, EPOCH, lease_seconds, report, roster=roster)
+    return Announce(described, EPOCH, lease_seconds, report, entries_digest=roster)
 
 
 def configuration(customers: int, version: int = 1) -> FleetConfiguration:
--- a/packages/core/src/cowslipshelf_core/announcing.py
+++ b/packages/core/src/cowslipshelf_core/announcing.py
@@ -36,7 +36,7 @@
     return blake2b(text, digest_size=RANK_BYTES).digest()
 
 
-def roster_digest(entries: Collection[EntryEndpoint]) -> str:
+def digest_entries(entries: Collection[EntryEndpoint]) -> str:
     """Return a digest by which two lists of entries can be told apart."""
     digest = blake2b(digest_size=RANK_BYTES)
     for entry in sorted(entries):
@@ -79,7 +79,7 @@
     config: EntryChooserConfig
     contacts: dict[str, Contact] = field(default_factory=dict)
     """By mailbox address."""
-    roster: str = roster_digest(())
+    entries_digest: str = digest_entries(())
     """Digest of the entries known; each announcement carries it."""
 
     @classmethod
@@ -97,7 +97,7 @@
         for place in entries:
             self.contacts.setdefault(place.mailbox_address, Contact(place))
         if len(self.contacts) != known:
-            self.roster = roster_digest(
+            self.entries_digest = digest_entries(
                 [contact.place for contact in self.contacts.values()]
             )
 
--- a/packages/core/src/cowslipshelf_core/messages.py
+++ b/packages/core/src/cowslipshelf_core/messages.py
@@ -39,7 +39,7 @@
     load: LoadReport
     leaving: bool = False
     """Whether it takes no new work, for good or until its upstream answers again."""
-    roster: str = ""
+    entries_digest: str = ""
     """Digest of the entries that the sidecar knows."""
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -328,7 +328,9 @@
     def answer_announcement(self, announce: Announce, address: str) -> None:
         """Tell a sidecar which entries there are."""
         upstream_id = announce.description.upstream_id
-        news = () if announce.roster == self.post.roster else self.post.entries()
+        news = (
+            () if announce.entries_digest == self.post.roster else self.post.entries()
+        )
         answer = AnnounceAnswer(upstream_id, news)
         self.post.send(address, answer)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/post.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/post.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from typing import NamedTuple
 
-from cowslipshelf_core.announcing import EntryEndpoint, roster_digest
+from cowslipshelf_core.announcing import EntryEndpoint, digest_entries
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import Message
 from cowslipshelf_fleet.mailboxes import Mailbox
@@ -45,7 +45,7 @@
                 return
             self.addresses[instance] = address
             places = [EntryEndpoint(*entry) for entry in self.addresses.items()]
-            self.roster = roster_digest(places)
+            self.roster = digest_entries(places)
 
     def entries(self) -> tuple[tuple[InstanceId, str], ...]:
         """List the entry instances known, this one included."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -376,7 +376,7 @@
             timings.lease_seconds,
             self.state.load_report(),
             leaving=not self.state.takes_work,
-            roster=self.chooser.roster,
+            entries_digest=self.chooser.entries_digest,
         )
         for entry in self.chooser.targets(now):
             self.mailbox.send(entry.mailbox_address, announcement)
--- a/tests/cover/announcing/test_choosing.py
+++ b/tests/cover/announcing/test_choosing.py
@@ -10,7 +10,7 @@
     EntryChooserConfig,
     EntryEndpoint,
     choose_entries,
-    roster_digest,
+    digest_entries,
 )
 
 NAMES = st.sets(st.text("abcdef-0123456789", min_size=1, max_size=8), max_size=40)
@@ -51,7 +51,7 @@
 @given(names=NAMES, other=NAMES)
 def test_lists_of_entries_have_one_digest_just_if_they_are_equal(names, other):
     equal = sorted(places(names)) == sorted(places(other))
-    same = roster_digest(places(names)) == roster_digest(places(other)[::-1])
+    same = digest_entries(places(names)) == digest_entries(places(other)[::-1])
     assert same is equal
 
 
