--- a/packages/core/src/cowslipshelf_core/announcing.py
+++ b/packages/core/src/cowslipshelf_core/announcing.py
@@ -18,16 +18,16 @@
 
 
 def choose_entries(
-    upstream_id: UpstreamId, entries: Collection[EntryEndpoint], most: int
+    upstream_id: UpstreamId, entries: Collection[EntryEndpoint], limit: int
 ) -> tuple[EntryEndpoint, ...]:
-    """Choose at most `most` entries, spread evenly over all upstreams.
+    """Choose at most `limit` entries, spread evenly over all upstreams.
 
     Each upstream ranks the entries by a hash of both names (rendezvous hashing), so an
     entry that comes or goes moves only those upstreams that choose it. Hearing every
     upstream would cost an entry in proportion to the whole fleet.
     """
     ranked = sorted(entries, key=lambda entry: rank(upstream_id, entry.instance))
-    return tuple(ranked[:most])
+    return tuple(ranked[:limit])
 
 
 def rank(upstream_id: UpstreamId, instance: InstanceId) -> bytes:
@@ -48,8 +48,8 @@
     """Set how many entries hear of an upstream, and when one counts as gone."""
 
     upstream_id: UpstreamId
-    most_entries: int = 8
-    silent_seconds: float = 3.0
+    max_entries: int = 8
+    answer_timeout_seconds: float = 3.0
     """Time without an answer after which another entry takes the place of one."""
     retry_seconds: float = 30.0
     """Time after which a silent entry is tried again."""
@@ -88,10 +88,10 @@
     ) -> Self:
         """Start with the entries of the settings."""
         chooser = cls(config)
-        chooser.learn(entries)
+        chooser.add(entries)
         return chooser
 
-    def learn(self, entries: Iterable[EntryEndpoint]) -> None:
+    def add(self, entries: Iterable[EntryEndpoint]) -> None:
         """Add entries that another one named."""
         known = len(self.contacts)
         for place in entries:
@@ -101,7 +101,7 @@
                 [contact.place for contact in self.contacts.values()]
             )
 
-    def answered(self, mailbox_address: str) -> None:
+    def record_answer(self, mailbox_address: str) -> None:
         """Note that an entry answered."""
         contact = self.contacts.get(mailbox_address)
         if contact is not None:
@@ -114,9 +114,7 @@
             for contact in self.contacts.values()
             if not self._is_passed_over(contact, now)
         ]
-        chosen = choose_entries(
-            self.config.upstream_id, heard, self.config.most_entries
-        )
+        chosen = choose_entries(self.config.upstream_id, heard, self.config.max_entries)
         for place in chosen:
             contact = self.contacts[place.mailbox_address]
             if contact.asked_since is None:
@@ -126,4 +124,4 @@
     def _is_passed_over(self, contact: Contact, now: float) -> bool:
         if contact.is_silent(now, self.config.retry_seconds):
             contact.asked_since = None
-        return contact.is_silent(now, self.config.silent_seconds)
+        return contact.is_silent(now, self.config.answer_timeout_seconds)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -128,7 +128,7 @@
     config = EntryChooserConfig(
         settings.sidecar.upstream.upstream_id,
         settings.sidecar.announce_entries,
-        silent_seconds=settings.timings.lease_seconds,
+        answer_timeout_seconds=settings.timings.lease_seconds,
     )
     entries = [
         EntryEndpoint(entry.instance, entry.mailbox_address)
@@ -320,8 +320,8 @@
         self.look_at_configuration(seen, now)
         match received.message:
             case AnnounceAnswer(entries=entries):
-                self.chooser.learn(EntryEndpoint(*entry) for entry in entries)
-                self.chooser.answered(received.sender_address)
+                self.chooser.add(EntryEndpoint(*entry) for entry in entries)
+                self.chooser.record_answer(received.sender_address)
             case ConfigurationSnapshot() as snapshot:
                 arrived = SnapshotArrived(snapshot, received.sender_address)
                 self.look_at_configuration(arrived, now)
--- a/tests/cover/announcing/test_choosing.py
+++ b/tests/cover/announcing/test_choosing.py
@@ -66,7 +66,7 @@
     """
     entries = [EntryEndpoint(name, f"10.0.0.1:{name}") for name in names]
     dead = set(data.draw(st.lists(st.sampled_from(entries), max_size=len(names) - 1)))
-    config = EntryChooserConfig("runner", most_entries=3)
+    config = EntryChooserConfig("runner", max_entries=3)
     chooser = EntryChooser.from_config(config, entries)
     first = chooser.targets(0.0)
     now = 0.0
@@ -74,14 +74,14 @@
         now += 1.0
         for entry in chooser.targets(now):
             if entry not in dead:
-                chooser.answered(entry.mailbox_address)
+                chooser.record_answer(entry.mailbox_address)
         if now >= config.retry_seconds - 1.0:
             break
     living = set(entries) - dead
     told = set(chooser.targets(now))
-    assert len(told & living) == min(config.most_entries, len(living))
+    assert len(told & living) == min(config.max_entries, len(living))
     for step in range(1, 4):
         later = now + step * config.retry_seconds
         for entry in chooser.targets(later):
-            chooser.answered(entry.mailbox_address)
+            chooser.record_answer(entry.mailbox_address)
     assert set(chooser.targets(now + 4 * config.retry_seconds)) == set(first)
