--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/deciders.py
@@ -158,7 +158,7 @@
 
 def measure_sidecar(open_attempts: int, repeats: int) -> list[list[Reading]]:
     """Time one attempt and a tick beside attempts that stay open."""
-    config = SidecarConfig(description(0), EPOCH, most_running=open_attempts + 16)
+    config = SidecarConfig(description(0), EPOCH, max_running=open_attempts + 16)
     state = SidecarState.from_config(config)
     state.handle(SidecarConfigured(configuration(1)), 0.0)
     numbers = [0]
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
@@ -55,7 +55,9 @@
     @classmethod
     def from_config(cls, config: SidecarConfig) -> Self:
         """Start with no memory of any earlier start."""
-        return cls(config, SpentAttempts(config.most_spent), MemoryLedger(config))
+        return cls(
+            config, SpentAttempts(config.max_ended_attempts), MemoryLedger(config)
+        )
 
     @property
     def started_count(self) -> int:
@@ -86,7 +88,7 @@
 
     def accept(self, hand_over: HandOver, now: float) -> None:
         """Take an attempt that was not refused."""
-        longest = self.config.longest_deadline_seconds
+        longest = self.config.max_deadline_seconds
         attempt = Attempt.from_hand_over(hand_over, now, longest)
         self.alive[attempt.attempt_id] = attempt
         insort(self.waiting, attempt, key=lambda each: each.waiting_rank)
@@ -100,7 +102,7 @@
         """
         effects: list[SidecarEffect] = []
         for attempt in tuple(self.waiting):
-            if self.started_count >= self.config.most_running:
+            if self.started_count >= self.config.max_running:
                 break
             if self._fits_now(attempt.hand_over):
                 effects.append(self._start(attempt, now))
@@ -182,11 +184,11 @@
         self.memory.free(attempt_id)
         sequence = attempt.hand_over.load_sequence
         self.spent.remember(attempt_id, Fate.MAY_HAVE_RUN, sequence)
-        kept_until = now + self.config.answer_kept_seconds
+        kept_until = now + self.config.answer_retention_seconds
         if attempt.hand_over.non_idempotent:
             kept_until = max(kept_until, attempt.deadline_at)
         self.finished[attempt_id] = kept_until
-        if len(self.finished) <= self.config.most_finished:
+        if len(self.finished) <= self.config.max_finished:
             return []
         oldest = next(iter(self.finished))
         del self.finished[oldest]
@@ -259,7 +261,7 @@
 
     def _repeat_cancels(self, now: float) -> list[SidecarEffect]:
         """Send cancels again, and stop counting on an upstream that never answers."""
-        limit = now - self.config.cancel_limit_seconds
+        limit = now - self.config.cancel_timeout_seconds
         effects: list[SidecarEffect] = []
         for attempt in self._cancelling():
             if attempt.cancelled_at <= limit:
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/config.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/config.py
@@ -14,10 +14,10 @@
     """Start of this sidecar."""
     owner_lease_seconds: float = 10.0
     """Silence after which an owner's attempts are given up."""
-    longest_deadline_seconds: float = 3600.0
+    max_deadline_seconds: float = 3600.0
     """A longer deadline is cut down to this."""
-    most_running: int = 256
-    most_waiting: int = 16
+    max_running: int = 256
+    max_waiting: int = 16
     waiting_memory_share: float = 0.5
     """Part of the memory; nothing joins attempts that already wait for more."""
     bypass_seconds: float = 2.0
@@ -25,24 +25,24 @@
     cancel_repeat_seconds: float = 2.0
     cancel_settle_seconds: float = 1.0
     """Age of a cancel from which an inventory without the attempt is believed."""
-    cancel_limit_seconds: float = 10.0
+    cancel_timeout_seconds: float = 10.0
     """Time after a cancel at which its reservation ends without any word of it.
 
     If the engine holds the memory even then, it counts as unclaimed and is released.
     """
     unclaimed_grace_seconds: float = 3.0
     """Time for which the engine may hold memory that no attempt here claims."""
-    inventory_kept_seconds: float = 10.0
+    inventory_max_age_seconds: float = 10.0
     """Age at which an inventory no longer tells anything."""
-    answer_kept_seconds: float = 30.0
+    answer_retention_seconds: float = 30.0
     """Time for which a finished attempt's frames can be read."""
-    most_spent: int = 32_768
+    max_ended_attempts: int = 32_768
     """Ended and revoked attempts that are known by their ids."""
-    most_finished: int = 512
+    max_finished: int = 512
     """Finished attempts whose frames are kept."""
-    ask_fencing_seconds: float = 2.0
+    fencing_retry_seconds: float = 2.0
 
-    def leak_seconds(self, deadline_seconds: float) -> float:
+    def max_reservation_seconds(self, deadline_seconds: float) -> float:
         """Return the longest time for which a lost attempt's reservation lasts.
 
         It counts from the owner's last sign of life, and allows a second for the tick.
@@ -50,4 +50,4 @@
         ends with its owner's lease. Memory that the engine alone knows of is asked back
         `unclaimed_grace_seconds` after the inventory that first shows it.
         """
-        return deadline_seconds + self.cancel_limit_seconds + 1.0
+        return deadline_seconds + self.cancel_timeout_seconds + 1.0
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/memory.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/memory.py
@@ -85,5 +85,5 @@
 
     def drop_old_inventory(self, now: float) -> None:
         """Stop counting unclaimed memory that no recent inventory shows."""
-        if now - self.inventory_at > self.config.inventory_kept_seconds:
+        if now - self.inventory_at > self.config.inventory_max_age_seconds:
             self.unclaimed.clear()
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
@@ -83,7 +83,7 @@
 
     def ask_if_due(self, now: float) -> list[SidecarEffect]:
         """Ask for the quorum's word while an order waits for it."""
-        rested = now - self.asked_at >= self.config.ask_fencing_seconds
+        rested = now - self.asked_at >= self.config.fencing_retry_seconds
         if self.pending is None or not rested:
             return []
         self.asked_at = now
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
@@ -207,7 +207,7 @@
         if self.is_cut_off:
             return self._not_run(RefusalReason.UPSTREAM_FAILED)
         table = self.table
-        if len(table.waiting) >= self.config.most_waiting:
+        if len(table.waiting) >= self.config.max_waiting:
             return self._not_run(RefusalReason.OVERLOADED)
         # What waits counts, not what comes: under a steady stream of small attempts a
         # large one would otherwise never find room to wait in, while they always do.
--- a/tests/common/matrix_requests.py
+++ b/tests/common/matrix_requests.py
@@ -111,7 +111,7 @@
             )
             if sent_again and self.is_alive(entry):
                 self.begin(f"main-{number}", entry, b"main")
-        bound = SidecarConfig("", "").leak_seconds(DEADLINE_SECONDS)
+        bound = SidecarConfig("", "").max_reservation_seconds(DEADLINE_SECONDS)
         grace = SidecarConfig("", "").unclaimed_grace_seconds + 4.0
         self.timeline.run(start + RESEND_SECONDS[-1] + DEADLINE_SECONDS)
         self.timeline.run(self.timeline.now + bound + grace)
--- a/tests/cover/sidecar/test_dated_hand_overs.py
+++ b/tests/cover/sidecar/test_dated_hand_overs.py
@@ -59,7 +59,7 @@
     attempts, and may promise only where it knows that this is none of them; else the
     caller gets an unknown outcome, or, worse, the line is paid twice.
     """
-    state = sidecar(most_spent=2)
+    state = sidecar(max_ended_attempts=2)
     lost_on = state.load_report().sequence if is_older else None
     for number in range(ended):
         sequence = state.load_report().sequence
--- a/tests/cover/sidecar/test_promises.py
+++ b/tests/cover/sidecar/test_promises.py
@@ -37,7 +37,7 @@
     UpstreamFinished,
 )
 
-LIMITS = {"most_waiting": 3, "most_spent": 2, "most_finished": 3}
+LIMITS = {"max_waiting": 3, "max_ended_attempts": 2, "max_finished": 3}
 LONGEST_DEADLINE = 30.0
 TICK_SECONDS = 0.5
 INVENTORY_TICKS = 2
@@ -232,7 +232,7 @@
 
     def teardown(self):
         """Lose everything from here on but every third order to the engine."""
-        longest = self.state.config.leak_seconds(LONGEST_DEADLINE)
+        longest = self.state.config.max_reservation_seconds(LONGEST_DEADLINE)
         for tick in range(int(longest / TICK_SECONDS) + 1):
             self.now += TICK_SECONDS
             self.take(TickElapsed(), obey=tick % 3 == 0)
--- a/tests/cover/sidecar/test_work.py
+++ b/tests/cover/sidecar/test_work.py
@@ -193,7 +193,7 @@
     One stall of an engine must not make a sidecar report a cost that sends all short
     prompts elsewhere.
     """
-    state = sidecar(memory_tokens=2_000_000, longest_deadline_seconds=1e9)
+    state = sidecar(memory_tokens=2_000_000, max_deadline_seconds=1e9)
     now = 0.0
     for index, tokens in enumerate(lengths):
         cost = linear * tokens + quadratic * tokens**2
--- a/tests/cover/spread/test_spread_contention.py
+++ b/tests/cover/spread/test_spread_contention.py
@@ -225,7 +225,7 @@
         assert all(prompt.ended for prompt in world.prompts if prompt.alive)
         if world.entry_cancel_was_lost:
             config = world.upstreams["runner-0"].state.config
-            world.run_for(config.leak_seconds(DEADLINE) - SETTLED_SECONDS)
+            world.run_for(config.max_reservation_seconds(DEADLINE) - SETTLED_SECONDS)
         assert world.is_empty()
 
     def end_uncertain_attempts(self) -> None:
