--- a/packages/core/src/cowslipshelf_core/internal/directory/directory.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/directory.py
@@ -89,7 +89,7 @@
         restarted = freshness is Freshness.RESTARTED
         if restarted:
             effects += self._hide(record, UnavailableReason.RESTARTED)
-            record.retire_epoch(self.config.retired_epochs_kept)
+            record.retire_epoch(self.config.max_retired_epochs)
         if restarted or record.is_absent:
             self._admit_again(record, now)
         newer_load = announce.load.sequence > record.announce.load.sequence
@@ -151,7 +151,7 @@
             record.heard_at = min(now, record.heard_at + seconds)
 
     def _drop_forgotten(self, now: float) -> None:
-        oldest = now - self.config.flap_forgotten_seconds
+        oldest = now - self.config.flap_reset_seconds
         forgotten = [
             name
             for name, record in self.restless.items()
@@ -196,13 +196,13 @@
     def _remove_if_due(self, record: UpstreamRecord, now: float) -> None:
         if record.silent_since is None or self.mass_loss.is_doubtful(record, now):
             return
-        lease = self.config.drop_seconds(record.announce.lease_seconds)
+        lease = self.config.max_silence_seconds(record.announce.lease_seconds)
         if record.is_confirmed(self.config, now):
             due_after = max(self.config.removal_seconds, lease)
         elif self.others:
             due_after = self.config.unconfirmed_removal_seconds
         else:
-            due_after = self.config.alone_removal_seconds
+            due_after = self.config.sole_observer_removal_seconds
         if record.silent_seconds(now) >= due_after:
             record.depart(Departure.SILENT, now)
 
--- a/packages/core/src/cowslipshelf_core/internal/directory/mass_loss.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/mass_loss.py
@@ -37,7 +37,7 @@
             self.ongoing = False
             effects.append(MassLossEnded(len(silent), known))
         elif not self.ongoing and together > most:
-            self.ongoing = together >= self.config.mass_loss_least
+            self.ongoing = together >= self.config.mass_loss_min_upstreams
             if self.ongoing:
                 effects.append(MassLossBegan(len(silent), known))
         if self.ongoing:
--- a/packages/core/src/cowslipshelf_core/internal/directory/record.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/record.py
@@ -80,7 +80,7 @@
 
     def lease_end(self, config: DirectoryConfig) -> float:
         """Return the time at which the upstream counts as silent."""
-        return self.heard_at + config.drop_seconds(self.announce.lease_seconds)
+        return self.heard_at + config.max_silence_seconds(self.announce.lease_seconds)
 
     def silent_seconds(self, now: float) -> float:
         """Return the time since the lease ended."""
@@ -136,15 +136,15 @@
         Without the pauses an upstream that dies under its first requests would get
         fresh ones with every return, and each round would fail some of them.
         """
-        if now - self.flapped_at > config.flap_forgotten_seconds:
+        if now - self.flapped_at > config.flap_reset_seconds:
             self.flaps = 0
         self.flaps += 1
         self.flapped_at = now
         if self.flaps > 1:
             pause = config.flap_pause_seconds * 2.0 ** min(self.flaps - 2, 16)
-            self.held_until = now + min(pause, config.longest_flap_pause_seconds)
+            self.held_until = now + min(pause, config.max_flap_pause_seconds)
 
     def is_confirmed(self, config: DirectoryConfig, now: float) -> bool:
         """Return whether another observer suspects the upstream too."""
-        oldest = now - config.suspicion_kept_seconds
+        oldest = now - config.suspicion_max_age_seconds
         return any(said_at >= oldest for said_at in self.suspicions.values())
--- a/tests/cover/directory/test_leases.py
+++ b/tests/cover/directory/test_leases.py
@@ -28,7 +28,7 @@
 
 NAMES = ("runner-1", "runner-2", "runner-3", "runner-4", "runner-5")
 CONFIG = DirectoryConfig()
-SETTLED_SECONDS = CONFIG.longest_flap_pause_seconds + 2 * LEASE_SECONDS
+SETTLED_SECONDS = CONFIG.max_flap_pause_seconds + 2 * LEASE_SECONDS
 SPREAD_STEPS = 5
 """Steps over which a cut silences the upstreams, within one lease."""
 
@@ -155,7 +155,7 @@
     world.pass_time(LEASE_SECONDS)
     dead = world.announcers["runner-0"]
     dead.alive = False
-    world.pass_time(CONFIG.drop_seconds(LEASE_SECONDS) + STEP_SECONDS)
+    world.pass_time(CONFIG.max_silence_seconds(LEASE_SECONDS) + STEP_SECONDS)
     assert "runner-0" not in world.available
     assert len(world.available) == fleet - 1
     removed = UpstreamUnavailable("runner-0", UnavailableReason.REMOVED)
@@ -166,7 +166,7 @@
         world.take(SuspectArrived("entry-2", suspicion))
         world.pass_time(2 * STEP_SECONDS)
     else:
-        world.pass_time(CONFIG.forget_seconds(LEASE_SECONDS) + STEP_SECONDS)
+        world.pass_time(CONFIG.max_removal_seconds(LEASE_SECONDS) + STEP_SECONDS)
     assert any(effect == removed for _, effect in world.told)
 
 
@@ -281,7 +281,7 @@
         and effect.description.upstream_id == "runner-0"
     ]
     assert len(returns) <= 5 < rounds
-    world.pass_time(CONFIG.longest_flap_pause_seconds + STEP_SECONDS)
+    world.pass_time(CONFIG.max_flap_pause_seconds + STEP_SECONDS)
     assert "runner-0" in world.available
 
 
