--- a/benchmarks/fleet_streams.py
+++ b/benchmarks/fleet_streams.py
@@ -135,7 +135,7 @@
         non_idempotent=False,
         deadline_seconds=60.0,
         prompt_tokens=1,
-        most_output_tokens=1,
+        max_output_tokens=1,
         priority=0,
         prefix_hash=0,
         method="POST",
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -94,7 +94,7 @@
         non_idempotent=False,
         deadline_seconds=60.0,
         prompt_tokens=1000,
-        most_output_tokens=200,
+        max_output_tokens=200,
         priority=0,
         prefix_hash=0,
         method="POST",
--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -123,7 +123,7 @@
         non_idempotent=False,
         deadline_seconds=DEADLINE_SECONDS,
         prompt_tokens=100,
-        most_output_tokens=100,
+        max_output_tokens=100,
         priority=0,
         prefix_hash=number % 50,
         method="POST",
--- a/benchmarks/upstream_streams.py
+++ b/benchmarks/upstream_streams.py
@@ -71,7 +71,7 @@
         non_idempotent=False,
         deadline_seconds=600.0,
         prompt_tokens=1,
-        most_output_tokens=MOST_OUTPUT_TOKENS,
+        max_output_tokens=MOST_OUTPUT_TOKENS,
         priority=0,
         prefix_hash=0,
         method="POST",
--- a/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/handing_over.py
@@ -66,7 +66,7 @@
         non_idempotent=request.is_non_idempotent(),
         deadline_seconds=state.seconds_left(now),
         prompt_tokens=request.prompt_tokens,
-        most_output_tokens=request.max_output_tokens,
+        max_output_tokens=request.max_output_tokens,
         priority=chosen.priority,
         prefix_hash=request.prefix_hash,
         method=request.method,
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempt.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempt.py
@@ -85,5 +85,5 @@
 
 def tokens_needed(hand_over: HandOver) -> int:
     """Return the memory that an attempt takes when it has run to its end."""
-    output_tokens = 0 if hand_over.is_part else hand_over.most_output_tokens
+    output_tokens = 0 if hand_over.is_part else hand_over.max_output_tokens
     return hand_over.prefill_tokens + output_tokens
--- a/packages/core/src/cowslipshelf_core/upstream.py
+++ b/packages/core/src/cowslipshelf_core/upstream.py
@@ -69,7 +69,7 @@
     deadline_seconds: float
     """Time left of the caller's deadline when this was sent."""
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     priority: int
     """Lower is served first."""
     prefix_hash: int
--- a/tests/common/fleet_attempts.py
+++ b/tests/common/fleet_attempts.py
@@ -51,7 +51,7 @@
         non_idempotent=False,
         deadline_seconds=60.0,
         prompt_tokens=1,
-        most_output_tokens=1,
+        max_output_tokens=1,
         priority=priority,
         prefix_hash=0,
         method="POST",
--- a/tests/common/matrix_fleet.py
+++ b/tests/common/matrix_fleet.py
@@ -84,7 +84,7 @@
     def run(self, hand_over: HandOver, reader: Callable) -> None:
         attempt_id = hand_over.attempt_id
         self.started.append((self.timeline.now, hand_over))
-        self.held[attempt_id] = hand_over.prompt_tokens + hand_over.most_output_tokens
+        self.held[attempt_id] = hand_over.prompt_tokens + hand_over.max_output_tokens
         self.made[attempt_id] = []
         self.readers[attempt_id] = reader
         self.reached("accepted by the engine", hand_over)
--- a/tests/common/sidecars.py
+++ b/tests/common/sidecars.py
@@ -64,7 +64,7 @@
         "non_idempotent": False,
         "deadline_seconds": 60.0,
         "prompt_tokens": 100,
-        "most_output_tokens": 100,
+        "max_output_tokens": 100,
         "priority": 0,
         "prefix_hash": 0,
         "method": "POST",
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -79,7 +79,7 @@
     """Return the memory of one attempt at its engine, in tokens."""
     if given.to_token is not None:
         return given.to_token - given.from_token
-    return given.prompt_tokens - given.from_token + given.most_output_tokens
+    return given.prompt_tokens - given.from_token + given.max_output_tokens
 
 
 class SpreadWorld:
@@ -245,7 +245,7 @@
             sidecar_epoch=last.epoch,
             load_sequence=last.load_sequence,
             prompt_tokens=last.to_token,
-            most_output_tokens=50,
+            max_output_tokens=50,
             from_token=last.from_token,
             deadline_seconds=self.deadline - self.world.now,
         )
