--- a/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
+++ b/packages/core/src/cowslipshelf_core/internal/configuration_view/view.py
@@ -127,7 +127,7 @@
         # start may still arrive. The quorum may have confirmed it before the restart,
         # so it only counts if the answer repeats the epoch of this start.
         confirmed = (
-            snapshot.confirmed_by_quorum and snapshot.question == self.config.epoch
+            snapshot.confirmed_by_quorum and snapshot.query_id == self.config.epoch
         )
         if confirmed and not self.servable:
             self.servable = True
--- a/packages/core/src/cowslipshelf_core/messages.py
+++ b/packages/core/src/cowslipshelf_core/messages.py
@@ -115,7 +115,7 @@
     """Ask for the routed configuration by somebody who has an older one."""
 
     have_version: ConfigurationVersion
-    question: str = ""
+    query_id: str = ""
     """Names a question for a quorum's word; the answer repeats it, and has no body
     where the version is the one that the asker has."""
 
@@ -125,15 +125,15 @@
 
     document: RoutesDocument
     confirmed_by_quorum: bool
-    question: str = ""
-    """Repeats `FetchRoutes.question`."""
+    query_id: str = ""
+    """Repeats `FetchRoutes.query_id`."""
 
 
 class FetchConfiguration(Message, frozen=True):
     """Ask for the configuration in force by somebody who has an older one."""
 
     have_version: ConfigurationVersion
-    question: str = ""
+    query_id: str = ""
     """Names a question for a quorum's word; the answer repeats it."""
 
 
@@ -143,8 +143,8 @@
     configuration: FleetConfiguration
     confirmed_by_quorum: bool
     """Whether a quorum confirmed it after the question that it answers."""
-    question: str = ""
-    """Repeats `FetchConfiguration.question`."""
+    query_id: str = ""
+    """Repeats `FetchConfiguration.query_id`."""
 
 
 # Orders to upstreams, between the leader and sidecars.
@@ -164,14 +164,14 @@
     """Ask a replica for an upstream's newest fencing number, as a quorum has it."""
 
     upstream_id: UpstreamId
-    question: str
+    query_id: str
 
 
 class FencingAnswered(Message, frozen=True):
     """Answer with the newest fencing number, confirmed by a quorum."""
 
     upstream_id: UpstreamId
-    question: str
+    query_id: str
     fencing: FencingNumber
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -83,6 +83,6 @@
     def answer(self, question: FetchConfiguration, address: str) -> None:
         """Answer with what is in force here, which no quorum has confirmed just now."""
         snapshot = ConfigurationSnapshot(
-            self.view.in_force, confirmed_by_quorum=False, question=question.question
+            self.view.in_force, confirmed_by_quorum=False, query_id=question.query_id
         )
         self.post.send(address, snapshot)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -139,9 +139,9 @@
         match delivered.message:
             case Propose() as proposal:
                 self.take_proposal(proposal, delivered.sender_address)
-            case FetchConfiguration(question=question) if question:
+            case FetchConfiguration(query_id=query_id) if query_id:
                 self.ask_read(delivered)
-            case FetchRoutes(question=question) if question:
+            case FetchRoutes(query_id=query_id) if query_id:
                 self.ask_read(delivered)
             case FetchRoutes(have_version=have):
                 if self.state.routes.document.version > have:
@@ -343,13 +343,13 @@
     def answer_fencing(self, asked: Delivered, question: FencingAsked) -> None:
         """Send an upstream's newest fencing number, which a quorum has confirmed."""
         fencing = self.state.current_fencing(question.upstream_id)
-        answer = FencingAnswered(question.upstream_id, question.question, fencing)
+        answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
         self.post.send(asked.sender_address, answer)
 
     def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
         """Send the configuration as it is applied here."""
         snapshot = ConfigurationSnapshot(
-            self.state.configuration, confirmed, asked.message.question
+            self.state.configuration, confirmed, asked.message.query_id
         )
         self.post.send(asked.sender_address, snapshot)
 
@@ -362,7 +362,7 @@
         document = self.state.routes.document
         if confirmed and asked.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
-        snapshot = RoutesSnapshot(document, confirmed, asked.message.question)
+        snapshot = RoutesSnapshot(document, confirmed, asked.message.query_id)
         self.post.send(asked.sender_address, snapshot)
 
     def publish_routes(self) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -216,7 +216,7 @@
                 | WorkHeld()
                 | RoutesSnapshot()
                 | SuspectRequestsTold()
-                | FetchRoutes(question="")
+                | FetchRoutes(query_id="")
             ):
                 self.inbox.tell(delivered)
             case ProposalResult() | LeaderSeen():
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -78,11 +78,11 @@
         ends: float,
     ) -> RoutesDocument | None:
         """Ask one replica after the other until one brings a quorum's word."""
-        question = uuid.uuid4().hex
+        query_id = uuid.uuid4().hex
         future: asyncio.Future[RoutesDocument] = (
             asyncio.get_running_loop().create_future()
         )
-        self.reads[question] = future
+        self.reads[query_id] = future
         began = time.monotonic()
         try:
             turn = 0
@@ -90,13 +90,13 @@
             while replicas and time.monotonic() < ends:
                 replica = replicas[turn % len(replicas)]
                 turn += 1
-                self.post.send_to_instance(replica, FetchRoutes(have, question))
+                self.post.send_to_instance(replica, FetchRoutes(have, query_id))
                 done, _ = await asyncio.wait({future}, timeout=READ_ASK_SECONDS)
                 if done:
                     return future.result()
             return None
         finally:
-            del self.reads[question]
+            del self.reads[query_id]
             LOG.info(
                 "Read ended.",
                 have=have,
@@ -108,6 +108,6 @@
 
     def take_answer(self, snapshot: RoutesSnapshot) -> None:
         """Take in a replica's answer; only a quorum's word counts."""
-        future = self.reads.get(snapshot.question)
+        future = self.reads.get(snapshot.query_id)
         if snapshot.confirmed_by_quorum and future is not None and not future.done():
             future.set_result(snapshot.document)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -75,7 +75,7 @@
     def take_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
         """Take in a configuration: a copy, an answer, or what the own replica holds."""
         document = snapshot.document
-        if snapshot.question:
+        if snapshot.query_id:
             self.client.take_answer(snapshot)
         elif sender != self.view.settings.instance:
             self.note_copy(sender, document)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -327,10 +327,10 @@
                 self.look_at_configuration(arrived, now)
             case OrderSent() as order if self.orders is not None:
                 self.decide(OrderArrived(order), now)
-            case FencingAnswered(question=question, fencing=fencing):
+            case FencingAnswered(query_id=query_id, fencing=fencing):
                 # An answer to a question of an earlier start may be older than an
                 # order that this start's predecessor gave.
-                if question == self.epoch:
+                if query_id == self.epoch:
                     self.decide(FencingConfirmed(fencing), now)
 
     def look_at_configuration(self, event: ConfigurationViewEvent, now: float) -> None:
--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -272,7 +272,7 @@
             held = self.viewers[address].view.in_force
             if address in self.cluster.nodes:
                 held = self.cluster.states[address].configuration
-            snapshot = ConfigurationSnapshot(held, confirmed, question.question)
+            snapshot = ConfigurationSnapshot(held, confirmed, question.query_id)
             arrived = SnapshotArrived(snapshot, address)
             self.post(address, asker, lambda: self.look_at(asker, arrived))
 
--- a/tests/cover/configuration_view/test_versions.py
+++ b/tests/cover/configuration_view/test_versions.py
@@ -107,7 +107,7 @@
         by_quorum = address in REPLICAS
         version = max(self.versions.values()) if by_quorum else self.versions[address]
         content = configuration(version) if version else FleetConfiguration()
-        snapshot = ConfigurationSnapshot(content, by_quorum, question.question)
+        snapshot = ConfigurationSnapshot(content, by_quorum, question.query_id)
         self.answers.append(SnapshotArrived(snapshot, address))
 
     def teardown(self):
