--- a/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Define what gateways tell each other about upstreams and the work on them."""
+"""Define the messages between gateways about upstreams and the attempts on them."""
 
 from typing import NamedTuple
 
@@ -9,40 +9,40 @@
 
 
 class HeartbeatsSeen(Message, frozen=True):
-    """Pass on heartbeats of upstreams."""
+    """Forward heartbeats of upstreams."""
 
     seen: tuple[HeartbeatSeen, ...]
 
 
 class EnginePart(NamedTuple):
-    """Be what one engine does of an attempt."""
+    """Describe what one engine does for an attempt."""
 
     upstream_id: UpstreamId
     prefill_seconds: float
-    """Time that reading takes on an engine that does nothing else."""
+    """Duration of the prefill on an engine that does nothing else."""
     chunks: int
-    """Pieces in which the part is read, one in each step."""
+    """Chunks in which the part is prefilled, one in each step."""
     decodes: bool
-    """Whether this engine also writes the answer."""
+    """Whether this engine also decodes the answer."""
     memory_tokens: int = 0
-    """Memory that it holds for the prompt and its answer."""
+    """Memory that the engine holds for the prompt and its answer."""
 
 
 class EngineWork(NamedTuple):
-    """Be an attempt on the engines, as the gateway that placed it sees it."""
+    """Describe an attempt as the gateway placed it on engines."""
 
     attempt_id: AttemptId
     parts: tuple[EnginePart, ...]
     value: float
-    """What is lost if it is late; see `answer_value`."""
+    """Value of the answer; see `answer_value`."""
     objective_seconds: float
-    """Time to the first event that is still on time."""
+    """Latency objective for the first event."""
     pause_seconds: float
-    """Longest pause between two events that is still on time."""
+    """Latency objective for the pause between two events."""
 
 
 class HeldWork(NamedTuple):
-    """Be an attempt that still runs, with its age."""
+    """Describe a running attempt with its age."""
 
     work: EngineWork
     age_seconds: float
@@ -50,68 +50,68 @@
 
 
 class WorkHeld(Message, frozen=True):
-    """Tell of all attempts that a gateway has on engines, and so of no others."""
+    """Report all attempts that a gateway has on engines; any other has ended."""
 
     held: tuple[HeldWork, ...]
     number: int = 0
-    """Number of the last change that this takes in."""
+    """Number of the last change that the report includes."""
 
 
 class FetchWork(Message, frozen=True):
-    """Ask a gateway for all attempts that it has on engines."""
+    """Request all attempts that a gateway has on engines."""
 
 
 class WorkChanged(Message, frozen=True):
-    """Tell of attempts on engines that began, gave a first token, or ended."""
+    """Report attempts on engines that began, had their first token, or ended."""
 
     begun: tuple[EngineWork, ...] = ()
     first_tokens: tuple[AttemptId, ...] = ()
     ended: tuple[AttemptId, ...] = ()
     number: int = 0
-    """Counts the sender's changes, from one on."""
+    """Sequence number of the change, from one on for each sender."""
 
 
 class UpstreamExit(NamedTuple):
-    """Name one end of an upstream's process."""
+    """Identify one exit of an upstream's process."""
 
     upstream_id: UpstreamId
     number: int
-    """Counts its ends, from zero on, where it keeps its id over them."""
+    """Sequence number of the exit, from zero on, if the id stays the same."""
 
 
 class ExitReport(NamedTuple):
-    """Tell of an end under a request."""
+    """Report an upstream's exit while it ran a request."""
 
-    end: UpstreamExit
+    exit: UpstreamExit
     age_seconds: float
     cleared: bool
-    """Whether the request was answered whole after it."""
+    """Whether the request was answered completely after the exit."""
 
 
 class SuspectRequestReport(NamedTuple):
-    """Tell all that a gateway knows of a request under which upstreams ended."""
+    """Report what a gateway knows of a request during which upstreams exited."""
 
     digest: RequestDigest
-    ends: tuple[ExitReport, ...]
+    exits: tuple[ExitReport, ...]
     trials: int
-    """Trials of it that were begun."""
-    over: int
-    """Number of the last trial that is over."""
+    """Number of trials begun."""
+    last_ended_trial: int
+    """Number of the last trial that has ended."""
     trial_age_seconds: float
     probes: int
-    """Trials that were begun while it was held back."""
+    """Number of trials begun while the request was held back."""
 
 
 class SuspectRequestsTold(Message, frozen=True):
-    """Tell of requests under which upstreams ended."""
+    """Report requests during which upstreams exited."""
 
     suspects: tuple[SuspectRequestReport, ...]
 
 
 class Relayed(Message, frozen=True):
-    """Carry a gateway's message by way of another one."""
+    """Relay a gateway's message through another one."""
 
     origin: InstanceId
     message: HeartbeatsSeen | WorkChanged | SuspectRequestsTold
     pass_on: bool
-    """Whether the receiver passes it on to the others of its data centre."""
+    """Whether the receiver forwards it to the other gateways of its data centre."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/quarantine.py
@@ -1,6 +1,7 @@
-"""Hold back requests under which one upstream after the other has ended.
+"""Hold back requests during which several upstreams have exited.
 
-Each gateway notes under which requests an upstream ended and tells the others.
+Each gateway records the requests that ran when an upstream exited, and reports them to
+the others.
 """
 
 from collections.abc import Iterable
@@ -19,107 +20,109 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowed:
-    """Let a request run."""
+    """Let a request run without restriction."""
 
 
 @dataclass(frozen=True, slots=True)
 class AllowedAlone:
-    """Let a request run at one upstream, once, and at no other meanwhile."""
+    """Let a request run once on one upstream, and on no other meanwhile."""
 
     probe: bool
-    """Whether it had been held back."""
+    """Whether the request was held back until now."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeldBack:
-    """Refuse a request, which did not run."""
+    """Refuse a request before it runs."""
 
     upstreams: tuple[UpstreamId, ...]
-    """Those that ended under it."""
+    """Upstreams that exited during it."""
     left_seconds: float
-    """Time until it may be tried again."""
+    """Time until the request may run again."""
     retry_after_seconds: float | None
-    """When to come back, where that may help."""
+    """Time after which a retry may succeed, if it may."""
 
 
 Verdict = Allowed | AllowedAlone | HeldBack
 
 
 class ListedSuspect(NamedTuple):
-    """Describe a request against which something speaks."""
+    """Describe a request with exits that were not cleared."""
 
     digest: RequestDigest
     upstreams: tuple[UpstreamId, ...]
     held: bool
     last_event_seconds: float
-    """Age of its last end or trial."""
+    """Age of its last exit or trial."""
     left_seconds: float
-    """Time until it may be tried here; zero where it runs."""
+    """Time until this gateway may probe it; zero if it is not held back."""
 
 
 @dataclass(slots=True)
 class RequestQuarantine:
-    """Hold the requests under which upstreams ended."""
+    """Track the requests during which upstreams exited."""
 
     config: QuarantineConfig
     suspects: dict[RequestDigest, SuspectRequest] = field(default_factory=dict)
 
     @classmethod
     def from_config(cls, config: QuarantineConfig) -> Self:
-        """Begin with no suspects."""
+        """Create a quarantine without suspects."""
         return cls(config)
 
     def verdict(self, digest: RequestDigest, now: float) -> Verdict:
         """Decide whether a request may run."""
         suspect = self.suspects.get(digest)
-        ends = 0 if suspect is None else len(suspect.open_ends())
-        if ends < self.config.alone_ends:
+        exits = 0 if suspect is None else len(suspect.open_exits())
+        if exits < self.config.alone_after_exits:
             return Allowed()
-        held = ends >= self.config.held_ends
-        left = suspect.held_until(digest, self.config) - now if held else 0.0
-        if left > 0.0:
-            return HeldBack(suspect.upstreams(), left, None)
-        if suspect.is_tried(now, self.config):
-            pause = None if held else self.config.alone_pause_seconds
-            return HeldBack(suspect.upstreams(), self.config.trial_seconds, pause)
+        held = exits >= self.config.held_after_exits
+        left_seconds = suspect.held_until(digest, self.config) - now if held else 0.0
+        if left_seconds > 0.0:
+            return HeldBack(suspect.upstreams(), left_seconds, None)
+        if suspect.is_on_trial(now, self.config):
+            retry_after = None if held else self.config.alone_retry_seconds
+            return HeldBack(suspect.upstreams(), self.config.trial_seconds, retry_after)
         return AllowedAlone(held)
 
     def is_held(self, digest: RequestDigest) -> bool:
-        """Tell whether so many upstreams ended that the request is held back."""
-        return self.exit_count(digest) >= self.config.held_ends
+        """Return whether enough upstreams exited to hold a request back."""
+        return self.exit_count(digest) >= self.config.held_after_exits
 
     def is_urgent(self, digest: RequestDigest) -> bool:
-        """Tell whether all gateways must hear of a request at once."""
+        """Return whether a request is to be reported to all gateways at once."""
         suspect = self.suspects.get(digest)
-        return suspect is not None and len(suspect.ends) >= self.config.alone_ends
+        return (
+            suspect is not None and len(suspect.exits) >= self.config.alone_after_exits
+        )
 
     def exit_count(self, digest: RequestDigest) -> int:
-        """Count the ends that speak against a request."""
+        """Count the exits of a request that were not cleared."""
         suspect = self.suspects.get(digest)
-        return 0 if suspect is None else len(suspect.open_ends())
+        return 0 if suspect is None else len(suspect.open_exits())
 
     def exited_upstreams(self, digest: RequestDigest) -> tuple[UpstreamId, ...]:
-        """Name the upstreams whose ends speak against a request."""
+        """Return the upstreams of a request's exits that were not cleared."""
         suspect = self.suspects.get(digest)
         return () if suspect is None else suspect.upstreams()
 
     def held_requests(self) -> list[RequestDigest]:
-        """List the requests that are held back."""
+        """Return the requests that are held back."""
         return [digest for digest in self.suspects if self.is_held(digest)]
 
     def record_exit(
         self, digest: RequestDigest, upstream_id: UpstreamId, now: float
     ) -> bool:
-        """Note that an upstream ended under a request; return whether it is news."""
+        """Record that an upstream exited during a request; return whether it is new."""
         suspect = self.suspects.setdefault(digest, SuspectRequest(now))
-        news = suspect.note_end(upstream_id, now)
+        news = suspect.record_exit(upstream_id, now)
         if news:
             suspect.changed_at = now
             self.evict_excess()
         return news
 
     def record_answer(self, digest: RequestDigest, now: float) -> bool:
-        """Note a whole answer; return whether it cleared a suspect."""
+        """Record a complete answer; return whether it cleared a suspect."""
         suspect = self.suspects.get(digest)
         if suspect is None or not suspect.clear():
             return False
@@ -129,36 +132,36 @@
     def begin_trial(
         self, digest: RequestDigest, verdict: AllowedAlone, now: float
     ) -> None:
-        """Note that a request is tried."""
+        """Record the beginning of a request's trial."""
         suspect = self.suspects.get(digest)
         if suspect is not None:
             suspect.begin_trial(verdict.probe, now)
             suspect.changed_at = now
 
     def end_trial(self, digest: RequestDigest) -> None:
-        """Note that a trial is over, whatever came of it."""
+        """Record the end of a request's trial, whatever its outcome."""
         suspect = self.suspects.get(digest)
         if suspect is not None:
-            suspect.over = suspect.trials
+            suspect.last_ended_trial = suspect.trials
 
     def reports(
         self, digests: Iterable[RequestDigest], now: float
     ) -> tuple[SuspectRequestReport, ...]:
-        """Write what is known of some requests for other gateways."""
+        """Return the reports of some requests for other gateways."""
         known = [digest for digest in digests if digest in self.suspects]
-        return tuple(self.suspects[digest].told(digest, now) for digest in known)
+        return tuple(self.suspects[digest].report(digest, now) for digest in known)
 
-    def merge_report(self, told: SuspectRequestReport, now: float) -> bool:
-        """Take in word of a request; return whether any of it is news."""
-        suspect = self.suspects.setdefault(told.digest, SuspectRequest(now))
-        news = suspect.take(told, now)
+    def merge_report(self, report: SuspectRequestReport, now: float) -> bool:
+        """Merge another gateway's report; return whether any of it is new."""
+        suspect = self.suspects.setdefault(report.digest, SuspectRequest(now))
+        news = suspect.merge(report, now)
         if news:
-            suspect.changed_at = max(suspect.changed_at, suspect.last_event())
+            suspect.changed_at = max(suspect.changed_at, suspect.last_event_at())
             self.evict_excess()
         return news
 
     def forget_old(self, now: float) -> list[RequestDigest]:
-        """Forget what is too old to matter; return what was held back of it."""
+        """Remove outdated requests; return those that were held back."""
         old = [digest for digest in self.suspects if self.is_old(digest, now)]
         held = [digest for digest in old if self.is_held(digest)]
         for digest in old:
@@ -166,41 +169,43 @@
         return held
 
     def is_old(self, digest: RequestDigest, now: float) -> bool:
-        """Tell whether a request may be forgotten."""
+        """Return whether a request is outdated."""
         config = self.config
         held = self.is_held(digest)
         bound = config.forget_held_seconds if held else config.forget_seconds
         return now - self.suspects[digest].changed_at > bound
 
     def most_suspect(self, most: int) -> frozenset[RequestDigest]:
-        """Name the requests against which most speaks."""
+        """Return the requests with the most open exits, up to a number."""
         if len(self.suspects) <= most:
             return frozenset(self.suspects)
-        return frozenset(nlargest(most, self.suspects, key=self.weight))
+        return frozenset(nlargest(most, self.suspects, key=self.suspicion))
 
     def listed(self, now: float) -> tuple[ListedSuspect, ...]:
-        """List the requests against which something speaks, the worst first."""
+        """Describe the requests with open exits, those with the most first."""
         open_ones = [each for each in self.suspects if self.exit_count(each)]
-        open_ones.sort(key=self.weight, reverse=True)
+        open_ones.sort(key=self.suspicion, reverse=True)
         return tuple(self.describe(digest, now) for digest in open_ones)
 
     def describe(self, digest: RequestDigest, now: float) -> ListedSuspect:
         """Describe one request."""
         suspect = self.suspects[digest]
         held = self.is_held(digest)
-        left = suspect.held_until(digest, self.config) - now if held else 0.0
-        age = now - suspect.last_event()
-        return ListedSuspect(digest, suspect.upstreams(), held, age, max(0.0, left))
+        left_seconds = suspect.held_until(digest, self.config) - now if held else 0.0
+        age = now - suspect.last_event_at()
+        return ListedSuspect(
+            digest, suspect.upstreams(), held, age, max(0.0, left_seconds)
+        )
 
     def evict_excess(self) -> None:
-        """Forget the requests against which least speaks, the oldest first.
+        """Remove the requests with the fewest open exits, the oldest first.
 
-        Who sends many requests that each end one upstream must not make room for one
-        that has ended more.
+        A customer that sends many requests during which one upstream exits must not
+        evict a request during which more have exited.
         """
         while len(self.suspects) > self.config.max_suspects:
-            del self.suspects[min(self.suspects, key=self.weight)]
+            del self.suspects[min(self.suspects, key=self.suspicion)]
 
-    def weight(self, digest: RequestDigest) -> tuple[int, float]:
-        """Order requests by what speaks against them."""
+    def suspicion(self, digest: RequestDigest) -> tuple[int, float]:
+        """Return the sort key of a request: its open exits, then its last change."""
         return self.exit_count(digest), self.suspects[digest].changed_at
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -1,7 +1,7 @@
-"""Remember one request under which upstreams ended.
+"""Track one request during which upstreams exited.
 
-What is noted only grows, so that words of other gateways may come in any order, late
-or twice: ends are never forgotten one by one, and an end that was cleared stays so.
+The state only grows, so that reports of other gateways may arrive in any order, late or
+twice: exits are never removed one by one, and an exit that was cleared stays cleared.
 """
 
 import math
@@ -20,158 +20,168 @@
     is_request_digest,
 )
 
-SAME_END_SECONDS = 1.0
-"""Time between two ends of an upstream, under one id, that count as one."""
-MOST_ENDS = 16
-"""Ends that are remembered of one request."""
-MOST_HOLD_STEPS = 4
-"""Steps after which the pause between two probes no longer grows."""
+SAME_EXIT_SECONDS = 1.0
+"""Exits of an upstream with the same id within this time count as one."""
+MAX_EXITS = 16
+"""Most exits that are kept for one request."""
+MAX_HOLD_STEPS = 4
+"""Most probes by which the time between two probes grows."""
 SHARE_BYTES = 4
-MOST_COUNT = 2**31
-"""Bound on the counters that other gateways may tell."""
+MAX_COUNT = 2**31
+"""Largest counter that is accepted from another gateway."""
 
 
 class QuarantineConfig(NamedTuple):
-    """Set when a request is held back, and for how long."""
+    """Configure when a request is held back, and for how long."""
 
     instance: InstanceId
-    alone_ends: int = 2
-    """Ends after which the request runs at one upstream at a time."""
-    held_ends: int = 3
-    """Ends after which it is held back."""
+    alone_after_exits: int = 2
+    """Exits after which the request runs on one upstream at a time."""
+    held_after_exits: int = 3
+    """Exits after which the request is held back."""
     trial_seconds: float = 15.0
-    """Time after which a trial counts as over, although nobody said so."""
-    alone_pause_seconds: float = 0.5
-    """Pause told to whoever sends it while it is tried."""
+    """Time after which a trial counts as ended although no gateway reported it."""
+    alone_retry_seconds: float = 0.5
+    """Retry-after time given to callers that send the request during a trial."""
     hold_seconds: float = 20.0
-    """Time for which it is held back before its first probe."""
+    """Time for which the request is held back before its first probe."""
     hold_spread: float = 2.0
-    """Share of that time by which gateways differ at most, so that they don't probe at
-    the same moment."""
+    """Largest jitter between gateways, as a share of that time, so that they don't
+    probe at the same moment."""
     hold_growth: float = 8.0
-    """Factor by which that time grows with each probe in vain."""
+    """Factor by which that time grows with each probe."""
     forget_seconds: float = 600.0
-    """Age of its last end at which a request that is not held back is forgotten."""
+    """Time since its last change after which a request that runs is forgotten."""
     forget_held_seconds: float = 6 * 3600.0
-    """Age at which one that is held back is forgotten."""
+    """The same for a request that is held back."""
     max_suspects: int = 2_000
-    """Requests that are remembered."""
+    """Most requests that are tracked."""
 
 
 @dataclass(slots=True)
 class SuspectRequest:
-    """Be a request under which upstreams ended."""
+    """Hold the exits and trials of a request during which upstreams exited."""
 
     changed_at: float
-    """Time of the last change that is worth remembering."""
-    ends: dict[UpstreamExit, float] = field(default_factory=dict)
-    """The time of each end."""
+    """Time of the last change."""
+    exits: dict[UpstreamExit, float] = field(default_factory=dict)
+    """The time of each exit."""
     cleared: set[UpstreamExit] = field(default_factory=set)
-    """Ends before a whole answer."""
+    """Exits that were followed by a complete answer."""
     trials: int = 0
-    """Trials that were begun."""
-    over: int = 0
-    """Number of the last trial that is over."""
-    tried_at: float = -math.inf
+    """Number of trials begun."""
+    last_ended_trial: int = 0
+    """Number of the last trial that has ended."""
+    last_trial_at: float = -math.inf
     probes: int = 0
-    """Trials that were begun while it was held back."""
+    """Number of trials begun while the request was held back."""
 
-    def open_ends(self) -> list[UpstreamExit]:
-        """List the ends that speak against it."""
-        return [end for end in self.ends if end not in self.cleared]
+    def open_exits(self) -> list[UpstreamExit]:
+        """Return the exits that were not cleared."""
+        return [exited for exited in self.exits if exited not in self.cleared]
 
     def upstreams(self) -> tuple[UpstreamId, ...]:
-        """Name the upstreams whose ends speak against it."""
-        return tuple(end.upstream_id for end in self.open_ends())
+        """Return the upstreams of the exits that were not cleared."""
+        return tuple(exited.upstream_id for exited in self.open_exits())
 
-    def last_event(self) -> float:
-        """Return the time of its last end or trial."""
-        return max([*self.ends.values(), self.tried_at])
+    def last_event_at(self) -> float:
+        """Return the time of the last exit or trial."""
+        return max([*self.exits.values(), self.last_trial_at])
 
-    def note_end(self, upstream_id: UpstreamId, at: float) -> bool:
-        """Note an end; return whether it is news."""
-        same = [end for end in self.ends if end.upstream_id == upstream_id]
-        if any(at < self.ends[end] + SAME_END_SECONDS for end in same):
+    def record_exit(self, upstream_id: UpstreamId, at: float) -> bool:
+        """Record an exit; return whether it is new."""
+        same = [exited for exited in self.exits if exited.upstream_id == upstream_id]
+        if any(at < self.exits[exited] + SAME_EXIT_SECONDS for exited in same):
             return False
-        if len(self.ends) >= MOST_ENDS:
+        if len(self.exits) >= MAX_EXITS:
             return False
-        self.ends[UpstreamExit(upstream_id, len(same))] = at
+        self.exits[UpstreamExit(upstream_id, len(same))] = at
         return True
 
     def clear(self) -> bool:
-        """Clear what speaks against it; return whether that is news."""
-        ends = self.open_ends()
-        self.cleared.update(ends)
-        return bool(ends)
+        """Clear all exits; return whether any was open."""
+        exits = self.open_exits()
+        self.cleared.update(exits)
+        return bool(exits)
 
     def begin_trial(self, probe: bool, now: float) -> None:
-        """Note that it is tried."""
+        """Record the beginning of a trial."""
         self.trials += 1
-        self.tried_at = now
+        self.last_trial_at = now
         self.probes += probe
 
-    def is_tried(self, now: float, config: QuarantineConfig) -> bool:
-        """Tell whether it runs somewhere."""
-        return self.over < self.trials and now < self.tried_at + config.trial_seconds
+    def is_on_trial(self, now: float, config: QuarantineConfig) -> bool:
+        """Return whether a trial is running on some gateway."""
+        return (
+            self.last_ended_trial < self.trials
+            and now < self.last_trial_at + config.trial_seconds
+        )
 
     def held_until(self, digest: RequestDigest, config: QuarantineConfig) -> float:
-        """Return when this gateway may try it again."""
-        steps = max(self.probes, len(self.open_ends()) - config.held_ends)
-        growth = config.hold_growth ** min(steps, MOST_HOLD_STEPS)
-        spread = 1.0 + config.hold_spread * share_of(config.instance, digest)
-        return self.last_event() + config.hold_seconds * growth * spread
-
-    def told(self, digest: RequestDigest, now: float) -> SuspectRequestReport:
-        """Write what is known of it for another gateway."""
-        ends = tuple(
-            ExitReport(end, now - at, end in self.cleared)
-            for end, at in self.ends.items()
+        """Return the time at which this gateway may begin a probe."""
+        steps = max(self.probes, len(self.open_exits()) - config.held_after_exits)
+        growth = config.hold_growth ** min(steps, MAX_HOLD_STEPS)
+        spread = 1.0 + config.hold_spread * spread_share(config.instance, digest)
+        return self.last_event_at() + config.hold_seconds * growth * spread
+
+    def report(self, digest: RequestDigest, now: float) -> SuspectRequestReport:
+        """Return the report of this state for other gateways."""
+        exits = tuple(
+            ExitReport(exited, now - at, exited in self.cleared)
+            for exited, at in self.exits.items()
         )
-        age = now - self.tried_at if self.trials else 0.0
+        age = now - self.last_trial_at if self.trials else 0.0
         return SuspectRequestReport(
-            digest, ends, self.trials, self.over, age, self.probes
+            digest, exits, self.trials, self.last_ended_trial, age, self.probes
         )
 
-    def take(self, told: SuspectRequestReport, now: float) -> bool:
-        """Take in what another gateway knows of it; return whether any of it is news.
+    def merge(self, report: SuspectRequestReport, now: float) -> bool:
+        """Merge a report of another gateway; return whether any of it is new.
 
-        Of two times of one event the earlier one counts: each message adds its way.
+        Of two times of one event the earlier one counts, since each message adds its
+        delay.
         """
         news = False
-        for end, age, cleared in told.ends:
-            if end not in self.ends and len(self.ends) >= MOST_ENDS:
+        for exited, age, cleared in report.exits:
+            if exited not in self.exits and len(self.exits) >= MAX_EXITS:
                 continue
-            news |= end not in self.ends or (cleared and end not in self.cleared)
-            self.ends[end] = min(self.ends.get(end, math.inf), now - age)
+            news |= exited not in self.exits or (cleared and exited not in self.cleared)
+            self.exits[exited] = min(self.exits.get(exited, math.inf), now - age)
             if cleared:
-                self.cleared.add(end)
-        if told.trials > self.trials:
+                self.cleared.add(exited)
+        if report.trials > self.trials:
             news = True
-            self.trials, self.tried_at = told.trials, now - told.trial_age_seconds
-        news |= told.over > self.over or told.probes > self.probes
-        self.over = max(self.over, told.over)
-        self.probes = max(self.probes, told.probes)
+            self.trials, self.last_trial_at = (
+                report.trials,
+                now - report.trial_age_seconds,
+            )
+        news |= (
+            report.last_ended_trial > self.last_ended_trial
+            or report.probes > self.probes
+        )
+        self.last_ended_trial = max(self.last_ended_trial, report.last_ended_trial)
+        self.probes = max(self.probes, report.probes)
         return news
 
 
-def share_of(instance: InstanceId, digest: RequestDigest) -> float:
-    """Return a share from zero to one that differs from gateway to gateway."""
+def spread_share(instance: InstanceId, digest: RequestDigest) -> float:
+    """Return a pseudorandom number from zero to one, by gateway and request."""
     text = f"{instance} {digest}".encode()
     drawn = int.from_bytes(blake2b(text, digest_size=SHARE_BYTES).digest())
     return drawn / 256**SHARE_BYTES
 
 
-def suspect_report_problem(told: SuspectRequestReport) -> str | None:
-    """Say what is wrong with word of another gateway, if anything is."""
-    if not is_request_digest(told.digest):
-        return "the digest is none"
-    if len(told.ends) > MOST_ENDS:
-        return f"{len(told.ends)} ends, {MOST_ENDS} at most"
-    ages = [each.age_seconds for each in told.ends] + [told.trial_age_seconds]
+def suspect_report_problem(report: SuspectRequestReport) -> str | None:
+    """Return why a report of another gateway is invalid, or None if it is valid."""
+    if not is_request_digest(report.digest):
+        return "the digest is malformed"
+    if len(report.exits) > MAX_EXITS:
+        return f"{len(report.exits)} exits, {MAX_EXITS} at most"
+    ages = [each.age_seconds for each in report.exits] + [report.trial_age_seconds]
     if not all(math.isfinite(age) and age >= 0.0 for age in ages):
         return "an age is negative or not finite"
-    counts = [told.trials, told.over, told.probes]
-    counts += [each.end.number for each in told.ends]
-    if not all(0 <= count <= MOST_COUNT for count in counts):
+    counts = [report.trials, report.last_ended_trial, report.probes]
+    counts += [each.exit.number for each in report.exits]
+    if not all(0 <= count <= MAX_COUNT for count in counts):
         return "a count is out of bounds"
     return None
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
@@ -48,9 +48,9 @@
 
 def aged(suspect: SuspectRequestReport, seconds: float) -> SuspectRequestReport:
     """Return word of a request as it would be told some seconds later."""
-    ends = tuple(
-        each._replace(age_seconds=each.age_seconds + seconds) for each in suspect.ends
+    exits = tuple(
+        each._replace(age_seconds=each.age_seconds + seconds) for each in suspect.exits
     )
     return suspect._replace(
-        ends=ends, trial_age_seconds=suspect.trial_age_seconds + seconds
+        exits=exits, trial_age_seconds=suspect.trial_age_seconds + seconds
     )
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -187,7 +187,7 @@
     file.write(msgspec.msgpack.encode(document), 1)
     told_again = SuspectRequestsFile(str(tmp_path)).read()
     (recalled,) = told_again.suspects
-    assert recalled.ends[0].age_seconds == pytest.approx(6.0, abs=1.0)
+    assert recalled.exits[0].age_seconds == pytest.approx(6.0, abs=1.0)
     suspects = SuspectRequests("10.0.0.1", Metrics(), lambda _digest: None)
     suspects.take("10.0.0.1", told_again)
     assert suspects.quarantine.exit_count(DIGEST) == 1
@@ -197,7 +197,7 @@
     file = SuspectRequestsFile(str(tmp_path))
     document = written(told("u-1"), time.time() + 900.0)
     file.write(msgspec.msgpack.encode(document), 1)
-    assert file.read().suspects[0].ends[0].age_seconds == 1.0
+    assert file.read().suspects[0].exits[0].age_seconds == 1.0
 
 
 @pytest.mark.parametrize("keep", [0, 1, 7, 20])
--- a/tests/cover/gateway_core/test_quarantine.py
+++ b/tests/cover/gateway_core/test_quarantine.py
@@ -105,7 +105,7 @@
     exchange([first, second], 0.0)
     verdict = second.verdict(FATAL, 0.1)
     assert isinstance(verdict, HeldBack)
-    assert verdict.retry_after_seconds == CONFIG.alone_pause_seconds
+    assert verdict.retry_after_seconds == CONFIG.alone_retry_seconds
     first.end_trial(FATAL)
     exchange([first, second], 0.2)
     assert second.verdict(FATAL, 0.2) == AllowedAlone(probe=False)
@@ -193,10 +193,10 @@
     [
         GOOD._replace(digest=RequestDigest("")),
         GOOD._replace(digest=RequestDigest("x" * 32)),
-        GOOD._replace(ends=GOOD.ends * 17),
-        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", 0), -1.0, False),)),
-        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", -1), 1.0, False),)),
-        GOOD._replace(ends=(ExitReport(UpstreamExit("u-1", 0), math.nan, False),)),
+        GOOD._replace(exits=GOOD.exits * 17),
+        GOOD._replace(exits=(ExitReport(UpstreamExit("u-1", 0), -1.0, False),)),
+        GOOD._replace(exits=(ExitReport(UpstreamExit("u-1", -1), 1.0, False),)),
+        GOOD._replace(exits=(ExitReport(UpstreamExit("u-1", 0), math.nan, False),)),
         GOOD._replace(trial_age_seconds=math.inf),
         GOOD._replace(trials=2**40),
         GOOD._replace(probes=-1),
@@ -240,7 +240,11 @@
         for told in random.sample(words * 2, 2 * len(words)):
             gateway.merge_report(told, now)
     beliefs = [
-        (set(g.suspects[FATAL].open_ends()), g.suspects[FATAL].trials, g.is_held(FATAL))
+        (
+            set(g.suspects[FATAL].open_exits()),
+            g.suspects[FATAL].trials,
+            g.is_held(FATAL),
+        )
         for g in gateways
         if FATAL in g.suspects
     ]
