--- a/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
@@ -1,33 +1,33 @@
-"""Make configurations small for links and disks; they repeat themselves much."""
+"""Compress configurations, which are repetitive, for links and disks."""
 
 import zlib
 
 from result import Err, Ok, Result
 
-MARK = b"\x00z"
-"""Begins what was packed. No configuration that was ever accepted begins so, and one
-that a version before this held as it was written is still read."""
-FASTEST = 1
-"""Level of compression: 1,600 routes of 370 kB become 34 kB in 2.7 ms; the usual level
+COMPRESSED_PREFIX = b"\x00z"
+"""Prefix of compressed data. No accepted configuration begins with it, so a plain one
+that an earlier version stored is still read."""
+COMPRESSION_LEVEL = 1
+"""The fastest level: 1,600 routes of 370 kB become 34 kB in 2.7 ms; the default level
 takes twice as long for 3% less."""
-MOST_BYTES = 64 * 1024 * 1024
-"""Bound on what is unpacked: twice the largest configuration that is taken."""
+MAX_BYTES = 64 * 1024 * 1024
+"""Limit on decompressed data: twice the largest configuration that is accepted."""
 
 
 def compress_configuration(body: bytes) -> bytes:
-    """Return a configuration as it travels and is held, an eleventh of its size."""
-    return MARK + zlib.compress(body, FASTEST)
+    """Return the compressed form, which is sent and stored; an eleventh of the size."""
+    return COMPRESSED_PREFIX + zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def decompress_configuration(data: bytes) -> Result[bytes, str]:
-    """Return a configuration as its operator wrote it, or why it can't be read."""
-    if not data.startswith(MARK):
+    """Return a configuration as its operator wrote it, or why it is invalid."""
+    if not data.startswith(COMPRESSED_PREFIX):
         return Ok(data)
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacking.decompress(data[len(MARK) :], MOST_BYTES)
+        body = decompressor.decompress(data[len(COMPRESSED_PREFIX) :], MAX_BYTES)
     except zlib.error as error:
         return Err(str(error))
-    if not unpacking.eof:
-        return Err("it is cut short or larger than any that is taken")
+    if not decompressor.eof:
+        return Err("it is truncated or larger than any accepted configuration")
     return Ok(body)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/memory_lease.py
@@ -1,54 +1,55 @@
-"""Decide for how long engines hold memory for a prompt that another engine works on.
+"""Decide for how long engines reserve memory for a prompt of another engine.
 
-Whoever holds memory can't tell whether the engine that it is for still lives. Were it
-held for as long as the gateway waits for that engine, memory would lie idle for all the
-time in which a silence is excused. So it is leased by the last sign of life of that
-engine, and no order to hold it reaches beyond that.
+An engine that reserves memory can't tell whether the engine that uses it is alive. If
+memory were reserved for as long as the gateway waits for a silent engine, it would be
+idle for all of that time. So the reservation is a lease that starts at the last sign of
+life of the engine that uses the memory, and no renewal goes beyond its end.
 """
 
 from dataclasses import dataclass
 from typing import NamedTuple, Self
 
-HOLD_SHARE = 0.75
-"""Part of the allowed time for which memory is held at once. Should the gateway die,
-engines have it back after this."""
+RESERVE_SHARE = 0.75
+"""Share of the release time for which memory is reserved at a time. If the gateway
+dies, engines have the memory back after this."""
 RENEW_SHARE = 0.25
-"""Pause between renewals, and between questions to the engine that uses the memory:
-two of either may be lost before the memory is."""
+"""Interval between renewals, and between status requests to the engine that uses the
+memory, as a share of the release time: two of either may be lost before the lease
+ends."""
 SILENCE_SHARE = 0.8
-"""Part of the allowed time that a hold may reach beyond the last sign of life. The rest
-is for an order that is on its way, since engines count from its arrival."""
+"""Share of the release time that a reservation may extend beyond the last sign of life.
+The rest is for the delay of the request, since engines count from its arrival."""
 
 
 class MemoryLeaseConfig(NamedTuple):
-    """Bound how long memory may outlast the request that used it."""
+    """Configure how long memory may stay reserved after its request has ended."""
 
     release_seconds: float = 4.0
 
     @property
     def renew_seconds(self) -> float:
-        """Return the pause between two renewals."""
+        """Return the interval between two renewals."""
         return RENEW_SHARE * self.release_seconds
 
 
 @dataclass(slots=True)
 class MemoryLease:
-    """Follow the signs of life of the engine that some memory is for."""
+    """Track the signs of life of the engine that uses reserved memory."""
 
     config: MemoryLeaseConfig
     heard_at: float
 
     @classmethod
     def from_config(cls, config: MemoryLeaseConfig, now: float) -> Self:
-        """Begin as a request is about to be sent, for which nothing is used yet."""
+        """Start a lease before the request that uses the memory is sent."""
         return cls(config, now)
 
     def record_alive(self, heard_at: float) -> None:
-        """Note that the engine lived at a time."""
+        """Record that the engine was alive at a time."""
         self.heard_at = max(self.heard_at, heard_at)
 
     def hold_seconds(self, now: float) -> float:
-        """Return for how long memory may be held from now on; zero if no longer."""
+        """Return for how long memory may be reserved from now on, or zero."""
         release_seconds = self.config.release_seconds
         ends_at = self.heard_at + SILENCE_SHARE * release_seconds
-        return max(0.0, min(HOLD_SHARE * release_seconds, ends_at - now))
+        return max(0.0, min(RESERVE_SHARE * release_seconds, ends_at - now))
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -1,7 +1,8 @@
-"""Know the other gateways, from three addresses that may be stale.
+"""Discover the other gateways, starting from three seeds that may be stale.
 
-Nobody keeps a list of the gateways. Each says now and then that it is there, and
-whom it knows; so a gateway that reaches any other soon knows all of them.
+There is no central list of the gateways. Each regularly sends a message that it is
+alive, sometimes with the peers that it knows; so a gateway that reaches any other soon
+knows all of them.
 """
 
 from collections import Counter
@@ -18,49 +19,49 @@
 )
 from cowslipshelf_core.messages import PeerAlive
 
-MOST_REPLICAS_IN_MEMORY = 9
-"""Replicas that a fleet without disks holds: four may be lost at once, and a change
-still waits for five gateways only, however many there are."""
+MAX_REPLICAS_IN_MEMORY = 9
+"""Replicas in a fleet without disks: four may be lost at once, and a change still waits
+for five gateways only, however many there are."""
 
 
 class PeerTableConfig(NamedTuple):
-    """Say who this gateway is and whom it may ask."""
+    """Configure the identity of this gateway and its seeds."""
 
     instance: InstanceId
     epoch: Epoch
     data_centre: DataCentre
     holds_replica: bool
-    """Whether a replica is held from the start on."""
+    """Whether this gateway holds a replica from its start."""
     seeds: tuple[InstanceId, ...]
     has_disk: bool = True
     silence_seconds: float = 3.0
-    """Silence after which a peer counts as gone: six messages lost in a row."""
+    """Silence after which a peer counts as dead: six messages lost in a row."""
     forget_seconds: float = 30.0
-    """Silence after which a peer is not told of this gateway any more. Longer than
-    cuts and freezes last, so that both sides find each other after one."""
+    """Silence after which no more messages are sent to a peer. Longer than partitions
+    and freezes last, so that both sides find each other afterwards."""
 
 
 class PeerChange(Enum):
-    """Name what a gateway's word says beyond that it is still there."""
+    """Name what an alive message says about its sender beyond being alive."""
 
     NONE = auto()
     RETURNED = auto()
-    """It is new here, or was silent for long."""
+    """It is new here, or was silent for too long."""
     RESTARTED = auto()
-    """It has started again, and all that it had is gone."""
+    """It has restarted, and has lost its state."""
 
 
 class KnownPeer(NamedTuple):
-    """Be what a gateway last said of itself."""
+    """Hold the last alive message of a gateway."""
 
     alive: PeerAlive | None
-    """Nothing where others told of it and it has not spoken yet."""
+    """None if it is known from other gateways only."""
     heard_at: float
 
 
 @dataclass(slots=True)
 class PeerTable:
-    """Hold the gateways that were heard of."""
+    """Track the known gateways."""
 
     config: PeerTableConfig
     seeds: tuple[InstanceId, ...]
@@ -69,13 +70,13 @@
 
     @classmethod
     def from_config(cls, config: PeerTableConfig) -> Self:
-        """Begin with the seeds only."""
+        """Create a table with the seeds only."""
         return cls(config, config.seeds, config.holds_replica)
 
     def record_alive(
         self, sender: InstanceId, alive: PeerAlive, now: float
     ) -> PeerChange:
-        """Take in a message; return what it says of the sender."""
+        """Record an alive message; return what it says about its sender."""
         before = self.known.get(sender)
         self.known[sender] = KnownPeer(alive, now)
         for peer in alive.peers:
@@ -89,77 +90,77 @@
         return PeerChange.RETURNED if silent else PeerChange.NONE
 
     def gossip_targets(self) -> tuple[InstanceId, ...]:
-        """List whom to tell that this gateway is there."""
+        """Return the gateways to send alive messages to."""
         own = self.config.instance
         return tuple(dict.fromkeys(p for p in (*self.seeds, *self.known) if p != own))
 
     def alive(self, now: float) -> list[InstanceId]:
-        """List the other gateways that were heard lately."""
+        """Return the other gateways that are alive."""
         return [peer for peer in self.known if self.is_alive(peer, now)]
 
     def is_alive(self, peer: InstanceId, now: float) -> bool:
-        """Tell whether a gateway was heard lately."""
+        """Return whether a gateway was heard from recently."""
         known = self.known.get(peer)
         if known is None or known.alive is None:
             return False
         return now - known.heard_at <= self.config.silence_seconds
 
     def local_targets(self) -> tuple[InstanceId, ...]:
-        """List whom to tell that are in this data centre, or might be."""
+        """Return the gossip targets that are in this data centre, or may be."""
         return tuple(peer for peer in self.gossip_targets() if not self.is_remote(peer))
 
     def is_remote(self, peer: InstanceId) -> bool:
-        """Tell whether a gateway is known to be in another data centre."""
+        """Return whether a gateway is known to be in another data centre."""
         known = self.known.get(peer)
         if known is None or known.alive is None:
             return False
         return known.alive.data_centre != self.config.data_centre
 
     def local_peers(self, now: float) -> list[InstanceId]:
-        """List the other gateways of this data centre that were heard lately."""
+        """Return the other gateways of this data centre that are alive."""
         return [peer for peer in self.alive(now) if not self.is_remote(peer)]
 
     def relays(self, now: float, turn: int = 0) -> list[InstanceId]:
-        """Choose one gateway of each other data centre, to pass messages on there.
+        """Choose one gateway of each other data centre to relay messages there.
 
-        The order in which a data centre's gateways are taken by turns differs from
-        sender to sender, so that none passes on for all.
+        The relays of a data centre rotate by turn, in an order that differs from sender
+        to sender, so that none relays for all.
         """
-        far: dict[DataCentre, list[InstanceId]] = {}
+        remote: dict[DataCentre, list[InstanceId]] = {}
         for peer in self.alive(now):
             if self.is_remote(peer):
-                far.setdefault(self.known[peer].alive.data_centre, []).append(peer)
+                remote.setdefault(self.known[peer].alive.data_centre, []).append(peer)
         own = self.config.instance
         chosen = []
-        for peers in far.values():
+        for peers in remote.values():
             peers.sort(key=lambda peer: rank(own, peer))
             chosen.append(peers[turn % len(peers)])
         return chosen
 
     def replicas(self) -> tuple[InstanceId, ...]:
-        """List the gateways known to hold replicas, this one included."""
+        """Return the gateways that hold replicas, this one included."""
         holders = [peer for peer, alive in self.last_messages() if alive.holds_replica]
         if self.holds_replica:
             holders.append(self.config.instance)
         return tuple(sorted(holders))
 
     def replicas_to_ask(self, now: float) -> tuple[InstanceId, ...]:
-        """List the replicas: the own one first, then those that were heard lately."""
+        """Return the replicas, the own one first, then those that are alive."""
         own = self.config.instance
         return tuple(
             sorted(self.replicas(), key=lambda p: (p != own, not self.is_alive(p, now)))
         )
 
     def last_messages(self) -> list[tuple[InstanceId, PeerAlive]]:
-        """List the last word of every other gateway that has spoken."""
+        """Return the last alive message of every other gateway that has sent one."""
         return [(p, known.alive) for p, known in self.known.items() if known.alive]
 
     def should_hold_replica(self) -> bool:
-        """Tell whether this gateway is to hold a replica beside those of the settings.
+        """Return whether this gateway should add a replica to those of the settings.
 
-        Where no gateway has a disk, what was acknowledged lives as long as more than
-        half of the replicas do. All gateways agree on who joins, without a word, as
-        far as they know the same ones; one too many does no harm.
+        In a fleet without disks, acknowledged data survives while more than half of the
+        replicas are alive. Gateways that know the same peers choose the same ones to
+        join without coordination; one too many does no harm.
         """
         spoken = self.last_messages()
         holders = [alive for _, alive in spoken if alive.holds_replica]
@@ -171,7 +172,7 @@
         candidates = {p: a.data_centre for p, a in spoken if not a.holds_replica}
         candidates[own] = self.config.data_centre
         taken = Counter(alive.data_centre for alive in holders)
-        for _ in range(MOST_REPLICAS_IN_MEMORY - len(holders)):
+        for _ in range(MAX_REPLICAS_IN_MEMORY - len(holders)):
             chosen = min(candidates, key=lambda p: (taken[candidates[p]], p))
             if chosen == own:
                 return True
@@ -181,10 +182,10 @@
     def peers_with_newer(
         self, version: ConfigurationVersion, now: float
     ) -> tuple[InstanceId, ...]:
-        """List who was heard lately and holds a later configuration than a version.
+        """Return the live peers that have a newer configuration than a version.
 
-        The near ones come first, and in each group the order differs from asker to
-        asker, so that no holder is everybody's first.
+        Those of this data centre come first. In each group the order differs from
+        gateway to gateway, so that no peer is the first choice of all.
         """
         own = self.config.instance
         later = [
@@ -201,7 +202,7 @@
         work_number: int,
         with_peers: bool,
     ) -> PeerAlive:
-        """Say that this gateway is there."""
+        """Build the alive message of this gateway."""
         peers = (peer for peer, known in self.known.items() if known.alive)
         return PeerAlive(
             self.config.epoch,
@@ -215,7 +216,7 @@
         )
 
     def forget_old(self, now: float) -> list[InstanceId]:
-        """Forget the gateways that have been silent for very long."""
+        """Remove the gateways that have been silent for very long."""
         old = [
             peer
             for peer, known in self.known.items()
@@ -226,11 +227,11 @@
         return old
 
     def bootstrap_instance(self) -> InstanceId | None:
-        """Name the gateway that founds the cluster, once its choice is certain.
+        """Return the gateway that bootstraps the cluster, once the choice is certain.
 
-        All gateways of a first start have the same seeds. The lowest seed that holds a
-        replica founds; a lower one must have said that it holds none. Where no seed
-        does, it is the lowest gateway that the seeds know of.
+        All gateways have the same seeds at the first start. The lowest seed that holds
+        a replica bootstraps; every lower seed must have reported that it holds none. If
+        no seed holds one, it is the lowest known gateway that does.
         """
         for seed in sorted(self.seeds):
             if seed == self.config.instance:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/registry.py
@@ -1,15 +1,15 @@
-"""Know the upstreams by the heartbeats that they send to any entry.
-
-An upstream's heartbeat reaches one entry, which tells the others. Each start of an
-upstream has an id of its own, and its heartbeats are numbered, so that a late one
-can't bring back an upstream that has left, or an older state of it.
-
-What is believed in the end depends on what was said, not on the order in which it
-came: of one upstream the latest start counts, of that start the highest number and the
-furthest phase. A start whose time lies before that of a known one is taken for late
-word of a dead process. Where a clock was put back it is a live one, which then stays
-out until the former start is forgotten; the other way round, late word would send
-requests to a process that is gone for as long as it comes.
+"""Register the upstreams by the heartbeats that they send to any gateway.
+
+A heartbeat reaches one gateway, which forwards it to the others. Each start of an
+upstream has an id of its own and numbers its heartbeats, so that a late one can't bring
+back an upstream that has left, or an older state of it.
+
+The registered state depends on which heartbeats arrived, not on their order: of an
+upstream the latest start counts, and of that start the highest sequence number and the
+furthest phase. A heartbeat of a start before the known one is taken for a late one of a
+dead process. If a clock was set back, that process is alive; it then stays unused until
+the known start is forgotten. The other way round, late heartbeats would keep sending
+requests to a process that is gone.
 """
 
 from collections.abc import Iterable
@@ -30,28 +30,29 @@
     UpstreamStart,
 )
 
-NUMBER_OF_LEAVING = 1 << 62
-"""Sequence number of an upstream that has left: no heartbeat can be newer."""
-KEEP_LEFT_SECONDS = 120.0
-"""How long an upstream that has left is remembered: late heartbeats come seconds
-late, and instances that were cut off may repeat them after the cut."""
+LEFT_SEQUENCE = 1 << 62
+"""Sequence number of an upstream that has left, above that of any heartbeat."""
+FORGET_SECONDS = 120.0
+"""Time without heartbeats after which an upstream is forgotten, also one that has left:
+heartbeats arrive seconds late, and instances that were partitioned may repeat them
+after the partition."""
 
 
 class UpstreamPhase(StrEnum):
-    """Say what an upstream is up to."""
+    """Name the phase in the life of an upstream."""
 
     READY = "ready"
     LEAVING = "leaving"
-    """It finishes what it has and takes nothing new."""
+    """It finishes its requests and accepts no new ones."""
     LEFT = "left"
 
 
-PHASES = tuple(UpstreamPhase)
-"""In the order of an upstream's life; within one start none comes back."""
+PHASE_ORDER = tuple(UpstreamPhase)
+"""The phases in order; an upstream does not return to an earlier one within a start."""
 
 
 class UpstreamHeartbeat(NamedTuple):
-    """Be what an upstream says of itself, in one of its heartbeats."""
+    """Hold one heartbeat of an upstream."""
 
     upstream_id: UpstreamId
     service: ServiceName
@@ -63,10 +64,11 @@
 
 
 class HeartbeatSeen(msgspec.Struct, frozen=True, array_like=True):
-    """Pass a heartbeat on to another entry, with its age.
+    """Forward a heartbeat to another gateway, with its age.
 
-    The start stands apart from the heartbeat, which holds the name only: entries of
-    the version before read the one and pass over the other.
+    The heartbeat holds the name of the upstream only, and the start time is a field of
+    its own, so that gateways of the previous version read the former and skip the
+    latter.
     """
 
     heartbeat: UpstreamHeartbeat
@@ -75,7 +77,7 @@
 
     @classmethod
     def from_heartbeat(cls, heartbeat: UpstreamHeartbeat, age_seconds: float) -> Self:
-        """Write down a heartbeat of a start."""
+        """Build the message from a heartbeat under the id of a start."""
         start = UpstreamStart.of(heartbeat.upstream_id)
         named = heartbeat._replace(upstream_id=UpstreamId(start.name))
         return cls(named, age_seconds, start.began_ms)
@@ -90,17 +92,17 @@
 
 @dataclass(slots=True)
 class KnownUpstream:
-    """Be what is known of one start of an upstream."""
+    """Hold the state of one start of an upstream."""
 
     start: UpstreamStart
     heartbeat: UpstreamHeartbeat
     heard_at: float
 
     def replaces_at_address(self, other: "KnownUpstream") -> bool:
-        """Tell whether this one is at an address that both name.
+        """Return whether this one, not the other, runs at their common address.
 
-        Late word of one that is gone must not hide the one that began there after it;
-        where one of them doesn't tell of its start, the one heard last is there.
+        A late heartbeat of one that is gone must not hide the one that started there
+        after it. If a start time is unknown, the one heard last counts.
         """
         if self.start.is_known and other.start.is_known:
             began, other_began = self.start.began_ms, other.start.began_ms
@@ -109,8 +111,8 @@
         return self.heard_at > other.heard_at
 
     def merge(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> None:
-        """Take in a heartbeat of this start, whether it is newer or came late."""
-        phase = max(self.heartbeat.phase, heartbeat.phase, key=PHASES.index)
+        """Merge a heartbeat of this start, which may be late."""
+        phase = max(self.heartbeat.phase, heartbeat.phase, key=PHASE_ORDER.index)
         if heartbeat.sequence > self.heartbeat.sequence:
             self.heartbeat = heartbeat
             self.heard_at = heard_at
@@ -121,10 +123,10 @@
 
 
 class RegistryConfig(NamedTuple):
-    """Bound how long an upstream counts without heartbeats."""
+    """Configure how long an upstream is used without heartbeats."""
 
     silence_seconds: float
-    """Silence after which an upstream is taken out of use."""
+    """Time without heartbeats after which an upstream is not used."""
 
 
 @dataclass(slots=True)
@@ -138,20 +140,20 @@
 
     @classmethod
     def from_config(cls, config: RegistryConfig) -> Self:
-        """Begin with no upstream."""
+        """Create a registry without upstreams."""
         return cls(config)
 
     def latest_start(self, upstream_id: UpstreamId) -> KnownUpstream | None:
-        """Return the latest start of the upstream that has an id, or had it."""
+        """Return the latest start of an upstream, given the id of any of its starts."""
         latest = self.latest.get(UpstreamStart.of(upstream_id).name)
         return None if latest is None else self.known[latest]
 
     def record(self, heartbeat: UpstreamHeartbeat, heard_at: float) -> bool:
-        """Take in a heartbeat heard at a time; return whether it changes the phase.
+        """Record a heartbeat heard at a time; return whether it changes the phase.
 
-        An upstream that is new here, or has started again, counts as a change of
-        phase. One told without its start, by an entry of the version before, is taken
-        for word of the latest start.
+        A new upstream or a new start counts as a change of phase. A heartbeat without a
+        start time, from a gateway of the previous version, is taken for one of the
+        latest start.
         """
         start = UpstreamStart.of(heartbeat.upstream_id)
         known = self.latest_start(heartbeat.upstream_id)
@@ -170,7 +172,7 @@
     def add_start(
         self, start: UpstreamStart, heartbeat: UpstreamHeartbeat, heard_at: float
     ) -> None:
-        """Know a start, in place of any earlier one of its upstream."""
+        """Add a start in place of any earlier one of its upstream."""
         former = self.latest.get(start.name)
         if former is not None:
             del self.known[former]
@@ -178,7 +180,7 @@
         self.known[start.upstream_id] = KnownUpstream(start, heartbeat, heard_at)
 
     def leave(self, start: UpstreamStart, now: float) -> HeartbeatSeen:
-        """Take a start out for good; return what to tell the other entries."""
+        """Mark a start as left; return the message for the other gateways."""
         known = self.known.get(start.upstream_id)
         if known is not None:
             leaving = known.heartbeat
@@ -190,16 +192,16 @@
                 DataCentre(""),
                 0,
                 UpstreamPhase.LEFT,
-                NUMBER_OF_LEAVING,
+                LEFT_SEQUENCE,
             )
-        left = leaving._replace(phase=UpstreamPhase.LEFT, sequence=NUMBER_OF_LEAVING)
+        left = leaving._replace(phase=UpstreamPhase.LEFT, sequence=LEFT_SEQUENCE)
         self.record(left, now)
         return HeartbeatSeen.from_heartbeat(left, 0.0)
 
     def ready_upstreams(
         self, service: ServiceName, now: float
     ) -> list[UpstreamHeartbeat]:
-        """List the upstreams of a service that take new work, one at each address."""
+        """Return a service's upstreams that accept requests, one at each address."""
         by_address: dict[str, KnownUpstream] = {}
         oldest = now - self.config.silence_seconds
         for known in self.known.values():
@@ -216,24 +218,24 @@
         ]
 
     def forget_old(self, now: float) -> list[UpstreamId]:
-        """Forget those that were not heard of for long; return their ids."""
+        """Remove upstreams without recent heartbeats; return their ids."""
         old = [
             upstream_id
             for upstream_id, known in self.known.items()
-            if now - known.heard_at > KEEP_LEFT_SECONDS
+            if now - known.heard_at > FORGET_SECONDS
         ]
         for upstream_id in old:
             del self.latest[self.known.pop(upstream_id).start.name]
         return old
 
     def all_heartbeats(self, now: float) -> tuple[HeartbeatSeen, ...]:
-        """List everything known, for an entry that may have missed some of it."""
+        """Return all heartbeats, for a gateway that may have missed some."""
         return self.heartbeats_of(self.known, now)
 
     def heartbeats_of(
         self, upstream_ids: Iterable[UpstreamId], now: float
     ) -> tuple[HeartbeatSeen, ...]:
-        """List the newest heartbeats of some upstreams, with their age."""
+        """Return the newest heartbeats of some upstreams, with their age."""
         found = (self.known.get(upstream_id) for upstream_id in upstream_ids)
         return tuple(
             HeartbeatSeen.from_heartbeat(
--- a/packages/core/src/cowslipshelf_core/internal/gateway/request_digest.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/request_digest.py
@@ -1,4 +1,4 @@
-"""Tell whether two requests are the same, whatever their ids."""
+"""Compute digests of requests, equal for requests with the same content."""
 
 import re
 from hashlib import blake2b
@@ -7,21 +7,21 @@
 from cowslipshelf_core.identifiers import CustomerName
 
 RequestDigest = NewType("RequestDigest", str)
-"""Names the content of a request, in hexadecimal."""
+"""Digest of the content of a request, in hexadecimal."""
 
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
-FORM = re.compile(f"[0-9a-f]{{{2 * DIGEST_BYTES}}}")
+DIGEST_PATTERN = re.compile(f"[0-9a-f]{{{2 * DIGEST_BYTES}}}")
 
 
 def request_digest(
     customer: CustomerName | None, method: str, host: str, target: str, body: bytes
 ) -> RequestDigest:
-    """Digest who asks for what.
+    """Return the digest of a request and its customer.
 
-    Each field is preceded by its length, so that no two requests have the same
-    digested bytes, and the customer is one of them, so that nobody can make a request
-    that is taken for another customer's.
+    Each field is preceded by its length, so that no two requests have the same digested
+    bytes. The customer is included so that a request can't be mistaken for that of
+    another customer.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for text in (customer or "", method, host, target):
@@ -33,5 +33,5 @@
 
 
 def is_request_digest(text: str) -> bool:
-    """Tell whether a text has the form of a digest."""
-    return FORM.fullmatch(text) is not None
+    """Return whether a text has the form of a digest."""
+    return DIGEST_PATTERN.fullmatch(text) is not None
--- a/packages/core/src/cowslipshelf_core/internal/gateway/route_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/route_table.py
@@ -1,4 +1,4 @@
-"""Find the route of a request and the customer of its key."""
+"""Look up the route of a request and the customer of its key."""
 
 from dataclasses import dataclass
 from random import Random
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Index one configuration for look-ups."""
+    """Index a configuration by host and prefix, key, and service name."""
 
     configuration: RouteConfiguration
     routes: dict[tuple[str, str], Route]
@@ -52,7 +52,7 @@
 
 
 def choose_service(route: Route, random: Random) -> ServiceName:
-    """Draw one of a route's services by weight."""
+    """Choose one of a route's services at random, by weight."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [weighted.weight for weighted in route.services]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
@@ -1,21 +1,21 @@
-"""Choose an upstream for a request whose cost is not known beforehand."""
+"""Choose an upstream for a request whose cost is not known in advance."""
 
 from random import Random
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import UpstreamId
 
-FAILING_COST = 3.0
-"""Busy slots that a certain failure counts for: a share of failures of one third is
-as bad as a full slot more."""
+FAILURE_COST = 3.0
+"""Cost of a failure rate of one, in fully used upstreams: a rate of one third counts
+like an upstream whose slots are all busy."""
 AVOIDED_COST = 100.0
-"""Makes an upstream that was just lost the last choice, but still one."""
-FAR_COST = 0.05
-"""Parts of the slots that another data centre counts for: it breaks ties only."""
+"""Makes an upstream that was just unreachable the last choice, but still one."""
+REMOTE_COST = 0.05
+"""Cost of another data centre, as a share of the slots: it only breaks ties."""
 
 
 class UpstreamCandidate(NamedTuple):
-    """Be an upstream that may be chosen."""
+    """Describe an upstream that may be chosen."""
 
     upstream_id: UpstreamId
     slots: int
@@ -24,13 +24,13 @@
     failure_rate: float
     slowness: float
     avoided: bool
-    near: bool
+    local: bool
 
 
 def choose_upstream(
     candidates: list[UpstreamCandidate], random: Random
 ) -> UpstreamId | None:
-    """Return the upstream that is likely to answer first, or nothing without any."""
+    """Return the upstream that is likely to answer first, if there is any."""
     if not candidates:
         return None
     shuffled = random.sample(candidates, len(candidates))
@@ -40,9 +40,9 @@
 def expected_cost(candidate: UpstreamCandidate) -> float:
     """Return a cost that grows with load, failures, slowness and distance."""
     load = (candidate.running + 1) / max(1, candidate.slots)
-    cost = load * candidate.slowness + FAILING_COST * candidate.failure_rate
+    cost = load * candidate.slowness + FAILURE_COST * candidate.failure_rate
     if candidate.avoided:
         cost += AVOIDED_COST
-    if not candidate.near:
-        cost += FAR_COST
+    if not candidate.local:
+        cost += REMOTE_COST
     return cost
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_start.py
@@ -1,22 +1,22 @@
-"""Tell the starts of one upstream apart.
+"""Distinguish the starts of one upstream.
 
-An upstream may start again under the name that it had, and then holds and knows nothing
-of before. So each start has an id of its own here, and what is believed of one start is
-never believed of the next: its work, memory, health and connections go by that id.
+An upstream may restart under the same name, and then has lost all of its state. So each
+start has an id of its own, and the state that is kept here for one start (its attempts,
+memory, health and connections) goes by that id and is never applied to the next.
 """
 
 from typing import NamedTuple, Self
 
 from cowslipshelf_core.identifiers import UpstreamId, UpstreamName
 
-MARK = "#"
-"""Parts the name from the start; no name that arrives in a path can hold it."""
+SEPARATOR = "#"
+"""Separates the name from the start time; a name in a path cannot contain it."""
 START_UNKNOWN = 0
-"""Stands for the time of a start of which the upstream said nothing."""
+"""Stands for a start time that the upstream did not send."""
 
 
 class UpstreamStart(NamedTuple):
-    """Be one start of an upstream; starts of one upstream compare by their time."""
+    """Identify one start of an upstream; starts of one upstream compare by time."""
 
     name: UpstreamName
     began_ms: int = START_UNKNOWN
@@ -24,9 +24,9 @@
 
     @classmethod
     def of(cls, upstream_id: UpstreamId) -> Self:
-        """Return the start that an id stands for."""
-        name, mark, began = upstream_id.rpartition(MARK)
-        if not mark:
+        """Return the start that an id identifies."""
+        name, separator, began = upstream_id.rpartition(SEPARATOR)
+        if not separator:
             return cls(UpstreamName(upstream_id))
         return cls(UpstreamName(name), int(began))
 
@@ -35,9 +35,9 @@
         """Return the id of this start."""
         if self.began_ms == START_UNKNOWN:
             return UpstreamId(self.name)
-        return UpstreamId(f"{self.name}{MARK}{self.began_ms}")
+        return UpstreamId(f"{self.name}{SEPARATOR}{self.began_ms}")
 
     @property
     def is_known(self) -> bool:
-        """Tell whether the upstream said when it began."""
+        """Return whether the upstream sent its start time."""
         return self.began_ms != START_UNKNOWN
--- a/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/work_gaps.py
@@ -1,9 +1,9 @@
-"""Notice that word of another gateway's work was lost on its way.
+"""Detect lost messages about the attempts of other gateways.
 
-Changes of work are told once, and in other data centres by way of one gateway there.
-When that one dies or is cut off, what it was to pass on is lost: an attempt whose end
-is not heard of would keep everybody off its engine. So changes are numbered, and each
-gateway says with its signs of life how far it has counted.
+A change is sent once, and to other data centres through a relay there. If the relay
+dies or is partitioned, the change is lost: an attempt whose end was not received would
+keep all gateways off its engine. So changes are numbered, and each gateway reports the
+number of its last change in its alive messages.
 """
 
 from dataclasses import dataclass, field
@@ -13,62 +13,64 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Be how far the word of one gateway has come here."""
+    """Hold which changes of one gateway have arrived."""
 
-    whole: int = 0
-    """All changes up to this number are known."""
-    ahead: set[int] = field(default_factory=set)
-    """Changes beyond a gap."""
-    told: int = 0
-    """Number that the gateway gave with its last sign of life."""
+    contiguous: int = 0
+    """All changes up to this number have arrived."""
+    beyond_gap: set[int] = field(default_factory=set)
+    """Changes that arrived beyond a gap."""
+    announced: int = 0
+    """Number of the gateway's last change by its last alive message."""
 
 
 @dataclass(slots=True)
 class WorkGapDetector:
-    """Hold the progress of each gateway."""
+    """Track the changes that have arrived from each gateway."""
 
     of_owner: dict[InstanceId, Progress] = field(default_factory=dict)
 
     def progress(self, owner: InstanceId) -> Progress:
-        """Return a gateway's progress, none at first."""
+        """Return a gateway's progress, which is empty at first."""
         return self.of_owner.setdefault(owner, Progress())
 
-    def note_change(self, owner: InstanceId, number: int) -> None:
-        """Note a change."""
+    def record_change(self, owner: InstanceId, number: int) -> None:
+        """Record that a change arrived."""
         progress = self.progress(owner)
-        progress.ahead.add(number)
+        progress.beyond_gap.add(number)
         self.close_gap(progress)
 
-    def note_snapshot(self, owner: InstanceId, number: int) -> bool:
-        """Note all work of a gateway up to a change; tell whether it is new enough.
+    def record_snapshot(self, owner: InstanceId, number: int) -> bool:
+        """Record a snapshot up to a change; return whether it is recent enough to use.
 
-        Word of later changes may have come first, by the other way.
+        Later changes may have arrived before it, through a relay.
         """
         progress = self.progress(owner)
-        if number < max(progress.ahead, default=progress.whole):
+        if number < max(progress.beyond_gap, default=progress.contiguous):
             return False
-        progress.whole = number
+        progress.contiguous = number
         self.close_gap(progress)
         return True
 
     def close_gap(self, progress: Progress) -> None:
-        """Count on as far as nothing is missing."""
-        progress.ahead = {n for n in progress.ahead if n > progress.whole}
-        while progress.whole + 1 in progress.ahead:
-            progress.whole += 1
-            progress.ahead.remove(progress.whole)
-
-    def has_gap(self, owner: InstanceId, told: int) -> bool:
-        """Take in a sign of life; tell whether something told before never came.
-
-        Its newest changes may still be on their way, which is longer than that of a
-        sign of life; those before the last sign of life are not.
+        """Advance to the next gap."""
+        progress.beyond_gap = {
+            n for n in progress.beyond_gap if n > progress.contiguous
+        }
+        while progress.contiguous + 1 in progress.beyond_gap:
+            progress.contiguous += 1
+            progress.beyond_gap.remove(progress.contiguous)
+
+    def has_gap(self, owner: InstanceId, announced: int) -> bool:
+        """Record an alive message; return whether an earlier change is missing.
+
+        The newest changes may still be in transit, since relays take longer than alive
+        messages; those before the last alive message are not.
         """
         progress = self.progress(owner)
-        behind = progress.whole < progress.told
-        progress.told = told
+        behind = progress.contiguous < progress.announced
+        progress.announced = announced
         return behind
 
     def forget(self, owner: InstanceId) -> None:
-        """Begin anew with a gateway that counts from the beginning."""
+        """Reset the progress of a gateway that has restarted and counts from one."""
         self.of_owner.pop(owner, None)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -258,7 +258,7 @@
             case HeartbeatsSeen() | WorkChanged() | SuspectRequestsTold() as message:
                 self.take_spread(delivered.sender, message)
             case WorkHeld(number=number) as message:
-                if self.progress.note_snapshot(delivered.sender, number):
+                if self.progress.record_snapshot(delivered.sender, number):
                     now = time.monotonic()
                     self.view.board.replace(delivered.sender, message, now)
             case FetchWork():
@@ -276,7 +276,7 @@
             case HeartbeatsSeen():
                 self.view.take_heartbeats(message)
             case WorkChanged(number=number):
-                self.progress.note_change(origin, number)
+                self.progress.record_change(origin, number)
                 self.view.take_work(origin, message)
 
     def pass_on(self, sender: InstanceId, relayed: Relayed) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -80,7 +80,7 @@
         elif sender != self.view.settings.instance:
             self.note_copy(sender, document)
         if document.body and self.take_routes(document):
-            self.fetch.note_received(len(document.body), time.monotonic())
+            self.fetch.record_copy(len(document.body), time.monotonic())
 
     def note_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a copy of the configuration; those in vain fill links."""
--- a/tests/cover/gateway_core/test_routes_fetch.py
+++ b/tests/cover/gateway_core/test_routes_fetch.py
@@ -64,12 +64,12 @@
 
 def test_a_slow_copy_makes_the_next_patience_longer_and_fast_ones_shorter_again():
     fetch = asked_first()
-    fetch.note_received(SIZE, 14.0)
+    fetch.record_copy(SIZE, 14.0)
     assert fetch.answer_timeout(SIZE) > 3 * 4.0
     for start in range(20, 40):
         fetch.next_peer(HOLDERS, SIZE, False, start)
         fetch.next_peer(HOLDERS, SIZE, False, start + GATHERED)
-        fetch.note_received(SIZE, start + GATHERED + 0.1)
+        fetch.record_copy(SIZE, start + GATHERED + 0.1)
     assert fetch.answer_timeout(SIZE) < 1.0
 
 
@@ -88,7 +88,7 @@
 ):
     """Whatever the size and pace are, a copy is awaited for twice the last time."""
     fetch = asked_first(size=size)
-    fetch.note_received(size, 10.0 + took)
+    fetch.record_copy(size, 10.0 + took)
     now = 100.0
     fetch.next_peer(HOLDERS, size, False, now)
     now += GATHERED
