--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -67,7 +67,7 @@
         )
         if not candidates:
             busy = Refusal(RefusalCode.NOT_RUN, RefusalReason.BUSY, "placement")
-            return PlacementAnswered(asked.ask_id, busy, explanation)
+            return PlacementAnswered(asked.placement_id, busy, explanation)
         chosen = self.pick(candidates, random)
         description = chosen.description
         self.outstanding[facts.attempt_id] = description.upstream_id
@@ -78,7 +78,7 @@
             description.attempts_address,
             0,
         )
-        return PlacementAnswered(asked.ask_id, answer, explanation)
+        return PlacementAnswered(asked.placement_id, answer, explanation)
 
 
 class RoundRobin(Baseline):
--- a/benchmarks/policy_run.py
+++ b/benchmarks/policy_run.py
@@ -181,7 +181,7 @@
         """Give an entry an event and act on its answers."""
         answers = self.entries[entry].handle(event, self.now, self.randoms[entry])
         for answered in answers:
-            progress = self.by_ask.pop(answered.ask_id)
+            progress = self.by_ask.pop(answered.placement_id)
             self.act_on(progress, answered.answer)
 
     def tell_all(self, event: Any) -> None:
--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/deciders.py
@@ -24,9 +24,9 @@
     HandOverAccepted,
 )
 from cowslipshelf_core.routing import (
-    AskId,
     ConfigurationApplied,
     PlacementAsked,
+    PlacementId,
     Router,
     RouterConfig,
 )
@@ -132,7 +132,7 @@
         now = asked[0] * SECONDS_BETWEEN_REQUESTS
         question = facts(asked[0])
         attempt_id = question.attempt_id
-        event = PlacementAsked(AskId(attempt_id), question)
+        event = PlacementAsked(PlacementId(attempt_id), question)
         answers = router.handle(event, now, random)
         if not answers:
             raise RuntimeError("a placement was not answered at once")
--- a/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
@@ -198,7 +198,7 @@
             f"least predicted harm of {len(considered)} looked at",
         )
         return PlacementAnswered(
-            ask.asked.ask_id,
+            ask.asked.placement_id,
             ChosenUpstream(
                 facts.attempt_id,
                 upstream_id,
@@ -219,4 +219,4 @@
     explanation = PlacementExplanation(
         facts.request_id, facts.attempt_id, None, (), queued, refusal.detail
     )
-    return PlacementAnswered(asked.ask_id, refusal, explanation)
+    return PlacementAnswered(asked.placement_id, refusal, explanation)
--- a/packages/core/src/cowslipshelf_core/internal/routing/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/events.py
@@ -26,7 +26,7 @@
     HandOverRefused,
 )
 
-AskId = NewType("AskId", str)
+PlacementId = NewType("PlacementId", str)
 """Names one question for a placement; unique within a process."""
 
 
@@ -100,7 +100,7 @@
 class PlacementAsked:
     """Ask for an upstream; exactly one answer follows unless it is withdrawn."""
 
-    ask_id: AskId
+    placement_id: PlacementId
     facts: PlacementFacts
     excluded: frozenset[UpstreamId] = frozenset()
 
@@ -109,7 +109,7 @@
 class PlacementWithdrawn:
     """Say that nobody waits for the answer any more."""
 
-    ask_id: AskId
+    placement_id: PlacementId
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,6 +136,6 @@
 class PlacementAnswered:
     """Answer a question for a placement, for good."""
 
-    ask_id: AskId
+    placement_id: PlacementId
     answer: ChosenUpstream | Refusal
     explanation: PlacementExplanation
--- a/packages/core/src/cowslipshelf_core/internal/routing/router.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/router.py
@@ -89,8 +89,8 @@
         match event:
             case PlacementAsked():
                 answers += self.ask(event, now, random)
-            case PlacementWithdrawn(ask_id=ask_id):
-                waiting = self.room.asks.get(ask_id)
+            case PlacementWithdrawn(placement_id=placement_id):
+                waiting = self.room.asks.get(placement_id)
                 if waiting is not None:
                     self.room.remove(waiting, served=False)
             case UpstreamAvailable(description=description):
--- a/packages/core/src/cowslipshelf_core/internal/routing/waiting_room.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/waiting_room.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import CustomerName
-from cowslipshelf_core.internal.routing.events import AskId
+from cowslipshelf_core.internal.routing.events import PlacementId
 from cowslipshelf_core.internal.routing.fair_queue import FairQueue, WaitingAsk
 from cowslipshelf_core.internal.routing.fleet import GroupKey
 from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
@@ -25,7 +25,7 @@
 
     latest_start: float
     order: int
-    ask_id: AskId
+    placement_id: PlacementId
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 
     config: RouterConfig
     queues: dict[QueueKey, FairQueue] = field(default_factory=dict)
-    asks: dict[AskId, WaitingAsk] = field(default_factory=dict)
+    asks: dict[PlacementId, WaitingAsk] = field(default_factory=dict)
     waiting_of: Counter[CustomerName] = field(default_factory=Counter)
     expiries: list[Expiry] = field(default_factory=list)
     order: count = field(default_factory=count)
@@ -45,15 +45,17 @@
 
     def push(self, ask: WaitingAsk) -> None:
         """Let a question wait."""
-        ask_id = ask.asked.ask_id
+        placement_id = ask.asked.placement_id
         self.queue(queue_key(ask)).push(ask)
-        self.asks[ask_id] = ask
+        self.asks[placement_id] = ask
         self.waiting_of[ask.customer] += 1
-        heappush(self.expiries, Expiry(ask.latest_start(), next(self.order), ask_id))
+        heappush(
+            self.expiries, Expiry(ask.latest_start(), next(self.order), placement_id)
+        )
 
     def remove(self, ask: WaitingAsk, served: bool) -> None:
         """Let a question wait no longer."""
-        del self.asks[ask.asked.ask_id]
+        del self.asks[ask.asked.placement_id]
         self.queues[queue_key(ask)].remove(ask, served)
         self.waiting_of[ask.customer] -= 1
         if self.waiting_of[ask.customer] <= 0:
@@ -63,7 +65,7 @@
         """Return those that can't finish in time any more."""
         found = []
         while self.expiries and self.expiries[0].latest_start <= now:
-            ask = self.asks.get(heappop(self.expiries).ask_id)
+            ask = self.asks.get(heappop(self.expiries).placement_id)
             if ask is not None and ask.latest_start() <= now:
                 found.append(ask)
         return found
--- a/packages/core/src/cowslipshelf_core/routing.py
+++ b/packages/core/src/cowslipshelf_core/routing.py
@@ -7,13 +7,13 @@
     UpstreamUnavailable,
 )
 from cowslipshelf_core.internal.routing.events import (
-    AskId,
     ConfigurationApplied,
     ConsideredUpstream,
     PlacementAnswered,
     PlacementAsked,
     PlacementExplanation,
     PlacementFacts,
+    PlacementId,
     PlacementWithdrawn,
     Prediction,
     RouterEvent,
@@ -30,7 +30,7 @@
 )
 
 __all__ = [
-    "AskId",
+    "PlacementId",
     "AttemptEnded",
     "AttemptOutcome",
     "ChosenUpstream",
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -39,11 +39,11 @@
 )
 from cowslipshelf_core.requests import CallerRequest, RouterFeedback
 from cowslipshelf_core.routing import (
-    AskId,
     ConfigurationApplied,
     PlacementAnswered,
     PlacementAsked,
     PlacementFacts,
+    PlacementId,
     PlacementWithdrawn,
     Router,
     RouterEvent,
@@ -125,19 +125,19 @@
             request.prefix_hash,
             seconds,
         )
-        ask_id = AskId(attempt_id)
-        asked = PlacementAsked(ask_id, facts, excluded)
+        placement_id = PlacementId(attempt_id)
+        asked = PlacementAsked(placement_id, facts, excluded)
         try:
             self.actor.tell(PlacementRequest(asked, reply))
             return reply.get(timeout=max(0.0, seconds) + REPLY_MARGIN_SECONDS)
         except (ActorDeadError, Empty):
-            self.withdraw(ask_id)
+            self.withdraw(placement_id)
             return None
 
-    def withdraw(self, ask_id: AskId) -> None:
+    def withdraw(self, placement_id: PlacementId) -> None:
         """Say that nobody waits for a placement any more."""
         try:
-            self.actor.tell(PlacementWithdrawn(ask_id))
+            self.actor.tell(PlacementWithdrawn(placement_id))
         except ActorDeadError:
             return
 
@@ -237,7 +237,7 @@
         self.post = parts.post
         self.news = parts.news
         self.random = random.Random()
-        self.replies: dict[AskId, SimpleQueue[PlacementAnswered]] = {}
+        self.replies: dict[PlacementId, SimpleQueue[PlacementAnswered]] = {}
         self.next_directory_tick = 0.0
         self.next_word = 0.0
 
@@ -248,10 +248,10 @@
             case Tick():
                 self.tick(now)
             case PlacementRequest(asked=asked, reply=reply):
-                self.replies[asked.ask_id] = reply
+                self.replies[asked.placement_id] = reply
                 self.route(asked, now)
-            case PlacementWithdrawn(ask_id=ask_id):
-                self.replies.pop(ask_id, None)
+            case PlacementWithdrawn(placement_id=placement_id):
+                self.replies.pop(placement_id, None)
                 self.route(message, now)
             case Received():
                 self.receive(message, now)
@@ -359,7 +359,7 @@
     def route(self, event: RouterEvent, now: float) -> None:
         """Give the router an event and deliver its answers."""
         for answered in self.router.handle(event, now, self.random):
-            reply = self.replies.pop(answered.ask_id, None)
+            reply = self.replies.pop(answered.placement_id, None)
             if reply is not None:
                 reply.put(answered)
 
--- a/tests/cover/routing/test_router_machine.py
+++ b/tests/cover/routing/test_router_machine.py
@@ -86,7 +86,7 @@
         assert answers == self.twin.handle(event, self.now, self.twin_random)
         self.new = []
         for answered in answers:
-            question, _ = self.open.pop(answered.ask_id)
+            question, _ = self.open.pop(answered.placement_id)
             match answered.answer:
                 case ChosenUpstream():
                     self.check_chosen(question, answered.answer)
@@ -178,7 +178,7 @@
         for _ in range(count):
             self.numbers += 1
             question = asked(self.numbers, prompt, customer, deadline, excluded, model)
-            self.open[question.ask_id] = (question, self.now + deadline)
+            self.open[question.placement_id] = (question, self.now + deadline)
             self.feed(question)
             all_new += self.new
         return multiple(*all_new)
@@ -186,9 +186,9 @@
     @rule(choice=st.integers(0, 1_000))
     def withdraw(self, choice) -> None:
         if self.open:
-            ask_id = sorted(self.open)[choice % len(self.open)]
-            del self.open[ask_id]
-            self.feed(PlacementWithdrawn(ask_id))
+            placement_id = sorted(self.open)[choice % len(self.open)]
+            del self.open[placement_id]
+            self.feed(PlacementWithdrawn(placement_id))
 
     @rule(attempt=placed)
     def accept(self, attempt) -> None:
--- a/tests/cover/routing/test_shares.py
+++ b/tests/cover/routing/test_shares.py
@@ -100,16 +100,16 @@
         question = asked(number, prompt, "factory")
         assert not chosen(router.handle(question, START, random))
     late = asked(burst, prompt, "mill")
-    given_up = {a.ask_id for a in router.handle(late, START, random)}
-    assert late.ask_id not in given_up
+    given_up = {a.placement_id for a in router.handle(late, START, random)}
+    assert late.placement_id not in given_up
     placed = []
     for turn in range(2, 5):
         now = START + 2.0 * turn
         answers = router.handle(TickElapsed(), now, random)
         free = LoadUpdated("upstream-0", "1", load(turn))
         answers += router.handle(free, now, random)
-        placed += [a.ask_id for a in answers if chosen([a])]
-    assert late.ask_id in placed[:2]
+        placed += [a.placement_id for a in answers if chosen([a])]
+    assert late.placement_id in placed[:2]
 
 
 @PROPERTY
@@ -123,7 +123,7 @@
     given_up = {}
     for number, prompt in enumerate(prompts):
         for answered in router.handle(asked(number, prompt), START, random):
-            given_up[answered.ask_id] = answered.answer
+            given_up[answered.placement_id] = answered.answer
     kept = [p for n, p in enumerate(prompts) if f"ask-{n}" not in given_up]
     for number, prompt in enumerate(prompts):
         refusal = given_up.get(f"ask-{number}")
@@ -190,8 +190,8 @@
         if number == burst // 2:
             large = asked(10_000, 90_000, "mill")
             answers = router.handle(large, START, random)
-            given_up.update(a.ask_id for a in answers)
+            given_up.update(a.placement_id for a in answers)
         answers = router.handle(asked(number, prompt, "factory"), START, random)
-        given_up.update(a.ask_id for a in answers)
+        given_up.update(a.placement_id for a in answers)
     assert given_up
-    assert large.ask_id not in given_up
+    assert large.placement_id not in given_up
