--- a/packages/core/src/cowslipshelf_core/internal/routing/settings.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/settings.py
@@ -19,7 +19,7 @@
 
     most_wait_at_upstream_seconds: float
     """A request goes to no upstream with more than this ahead of it; it queues here."""
-    most_queued_seconds: float
+    max_queued_seconds: float
     """The queue of this class is never predicted to take longer to drain."""
 
 
--- a/packages/core/src/cowslipshelf_core/internal/routing/waiting_room.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/waiting_room.py
@@ -83,7 +83,7 @@
     ) -> list[WaitingAsk]:
         """Take out and return what makes a queue longer than its bound."""
         queue = self.queue(key)
-        most = self.config.limits_of(key.prompt_class).most_queued_seconds * capacity
+        most = self.config.limits_of(key.prompt_class).max_queued_seconds * capacity
         given_up = []
         while queue.seconds > most and queue.seconds > 0.0:
             victim = queue.victim(weights)
@@ -112,7 +112,7 @@
         """Return the length of a group's fullest queue against its bound."""
         lengths = (
             self.queues[k].seconds
-            / (self.config.limits_of(k.prompt_class).most_queued_seconds * capacity)
+            / (self.config.limits_of(k.prompt_class).max_queued_seconds * capacity)
             for k in self.waiting_for(key)
         )
         return max(lengths, default=0.0)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -146,10 +146,10 @@
     config = RouterConfig(
         data_centre=settings.data_centre,
         limits_short=default.limits_short._replace(
-            most_queued_seconds=limits.most_queued_seconds_short
+            max_queued_seconds=limits.most_queued_seconds_short
         ),
         limits_long=default.limits_long._replace(
-            most_queued_seconds=limits.most_queued_seconds_long
+            max_queued_seconds=limits.most_queued_seconds_long
         ),
     )
     return Router.from_config(config)
--- a/tests/cover/routing/test_router_machine.py
+++ b/tests/cover/routing/test_router_machine.py
@@ -249,7 +249,7 @@
         for key, queue in self.router.room.queues.items():
             group = self.router.fleet.groups[key.group]
             limits = self.router.config.limits_of(key.prompt_class)
-            assert queue.seconds <= limits.most_queued_seconds * group.capacity + 1e-6
+            assert queue.seconds <= limits.max_queued_seconds * group.capacity + 1e-6
 
     def teardown(self) -> None:
         for _ in range(3):
