--- a/packages/core/src/cowslipshelf_core/internal/routing/cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/cost.py
@@ -15,7 +15,7 @@
     """Attempts before their first token."""
 
 
-class RequestCost(NamedTuple):
+class RequestProfile(NamedTuple):
     """Be what a request needs, apart from where it goes."""
 
     facts: PlacementFacts
@@ -29,7 +29,7 @@
         return self.facts.prompt_tokens + self.facts.most_output_tokens
 
     @property
-    def worth(self) -> float:
+    def value(self) -> float:
         """Return the worth of answering in time."""
         if self.prompt_class is PromptClass.LONG:
             return self.long_prompt_weight
@@ -73,7 +73,7 @@
     load = view.load
     linear = load.prefill_seconds_per_token or config.cost.prefill_seconds_per_token
     reported = load.prefill_tokens * linear
-    since_report = now - view.load_at
+    since_report = now - view.load_received_at
     waiting = max(0, load.running - load.decoding)
     seconds = max(0.0, reported - since_report)
     if seconds == 0.0:
@@ -88,12 +88,12 @@
 def predict(
     config: RouterConfig,
     view: UpstreamView,
-    request: RequestCost,
+    profile: RequestProfile,
     takes_long_prompts: bool,
     now: float,
 ) -> Prediction:
     """Predict times and harm of placing a request on an upstream now."""
-    own = prefill_seconds(config, view, request.facts)
+    own = prefill_seconds(config, view, profile.facts)
     if view.description.kind == "plain":
         running = view.load.running + len(view.unreported(config.cost))
         ahead = running * own
@@ -103,17 +103,17 @@
     slowness = view.slowness.factor
     wait = ahead * slowness
     prefill = own * slowness
-    decode = decode_seconds(config, view, request.expected_output_tokens) * max(
+    decode = decode_seconds(config, view, profile.expected_output_tokens) * max(
         1.0, slowness
     )
-    delayed = behind + config.cost.decode_delay_share * view.load.decoding
-    to_others = prefill * delayed
-    harm = request.worth * (wait + prefill) + to_others
-    harm += spill_harm(config, request, takes_long_prompts, prefill)
+    delayed = behind + config.cost.decode_delay_weight * view.load.decoding
+    delay_to_others = prefill * delayed
+    cost = profile.value * (wait + prefill) + delay_to_others
+    cost += spillover_cost(config, profile, takes_long_prompts, prefill)
     if view.description.data_centre != config.data_centre:
-        harm += config.other_data_centre_seconds
-    harm /= view.ramp(config.outliers, now)
-    return Prediction(wait, prefill, decode, to_others, harm)
+        cost += config.other_data_centre_seconds
+    cost /= view.slow_start_share(config.outliers, now)
+    return Prediction(wait, prefill, decode, delay_to_others, cost)
 
 
 def split_backlog(
@@ -133,20 +133,20 @@
     return ahead, behind
 
 
-def spill_harm(
+def spillover_cost(
     config: RouterConfig,
-    request: RequestCost,
+    profile: RequestProfile,
     takes_long_prompts: bool,
     prefill: float,
 ) -> float:
     """Return the harm of using an upstream that another class is meant to have."""
-    is_long = request.prompt_class is PromptClass.LONG
+    is_long = profile.prompt_class is PromptClass.LONG
     if is_long == takes_long_prompts:
         return 0.0
-    match request.prompt_class:
+    match profile.prompt_class:
         case PromptClass.LONG:
-            return config.long_set.long_spill_share * prefill
+            return config.long_prompt_pool.long_spillover_share * prefill
         case PromptClass.MEDIUM:
-            return config.long_set.medium_spill_share * prefill
+            return config.long_prompt_pool.medium_spillover_share * prefill
         case PromptClass.SHORT:
-            return config.long_set.short_spill_seconds
+            return config.long_prompt_pool.short_spillover_seconds
--- a/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
@@ -7,7 +7,7 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal, RefusalReason
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routing.attempts import AttemptLedger
+from cowslipshelf_core.internal.routing.attempts import AttemptTracker
 from cowslipshelf_core.internal.routing.cost import predict
 from cowslipshelf_core.internal.routing.events import (
     ConsideredUpstream,
@@ -15,29 +15,34 @@
     PlacementAsked,
     PlacementExplanation,
 )
-from cowslipshelf_core.internal.routing.fair_queue import WaitingAsk
-from cowslipshelf_core.internal.routing.fleet import Fleet, Group, GroupKey, keys_of
+from cowslipshelf_core.internal.routing.fair_queue import PendingRequest
+from cowslipshelf_core.internal.routing.fleet import (
+    Fleet,
+    Group,
+    GroupKey,
+    group_keys_of,
+)
 from cowslipshelf_core.internal.routing.placement import (
     Candidate,
     choose,
     priority_of,
     sample,
 )
-from cowslipshelf_core.internal.routing.prefix_memory import PrefixMemory
+from cowslipshelf_core.internal.routing.recent_prefixes import RecentPrefixes
 from cowslipshelf_core.internal.routing.refusals import not_run
+from cowslipshelf_core.internal.routing.request_queues import (
+    QueueKey,
+    RequestQueues,
+    queue_key,
+)
 from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
-from cowslipshelf_core.internal.routing.spreading import plan
+from cowslipshelf_core.internal.routing.spread_planning import plan_spread
 from cowslipshelf_core.internal.routing.upstream_view import (
     PlacedAttempt,
     UpstreamView,
 )
-from cowslipshelf_core.internal.routing.waiting_room import (
-    QueueKey,
-    WaitingRoom,
-    queue_key,
-)
 
-Drawn = list[tuple[UpstreamView, bool]]
+SampledUpstreams = list[tuple[UpstreamView, bool]]
 """Upstreams to look at, each with whether it takes long prompts first."""
 
 
@@ -47,105 +52,123 @@
 
     config: RouterConfig
     fleet: Fleet
-    ledger: AttemptLedger
-    room: WaitingRoom
-    prefixes: PrefixMemory
+    tracker: AttemptTracker
+    queues: RequestQueues
+    prefixes: RecentPrefixes
 
-    def serve_upstream(
+    def dispatch_to_upstream(
         self, upstream_id: UpstreamId, now: float
     ) -> list[PlacementAnswered]:
         """Give work that waits to an upstream that may have room now."""
         view = self.fleet.views.get(upstream_id)
-        if view is None or not self.room.asks:
+        if view is None or not self.queues.requests:
             return []
         answers = []
-        for key in keys_of(view.description):
+        for key in group_keys_of(view.description):
             group = self.fleet.groups[key]
             if view not in group.members:
                 continue
-            drawn = [(view, view in group.long_set)]
-            for queue in self.room.waiting_for(key):
-                answers += self.serve_queue(queue, now, lambda _, drawn=drawn: drawn)
+            sampled = [(view, view in group.long_prompt_pool)]
+            for queue in self.queues.nonempty_queues(key):
+                answers += self.dispatch_queue(
+                    queue, now, lambda _, sampled=sampled: sampled
+                )
         return answers
 
-    def draw(self, ask: WaitingAsk, group: Group, random: Random) -> Drawn:
+    def sample_upstreams(
+        self, request: PendingRequest, group: Group, random: Random
+    ) -> SampledUpstreams:
         """Draw upstreams to look at, with the one that had the same prefix last."""
-        drawn = sample(self.config, group, random)
-        last = self.prefixes.last(ask.cost.facts.prefix_hash)
+        sampled = sample(self.config, group, random)
+        last = self.prefixes.last_upstream(request.profile.facts.prefix_hash)
         view = self.fleet.views.get(last) if last is not None else None
-        if view is None or any(view is other for other, _ in drawn):
-            return drawn
-        for takes_long, members in ((True, group.long_set), (False, group.others)):
+        if view is None or any(view is other for other, _ in sampled):
+            return sampled
+        for takes_long, members in (
+            (True, group.long_prompt_pool),
+            (False, group.general_pool),
+        ):
             if any(view is member for member in members):
-                drawn.append((view, takes_long))
-        return drawn
+                sampled.append((view, takes_long))
+        return sampled
 
-    def serve_group(
+    def dispatch_group(
         self, key: GroupKey, group: Group, now: float, random: Random
     ) -> list[PlacementAnswered]:
         """Give work that waits to any upstream of a group."""
         answers = []
-        for queue in self.room.waiting_for(key):
-            answers += self.serve_queue(
-                queue, now, lambda ask: self.draw(ask, group, random)
+        for queue in self.queues.nonempty_queues(key):
+            answers += self.dispatch_queue(
+                queue,
+                now,
+                lambda request: self.sample_upstreams(request, group, random),
             )
         return answers
 
-    def serve_queue(
-        self, key: QueueKey, now: float, draw: Callable[[WaitingAsk], Drawn]
+    def dispatch_queue(
+        self,
+        key: QueueKey,
+        now: float,
+        sample_upstreams: Callable[[PendingRequest], SampledUpstreams],
     ) -> list[PlacementAnswered]:
         """Place requests from the heads of a queue until none can be placed."""
-        queue = self.room.queues[key]
+        queue = self.queues.by_key[key]
         answers = []
         placed_one = True
         while placed_one:
             placed_one = False
-            for ask in queue.heads(self.config.heads_tried):
-                placed = self.try_place(ask, draw(ask), now)
+            for request in queue.heads(self.config.heads_tried):
+                placed = self.try_place(request, sample_upstreams(request), now)
                 if placed is not None:
-                    self.room.remove(ask, served=True)
+                    self.queues.remove(request, served=True)
                     answers.append(placed)
                     placed_one = True
                     break
         return answers
 
     def try_place(
-        self, ask: WaitingAsk, drawn: Drawn, now: float
+        self, request: PendingRequest, sampled: SampledUpstreams, now: float
     ) -> PlacementAnswered | None:
         """Place a request on the best of the upstreams drawn, if any may take it."""
-        is_long = ask.cost.prompt_class is PromptClass.LONG
-        if not is_long and self.room.long_has_waited(queue_key(ask).group, now):
-            drawn = [(view, takes_long) for view, takes_long in drawn if not takes_long]
-        left = ask.deadline_at - now
-        choice = choose(self.config, drawn, ask.cost, ask.asked.excluded, left, now)
+        is_long = request.profile.prompt_class is PromptClass.LONG
+        if not is_long and self.queues.has_starving_long_prompt(
+            queue_key(request).group, now
+        ):
+            sampled = [
+                (view, takes_long) for view, takes_long in sampled if not takes_long
+            ]
+        left = request.deadline_at - now
+        choice = choose(
+            self.config, sampled, request.profile, request.asked.excluded, left, now
+        )
         if choice.chosen is None:
             return None
-        queued = now - ask.asked_at
+        queued = now - request.asked_at
         upstream_id = choice.chosen.view.description.upstream_id
-        self.prefixes.note(ask.cost.facts.prefix_hash, upstream_id)
-        self.ledger.place(self.attempt_of(ask, choice.chosen, now))
-        return self.answer_chosen(ask, choice.chosen, choice.considered, queued)
+        self.prefixes.record(request.profile.facts.prefix_hash, upstream_id)
+        self.tracker.place(self.build_attempt(request, choice.chosen, now))
+        return self.answer_chosen(request, choice.chosen, choice.considered, queued)
 
     def place_spread(
-        self, ask: WaitingAsk, group: Group, now: float
+        self, request: PendingRequest, group: Group, now: float
     ) -> PlacementAnswered:
         """Place a request that fits no upstream alone over several, at once.
 
         It waits for memory at the sidecars, in the order of upstream ids, and not here:
         no view of an entry tells when several upstreams have room together.
         """
-        spread = plan(group, ask.cost, ask.asked.excluded)
+        spread = plan_spread(group, request.profile, request.asked.excluded)
         if spread is None:
             detail = "the upstreams not tried yet can't hold the prompt together"
             refusal = not_run(RefusalReason.NO_UPSTREAM, detail)
-            return answer_refusal(ask.asked, refusal, now - ask.asked_at)
-        prediction = predict(self.config, spread.last, ask.cost, True, now)
+            return answer_refusal(request.asked, refusal, now - request.asked_at)
+        prediction = predict(self.config, spread.last, request.profile, True, now)
         candidate = Candidate(spread.last, prediction, True)
-        attempt = self.attempt_of(ask, candidate, now)
+        attempt = self.build_attempt(request, candidate, now)
         attempt.memory_tokens -= spread.from_token
         attempt.is_spread = True
-        self.ledger.place(attempt)
-        answered = self.answer_chosen(ask, candidate, (), now - ask.asked_at)
+        self.tracker.place(attempt)
+        answered = self.answer_chosen(request, candidate, (), now - request.asked_at)
         return replace(
             answered,
             answer=answered.answer._replace(
@@ -154,39 +177,43 @@
             explanation=answered.explanation._replace(reason=spread.reason),
         )
 
-    def attempt_of(
-        self, ask: WaitingAsk, chosen: Candidate, now: float
+    def build_attempt(
+        self, request: PendingRequest, chosen: Candidate, now: float
     ) -> PlacedAttempt:
         """Record what was placed and what was expected of it."""
-        facts = ask.cost.facts
+        facts = request.profile.facts
         prediction = chosen.prediction
         slowness = chosen.view.slowness.factor
         return PlacedAttempt(
             facts.attempt_id,
             chosen.view.description.upstream_id,
             facts.customer,
-            ask.cost.prompt_class,
+            request.profile.prompt_class,
             placed_at=now,
-            forget_at=ask.deadline_at + self.config.forgotten_after_deadline_seconds,
+            expires_at=request.deadline_at + self.config.expire_after_deadline_seconds,
             prefill_seconds=prediction.prefill_seconds / slowness,
             prompt_tokens=facts.prompt_tokens,
-            memory_tokens=ask.cost.memory_tokens,
+            memory_tokens=request.profile.memory_tokens,
             most_output_tokens=facts.most_output_tokens,
             predicted_first_token_seconds=prediction.first_token_seconds / slowness,
         )
 
     def answer_chosen(
         self,
-        ask: WaitingAsk,
+        request: PendingRequest,
         chosen: Candidate,
         considered: tuple[ConsideredUpstream, ...],
         queued: float,
     ) -> PlacementAnswered:
         """Answer with the chosen upstream and the reasons."""
-        facts = ask.cost.facts
+        facts = request.profile.facts
         view = chosen.view
         priority = priority_of(
-            self.config, ask.cost, chosen.prediction, queued, facts.deadline_seconds
+            self.config,
+            request.profile,
+            chosen.prediction,
+            queued,
+            facts.deadline_seconds,
         )
         upstream_id = view.description.upstream_id
         explanation = PlacementExplanation(
@@ -198,7 +225,7 @@
             f"least predicted harm of {len(considered)} looked at",
         )
         return PlacementAnswered(
-            ask.asked.placement_id,
+            request.asked.placement_id,
             ChosenUpstream(
                 facts.attempt_id,
                 upstream_id,
--- a/packages/core/src/cowslipshelf_core/internal/routing/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/events.py
@@ -55,7 +55,7 @@
     decode_seconds: float
     delay_to_others_seconds: float
     """Sum over the other attempts on the upstream."""
-    harm: float
+    cost: float
     """Weighed sum that the choice minimises."""
 
     @property
--- a/packages/core/src/cowslipshelf_core/internal/routing/fair_queue.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/fair_queue.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass, field
 
 from cowslipshelf_core.identifiers import CustomerName
-from cowslipshelf_core.internal.routing.cost import RequestCost
+from cowslipshelf_core.internal.routing.cost import RequestProfile
 from cowslipshelf_core.internal.routing.events import PlacementAsked
 
 
 @dataclass(slots=True)
-class WaitingAsk:
+class PendingRequest:
     """Be one question that waits for an upstream."""
 
     asked: PlacementAsked
-    cost: RequestCost
+    profile: RequestProfile
     asked_at: float
     deadline_at: float
     engine_seconds: float
@@ -25,12 +25,12 @@
     @property
     def customer(self) -> CustomerName:
         """Return whose request it is."""
-        return self.cost.facts.customer
+        return self.profile.facts.customer
 
     @property
-    def worth_per_second(self) -> float:
+    def value_per_engine_second(self) -> float:
         """Return what an engine second spent on it brings."""
-        return self.cost.worth / max(self.engine_seconds, 1e-9)
+        return self.profile.value / max(self.engine_seconds, 1e-9)
 
     def latest_start(self) -> float:
         """Return when it must start at the latest to be answered whole in time."""
@@ -41,7 +41,7 @@
 class Flow:
     """Be the waiting requests of one customer."""
 
-    waiting: deque[WaitingAsk] = field(default_factory=deque)
+    waiting: deque[PendingRequest] = field(default_factory=deque)
     finish_tag: float = 0.0
     seconds: float = 0.0
 
@@ -68,47 +68,49 @@
         flow.finish_tag = start + seconds / weight
         return start
 
-    def charge_at_once(
+    def charge_immediate(
         self, customer: CustomerName, seconds: float, weight: float
     ) -> None:
         """Charge for work that did not have to wait."""
         start = self.charge(customer, seconds, weight)
         self.virtual_time = max(self.virtual_time, start)
 
-    def push(self, ask: WaitingAsk) -> None:
+    def push(self, request: PendingRequest) -> None:
         """Add a request at the end of its customer's flow."""
-        ask.start_tag = self.charge(ask.customer, ask.engine_seconds, ask.weight)
-        flow = self.flows[ask.customer]
-        flow.waiting.append(ask)
-        flow.seconds += ask.engine_seconds
-        self.seconds += ask.engine_seconds
+        request.start_tag = self.charge(
+            request.customer, request.engine_seconds, request.weight
+        )
+        flow = self.flows[request.customer]
+        flow.waiting.append(request)
+        flow.seconds += request.engine_seconds
+        self.seconds += request.engine_seconds
 
-    def heads(self, most: int) -> list[WaitingAsk]:
+    def heads(self, most: int) -> list[PendingRequest]:
         """Return the first request of the customers that are served next."""
         firsts = [flow.waiting[0] for flow in self.flows.values() if flow.waiting]
-        firsts.sort(key=lambda ask: ask.start_tag)
+        firsts.sort(key=lambda request: request.start_tag)
         return firsts[:most]
 
-    def remove(self, ask: WaitingAsk, served: bool) -> None:
+    def remove(self, request: PendingRequest, served: bool) -> None:
         """Take a request out; one that was served moves the virtual time on."""
-        flow = self.flows[ask.customer]
-        flow.waiting.remove(ask)
-        flow.seconds -= ask.engine_seconds
-        self.seconds -= ask.engine_seconds
+        flow = self.flows[request.customer]
+        flow.waiting.remove(request)
+        flow.seconds -= request.engine_seconds
+        self.seconds -= request.engine_seconds
         if served:
-            self.virtual_time = max(self.virtual_time, ask.start_tag)
+            self.virtual_time = max(self.virtual_time, request.start_tag)
         else:
-            flow.finish_tag -= ask.engine_seconds / ask.weight
+            flow.finish_tag -= request.engine_seconds / request.weight
         if not any(flow.waiting for flow in self.flows.values()):
             self.seconds = 0.0
         if not flow.waiting:
             flow.seconds = 0.0
 
-    def waiting(self) -> list[WaitingAsk]:
+    def waiting(self) -> list[PendingRequest]:
         """Return all that wait."""
-        return [ask for flow in self.flows.values() for ask in flow.waiting]
+        return [request for flow in self.flows.values() for request in flow.waiting]
 
-    def forget_idle(self) -> None:
+    def drop_idle_customers(self) -> None:
         """Drop customers that wait for nothing and whose claims are level."""
         self.flows = {
             customer: flow
@@ -129,7 +131,7 @@
         )
         return min(self.seconds, own * (weight + others) / weight)
 
-    def victim(self, weights: dict[CustomerName, float]) -> WaitingAsk:
+    def victim(self, weights: dict[CustomerName, float]) -> PendingRequest:
         """Return the request to give up first when the queue is too long.
 
         Of the customers that have queued no less than their share, the request that
@@ -138,9 +140,12 @@
         active = {name: flow for name, flow in self.flows.items() if flow.waiting}
         total = sum(weights.get(name, 1.0) for name in active)
         over = [
-            ask
+            request
             for name, flow in active.items()
             if flow.seconds * total >= self.seconds * weights.get(name, 1.0) * 0.999
-            for ask in flow.waiting
+            for request in flow.waiting
         ]
-        return min(over, key=lambda ask: (ask.worth_per_second, -ask.start_tag))
+        return min(
+            over,
+            key=lambda request: (request.value_per_engine_second, -request.start_tag),
+        )
--- a/packages/core/src/cowslipshelf_core/internal/routing/fleet.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/fleet.py
@@ -6,13 +6,13 @@
 from cowslipshelf_core.configuration import FleetConfiguration
 from cowslipshelf_core.directory_events import UpstreamAvailable
 from cowslipshelf_core.identifiers import Epoch, ModelName, ServiceName, UpstreamId
-from cowslipshelf_core.internal.routing.long_set import LongDemand, ranked
+from cowslipshelf_core.internal.routing.long_prompt_pool import LongPromptDemand, ranked
 from cowslipshelf_core.internal.routing.settings import RouterConfig
 from cowslipshelf_core.internal.routing.shedding import Shedding
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
 from cowslipshelf_core.upstream import LoadReport, UpstreamDescription
 
-LEAST_CAPACITY_SHARE = 0.05
+MIN_CAPACITY_SHARE = 0.05
 NO_MODEL = ModelName("")
 
 
@@ -28,29 +28,29 @@
 class Group:
     """Be the upstreams that may be chosen for the same requests, in shared order."""
 
-    demand: LongDemand
+    long_prompt_demand: LongPromptDemand
     shedding: Shedding
     members: list[UpstreamView] = field(default_factory=list)
     """All that take new work, those that take long prompts first at the front."""
-    long_set: list[UpstreamView] = field(default_factory=list)
-    others: list[UpstreamView] = field(default_factory=list)
+    long_prompt_pool: list[UpstreamView] = field(default_factory=list)
+    general_pool: list[UpstreamView] = field(default_factory=list)
     largest_memory: int = 0
     """Tokens that fit the largest upstream; zero where there is no limit."""
     capacity: float = 1.0
     """Engine seconds that this entry may expect to be done in each second."""
 
-    def split(self) -> None:
+    def assign_long_prompt_pool(self) -> None:
         """Set apart as many upstreams for long prompts as demand asks for."""
-        size = self.demand.resize(len(self.members))
-        self.long_set = self.members[:size]
-        self.others = self.members[size:]
+        size = self.long_prompt_demand.resize(len(self.members))
+        self.long_prompt_pool = self.members[:size]
+        self.general_pool = self.members[size:]
 
-    def measure_capacity(self) -> None:
+    def estimate_capacity(self) -> None:
         """Estimate this entry's part of the group from its part of what runs there."""
         ours = sum(len(view.attempts) for view in self.members)
         reported = sum(view.load.running for view in self.members)
         share = ours / max(ours, reported) if ours else 1.0
-        self.capacity = max(share, LEAST_CAPACITY_SHARE) * max(1, len(self.members))
+        self.capacity = max(share, MIN_CAPACITY_SHARE) * max(1, len(self.members))
 
 
 @dataclass(slots=True)
@@ -72,14 +72,14 @@
         if known is not None and known.epoch == event.epoch:
             before = known.description
             known.description = event.description
-            known.take_load(event.load, now)
+            known.update_load(event.load, now)
             if before != event.description:
                 self.rebuild_groups_of(before)
                 self.rebuild_groups_of(event.description)
             return
         view = UpstreamView(event.description, event.epoch, event.load, now, now)
         if known is not None:
-            view.times_set_aside = known.times_set_aside
+            view.ejection_count = known.ejection_count
             self.views[upstream_id] = view
             self.rebuild_groups_of(known.description)
         self.views[upstream_id] = view
@@ -97,21 +97,21 @@
 
     def expected_back(self, key: GroupKey) -> list[UpstreamView]:
         """List the upstreams of a group that take no work only for a while."""
-        set_aside = [v for v in self.views.values() if v.set_aside_until is not None]
+        ejected = [v for v in self.views.values() if v.ejected_until is not None]
         return [
             view
-            for view in (*self.absent.values(), *set_aside)
-            if key in keys_of(view.description)
+            for view in (*self.absent.values(), *ejected)
+            if key in group_keys_of(view.description)
             and view.description.upstream_id not in self.configuration.draining
         ]
 
-    def take_load(
+    def update_load(
         self, upstream_id: UpstreamId, epoch: Epoch, load: LoadReport, now: float
     ) -> None:
         """Take in a report, unless it is of another start than the known one."""
         view = self.views.get(upstream_id)
         if view is not None and view.epoch == epoch:
-            view.take_load(load, now)
+            view.update_load(load, now)
 
     def apply_configuration(self, configuration: FleetConfiguration) -> None:
         """Put a configuration in force; an older one than that in force is ignored."""
@@ -123,7 +123,7 @@
 
     def rebuild_groups_of(self, description: UpstreamDescription) -> None:
         """Bring the groups that an upstream may be in up to date."""
-        for key in keys_of(description):
+        for key in group_keys_of(description):
             self.rebuild(key)
 
     def rebuild(self, key: GroupKey) -> None:
@@ -131,24 +131,25 @@
         group = self.groups.get(key)
         if group is None:
             group = self.groups[key] = Group(
-                LongDemand(self.config.long_set), Shedding(self.config.shedding)
+                LongPromptDemand(self.config.long_prompt_pool),
+                Shedding(self.config.shedding),
             )
         takes_work = [
             upstream_id
             for upstream_id, view in self.views.items()
-            if key in keys_of(view.description)
-            and view.set_aside_until is None
+            if key in group_keys_of(view.description)
+            and view.ejected_until is None
             and upstream_id not in self.configuration.draining
         ]
         order = ranked(self.configuration.version, takes_work)
         group.members = [self.views[upstream_id] for upstream_id in order]
         limits = [view.memory_limit() for view in group.members]
         group.largest_memory = max(limits, default=0)
-        group.split()
-        group.measure_capacity()
+        group.assign_long_prompt_pool()
+        group.estimate_capacity()
 
 
-def keys_of(description: UpstreamDescription) -> tuple[GroupKey, ...]:
+def group_keys_of(description: UpstreamDescription) -> tuple[GroupKey, ...]:
     """Return the groups that an upstream belongs to."""
     if description.kind == "plain":
         return (GroupKey(description.service, NO_MODEL),)
--- a/packages/core/src/cowslipshelf_core/internal/routing/long_set.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/long_prompt_pool.py
@@ -5,10 +5,10 @@
 from math import ceil, exp
 
 from cowslipshelf_core.identifiers import ConfigurationVersion, UpstreamId
-from cowslipshelf_core.internal.routing.settings import LongSetConfig
+from cowslipshelf_core.internal.routing.settings import LongPromptPoolConfig
 
 RANK_BYTES = 8
-SHRINK_MARGIN = 0.5
+SHRINK_MARGIN_UPSTREAMS = 0.5
 """Upstreams by which demand must fall below the size before the set shrinks."""
 
 
@@ -26,14 +26,14 @@
 
 
 @dataclass(slots=True)
-class LongDemand:
+class LongPromptDemand:
     """Measure the share of the work that long prompts bring, and size the set by it.
 
     Each entry measures its own callers; behind one balancer these are alike. Sets of
     different sizes are prefixes of the same order, so a difference costs its edge only.
     """
 
-    config: LongSetConfig
+    config: LongPromptPoolConfig
     long_seconds: float = 0.0
     all_seconds: float = 0.0
     updated_at: float = 0.0
@@ -41,7 +41,7 @@
 
     def add(self, seconds: float, is_long: bool, now: float) -> None:
         """Count the predicted work of a request that was asked for."""
-        decay = exp(-max(0.0, now - self.updated_at) / self.config.memory_seconds)
+        decay = exp(-max(0.0, now - self.updated_at) / self.config.averaging_seconds)
         self.updated_at = now
         self.long_seconds *= decay
         self.all_seconds *= decay
@@ -51,13 +51,13 @@
 
     def resize(self, upstreams: int) -> int:
         """Return how many upstreams to set apart now."""
-        if upstreams < self.config.least_upstreams or self.long_seconds <= 0.0:
+        if upstreams < self.config.min_upstreams or self.long_seconds <= 0.0:
             self.size = 0
             return 0
         share = self.long_seconds / self.all_seconds
         wanted = upstreams * share * self.config.headroom
-        most = max(1, int(upstreams * self.config.most_share))
-        shrinks = wanted < self.size - 1 - SHRINK_MARGIN
+        most = max(1, int(upstreams * self.config.max_share))
+        shrinks = wanted < self.size - 1 - SHRINK_MARGIN_UPSTREAMS
         if wanted > self.size or shrinks:
             self.size = ceil(wanted)
         self.size = min(max(self.size, 1), most)
--- a/packages/core/src/cowslipshelf_core/internal/routing/placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/placement.py
@@ -4,13 +4,13 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routing.cost import RequestCost, predict
+from cowslipshelf_core.internal.routing.cost import RequestProfile, predict
 from cowslipshelf_core.internal.routing.events import ConsideredUpstream, Prediction
 from cowslipshelf_core.internal.routing.fleet import Group
 from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
 
-MILLISECONDS = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 
 
 class Candidate(NamedTuple):
@@ -18,7 +18,7 @@
 
     view: UpstreamView
     prediction: Prediction
-    may_take: bool
+    eligible: bool
 
 
 class Choice(NamedTuple):
@@ -36,61 +36,66 @@
     Looking at a few drawn ones only keeps entries that act on the same report from
     all choosing the same upstream, and costs the same however many there are.
     """
-    drawn = []
-    for takes_long, members in ((True, group.long_set), (False, group.others)):
-        count = min(config.sampled_choices, len(members))
-        drawn += [(view, takes_long) for view in random.sample(members, count)]
-    random.shuffle(drawn)
-    return drawn
+    sampled = []
+    for takes_long, members in (
+        (True, group.long_prompt_pool),
+        (False, group.general_pool),
+    ):
+        count = min(config.sampled_upstreams, len(members))
+        sampled += [(view, takes_long) for view in random.sample(members, count)]
+    random.shuffle(sampled)
+    return sampled
 
 
 def choose(
     config: RouterConfig,
-    drawn: list[tuple[UpstreamView, bool]],
-    request: RequestCost,
+    sampled: list[tuple[UpstreamView, bool]],
+    profile: RequestProfile,
     excluded: frozenset[UpstreamId],
     seconds_left: float,
     now: float,
 ) -> Choice:
     """Choose the least harm among those drawn that may take the request now."""
-    limits = config.limits_of(request.prompt_class)
-    is_long = request.prompt_class is PromptClass.LONG
+    limits = config.limits_of(profile.prompt_class)
+    is_long = profile.prompt_class is PromptClass.LONG
     candidates = []
     considered = []
-    for view, takes_long in drawn:
+    for view, takes_long in sampled:
         if view.description.upstream_id in excluded:
             continue
-        prediction = predict(config, view, request, takes_long, now)
-        fits = fits_memory(config, view, request)
+        prediction = predict(config, view, profile, takes_long, now)
+        fits = fits_memory(config, view, profile)
         in_time = prediction.total_seconds <= seconds_left
-        short_wait = prediction.wait_seconds <= limits.most_wait_at_upstream_seconds
-        risked = is_long and view.kept_from_long
-        may_take = fits and in_time and short_wait and not risked
-        candidates.append(Candidate(view, prediction, may_take))
+        short_wait = prediction.wait_seconds <= limits.max_upstream_wait_seconds
+        risked = is_long and view.avoid_for_long_prompts
+        eligible = fits and in_time and short_wait and not risked
+        candidates.append(Candidate(view, prediction, eligible))
         considered.append(
             ConsideredUpstream(
                 view.description.upstream_id, prediction, fits, takes_long
             )
         )
-    able = [candidate for candidate in candidates if candidate.may_take]
-    chosen = min(able, key=lambda c: c.prediction.harm, default=None)
+    able = [candidate for candidate in candidates if candidate.eligible]
+    chosen = min(able, key=lambda c: c.prediction.cost, default=None)
     return Choice(chosen, tuple(considered))
 
 
-def fits_memory(config: RouterConfig, view: UpstreamView, request: RequestCost) -> bool:
+def fits_memory(
+    config: RouterConfig, view: UpstreamView, profile: RequestProfile
+) -> bool:
     """Return whether prompt and output are believed to fit beside what is reserved."""
     limit = view.memory_limit()
     if limit == 0:
         return True
     free = view.free_memory(view.unreported(config.cost))
-    if request.prompt_class is PromptClass.MEDIUM:
-        free -= int(limit * config.short_memory_share)
-    return request.memory_tokens <= free
+    if profile.prompt_class is PromptClass.MEDIUM:
+        free -= int(limit * config.short_prompt_memory_share)
+    return profile.memory_tokens <= free
 
 
 def priority_of(
     config: RouterConfig,
-    request: RequestCost,
+    profile: RequestProfile,
     prediction: Prediction,
     queued_seconds: float,
     deadline_seconds: float,
@@ -101,12 +106,12 @@
     time after which later arrivals no longer pass, so long ones are not starved.
     """
     slack = (
-        config.least_slack_seconds
+        config.min_slack_seconds
         + config.slack_per_prefill_second * prediction.prefill_seconds
     )
-    slack = min(slack, config.most_slack_seconds)
-    if request.prompt_class is PromptClass.LONG:
-        slack /= max(request.long_prompt_weight, 1.0)
+    slack = min(slack, config.max_slack_seconds)
+    if profile.prompt_class is PromptClass.LONG:
+        slack /= max(profile.long_prompt_weight, 1.0)
     left = deadline_seconds - queued_seconds - prediction.total_seconds
     slack = min(slack, left)
-    return int(max(slack, 0.0) * MILLISECONDS)
+    return int(max(slack, 0.0) * MILLISECONDS_PER_SECOND)
--- a/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
@@ -4,10 +4,14 @@
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routing.cost import RequestCost
+from cowslipshelf_core.internal.routing.cost import RequestProfile
 from cowslipshelf_core.internal.routing.events import PlacementFacts
 from cowslipshelf_core.internal.routing.fleet import Group
-from cowslipshelf_core.internal.routing.spreading import MOST_PARTS, is_needed, plan
+from cowslipshelf_core.internal.routing.spread_planning import (
+    MAX_PARTS,
+    needs_spread,
+    plan_spread,
+)
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
 
 STEP = "placement"
@@ -26,9 +30,9 @@
     )
 
 
-def impossible(
+def unplaceable(
     group: Group | None,
-    request: RequestCost,
+    profile: RequestProfile,
     excluded: frozenset[UpstreamId],
     retry_after_seconds: float,
     list_expected_back: Callable[[], Sequence[UpstreamView]] = tuple,
@@ -38,7 +42,7 @@
     Those that are expected back are listed only where the group is too small: to look
     for them among thousands of upstreams would slow down every placement.
     """
-    facts = request.facts
+    facts = profile.facts
     if group is None or not group.members:
         wanted = f"model {facts.model} for " if facts.model else ""
         return not_run(
@@ -46,17 +50,20 @@
             f"no upstream takes {wanted}service {facts.service} now",
             retry_after_seconds,
         )
-    if is_needed(group, request) and plan(group, request, frozenset()) is None:
+    if (
+        needs_spread(group, profile)
+        and plan_spread(group, profile, frozenset()) is None
+    ):
         expected_back = list_expected_back()
-        if expected_back and could_hold([*group.members, *expected_back], request):
+        if expected_back and fits_together([*group.members, *expected_back], profile):
             return not_run(
                 RefusalReason.NO_UPSTREAM,
-                f"{request.memory_tokens} tokens of memory are needed, which the "
+                f"{profile.memory_tokens} tokens of memory are needed, which the "
                 f"upstreams of service {facts.service} have only together with "
                 f"{len(expected_back)} that take no work now",
                 retry_after_seconds,
             )
-        return too_large(group, request)
+        return too_large(group, profile)
     if excluded and all(v.description.upstream_id in excluded for v in group.members):
         return not_run(
             RefusalReason.NO_UPSTREAM,
@@ -66,23 +73,23 @@
     return None
 
 
-def could_hold(views: list[UpstreamView], request: RequestCost) -> bool:
+def fits_together(views: list[UpstreamView], profile: RequestProfile) -> bool:
     """Tell whether upstreams have the memory for a request, whole or in parts."""
     limits = sorted((view.memory_limit() for view in views), reverse=True)
-    return sum(limits[:MOST_PARTS]) >= request.memory_tokens
+    return sum(limits[:MAX_PARTS]) >= profile.memory_tokens
 
 
-def too_large(group: Group, request: RequestCost) -> Refusal:
+def too_large(group: Group, profile: RequestProfile) -> Refusal:
     """Refuse a request that all upstreams can't hold; coming back does not help."""
-    facts = request.facts
+    facts = profile.facts
     together = sum(view.memory_limit() for view in group.members)
     return not_run(
         RefusalReason.TOO_LARGE,
         f"{facts.prompt_tokens} prompt and up to {facts.most_output_tokens} output "
-        f"tokens need {request.memory_tokens} tokens of memory; the largest upstream "
+        f"tokens need {profile.memory_tokens} tokens of memory; the largest upstream "
         f"of service {facts.service} has {group.largest_memory}, all "
         f"{len(group.members)} have {together}, and one prompt is spread over "
-        f"{MOST_PARTS} at most",
+        f"{MAX_PARTS} at most",
     )
 
 
--- a/packages/core/src/cowslipshelf_core/internal/routing/waiting_room.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/request_queues.py
@@ -8,7 +8,7 @@
 
 from cowslipshelf_core.identifiers import CustomerName
 from cowslipshelf_core.internal.routing.events import PlacementId
-from cowslipshelf_core.internal.routing.fair_queue import FairQueue, WaitingAsk
+from cowslipshelf_core.internal.routing.fair_queue import FairQueue, PendingRequest
 from cowslipshelf_core.internal.routing.fleet import GroupKey
 from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
 
@@ -24,74 +24,75 @@
     """Order waiting questions by when they become hopeless."""
 
     latest_start: float
-    order: int
+    sequence: int
     placement_id: PlacementId
 
 
 @dataclass(slots=True)
-class WaitingRoom:
+class RequestQueues:
     """Hold one fair queue for each group and class."""
 
     config: RouterConfig
-    queues: dict[QueueKey, FairQueue] = field(default_factory=dict)
-    asks: dict[PlacementId, WaitingAsk] = field(default_factory=dict)
-    waiting_of: Counter[CustomerName] = field(default_factory=Counter)
+    by_key: dict[QueueKey, FairQueue] = field(default_factory=dict)
+    requests: dict[PlacementId, PendingRequest] = field(default_factory=dict)
+    queued_per_customer: Counter[CustomerName] = field(default_factory=Counter)
     expiries: list[Expiry] = field(default_factory=list)
-    order: count = field(default_factory=count)
+    sequence: count = field(default_factory=count)
 
     def queue(self, key: QueueKey) -> FairQueue:
         """Return a queue, made when first used."""
-        return self.queues.setdefault(key, FairQueue())
+        return self.by_key.setdefault(key, FairQueue())
 
-    def push(self, ask: WaitingAsk) -> None:
+    def push(self, request: PendingRequest) -> None:
         """Let a question wait."""
-        placement_id = ask.asked.placement_id
-        self.queue(queue_key(ask)).push(ask)
-        self.asks[placement_id] = ask
-        self.waiting_of[ask.customer] += 1
+        placement_id = request.asked.placement_id
+        self.queue(queue_key(request)).push(request)
+        self.requests[placement_id] = request
+        self.queued_per_customer[request.customer] += 1
         heappush(
-            self.expiries, Expiry(ask.latest_start(), next(self.order), placement_id)
+            self.expiries,
+            Expiry(request.latest_start(), next(self.sequence), placement_id),
         )
 
-    def remove(self, ask: WaitingAsk, served: bool) -> None:
+    def remove(self, request: PendingRequest, served: bool) -> None:
         """Let a question wait no longer."""
-        del self.asks[ask.asked.placement_id]
-        self.queues[queue_key(ask)].remove(ask, served)
-        self.waiting_of[ask.customer] -= 1
-        if self.waiting_of[ask.customer] <= 0:
-            del self.waiting_of[ask.customer]
+        del self.requests[request.asked.placement_id]
+        self.by_key[queue_key(request)].remove(request, served)
+        self.queued_per_customer[request.customer] -= 1
+        if self.queued_per_customer[request.customer] <= 0:
+            del self.queued_per_customer[request.customer]
 
-    def hopeless(self, now: float) -> list[WaitingAsk]:
+    def pop_expired(self, now: float) -> list[PendingRequest]:
         """Return those that can't finish in time any more."""
         found = []
         while self.expiries and self.expiries[0].latest_start <= now:
-            ask = self.asks.get(heappop(self.expiries).placement_id)
-            if ask is not None and ask.latest_start() <= now:
-                found.append(ask)
+            request = self.requests.get(heappop(self.expiries).placement_id)
+            if request is not None and request.latest_start() <= now:
+                found.append(request)
         return found
 
-    def waiting_for(self, key: GroupKey) -> list[QueueKey]:
+    def nonempty_queues(self, key: GroupKey) -> list[QueueKey]:
         """Return the queues of a group where somebody waits, shortest class first."""
         keys = (QueueKey(key, prompt_class) for prompt_class in PromptClass)
-        return [k for k in keys if k in self.queues and self.queues[k].seconds > 0.0]
+        return [k for k in keys if k in self.by_key and self.by_key[k].seconds > 0.0]
 
-    def overfull(
+    def evict_excess(
         self,
         key: QueueKey,
         capacity: float,
         weights: dict[CustomerName, float],
-    ) -> list[WaitingAsk]:
+    ) -> list[PendingRequest]:
         """Take out and return what makes a queue longer than its bound."""
         queue = self.queue(key)
         most = self.config.limits_of(key.prompt_class).max_queued_seconds * capacity
-        given_up = []
+        evicted = []
         while queue.seconds > most and queue.seconds > 0.0:
             victim = queue.victim(weights)
             self.remove(victim, served=False)
-            given_up.append(victim)
-        return given_up
+            evicted.append(victim)
+        return evicted
 
-    def long_has_waited(self, key: GroupKey, now: float) -> bool:
+    def has_starving_long_prompt(self, key: GroupKey, now: float) -> bool:
         """Return whether a long prompt has lost patience waiting for a group.
 
         While one has, others keep off the upstreams set apart for it. A long prompt
@@ -99,36 +100,37 @@
         becomes free, and the long one would wait until its deadline. That costs the
         shorter ones more than it brings unless the service gives long ones more weight.
         """
-        queue = self.queues.get(QueueKey(key, PromptClass.LONG))
+        queue = self.by_key.get(QueueKey(key, PromptClass.LONG))
         if queue is None or queue.seconds <= 0.0:
             return False
-        patience = self.config.long_set.patience_seconds
+        starvation_seconds = self.config.long_prompt_pool.starvation_seconds
         return any(
-            ask.cost.worth > 1.0 and (now - ask.asked_at) * ask.cost.worth >= patience
-            for ask in queue.heads(self.config.heads_tried)
+            request.profile.value > 1.0
+            and (now - request.asked_at) * request.profile.value >= starvation_seconds
+            for request in queue.heads(self.config.heads_tried)
         )
 
     def pressure(self, key: GroupKey, capacity: float) -> float:
         """Return the length of a group's fullest queue against its bound."""
         lengths = (
-            self.queues[k].seconds
+            self.by_key[k].seconds
             / (self.config.limits_of(k.prompt_class).max_queued_seconds * capacity)
-            for k in self.waiting_for(key)
+            for k in self.nonempty_queues(key)
         )
         return max(lengths, default=0.0)
 
     def drain_seconds(self, key: GroupKey, capacity: float) -> float:
         """Predict how long what waits for a group keeps it busy."""
-        work = sum(self.queues[k].seconds for k in self.waiting_for(key))
+        work = sum(self.by_key[k].seconds for k in self.nonempty_queues(key))
         return work / capacity
 
-    def forget_idle(self) -> None:
+    def drop_idle_customers(self) -> None:
         """Drop the records of customers that wait for nothing."""
-        for queue in self.queues.values():
-            queue.forget_idle()
+        for queue in self.by_key.values():
+            queue.drop_idle_customers()
 
 
-def queue_key(ask: WaitingAsk) -> QueueKey:
+def queue_key(request: PendingRequest) -> QueueKey:
     """Return the queue that a question waits in."""
-    facts = ask.cost.facts
-    return QueueKey(GroupKey(facts.service, facts.model), ask.cost.prompt_class)
+    facts = request.profile.facts
+    return QueueKey(GroupKey(facts.service, facts.model), request.profile.prompt_class)
--- a/packages/core/src/cowslipshelf_core/internal/routing/router.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/router.py
@@ -17,9 +17,9 @@
     ServiceName,
 )
 from cowslipshelf_core.internal.routing import outliers, refusals
-from cowslipshelf_core.internal.routing.attempts import AttemptLedger
+from cowslipshelf_core.internal.routing.attempts import AttemptTracker
 from cowslipshelf_core.internal.routing.cost import (
-    RequestCost,
+    RequestProfile,
     decode_seconds,
     prefill_seconds,
 )
@@ -36,16 +36,16 @@
     RouterEvent,
     TickElapsed,
 )
-from cowslipshelf_core.internal.routing.fair_queue import WaitingAsk
+from cowslipshelf_core.internal.routing.fair_queue import PendingRequest
 from cowslipshelf_core.internal.routing.fleet import Fleet, Group, GroupKey
-from cowslipshelf_core.internal.routing.prefix_memory import PrefixMemory
-from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
-from cowslipshelf_core.internal.routing.spreading import is_needed
-from cowslipshelf_core.internal.routing.waiting_room import (
+from cowslipshelf_core.internal.routing.recent_prefixes import RecentPrefixes
+from cowslipshelf_core.internal.routing.request_queues import (
     QueueKey,
-    WaitingRoom,
+    RequestQueues,
     queue_key,
 )
+from cowslipshelf_core.internal.routing.settings import PromptClass, RouterConfig
+from cowslipshelf_core.internal.routing.spread_planning import needs_spread
 from cowslipshelf_core.placement_feedback import (
     AttemptEnded,
     FirstTokenSeen,
@@ -54,7 +54,7 @@
 )
 from cowslipshelf_core.upstream import LoadReport
 
-REVIEW_SECONDS = 1.0
+MAINTENANCE_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(slots=True)
@@ -63,242 +63,268 @@
 
     config: RouterConfig
     fleet: Fleet
-    ledger: AttemptLedger
-    room: WaitingRoom
+    tracker: AttemptTracker
+    queues: RequestQueues
     dispatcher: Dispatcher
     customers: dict[CustomerName, Customer] = field(default_factory=dict)
     weights: dict[CustomerName, float] = field(default_factory=dict)
     services: dict[ServiceName, Service] = field(default_factory=dict)
-    reviewed_at: float = float("-inf")
+    maintained_at: float = float("-inf")
 
     @classmethod
     def from_config(cls, config: RouterConfig) -> "Router":
         """Build a router that knows no upstream yet."""
         fleet = Fleet(config)
-        ledger = AttemptLedger(fleet)
-        room = WaitingRoom(config)
-        prefixes = PrefixMemory(config.most_prefixes)
-        dispatcher = Dispatcher(config, fleet, ledger, room, prefixes)
-        return cls(config, fleet, ledger, room, dispatcher)
+        tracker = AttemptTracker(fleet)
+        queues = RequestQueues(config)
+        prefixes = RecentPrefixes(config.max_prefixes)
+        dispatcher = Dispatcher(config, fleet, tracker, queues, prefixes)
+        return cls(config, fleet, tracker, queues, dispatcher)
 
     def handle(
         self, event: RouterEvent, now: float, random: Random
     ) -> list[PlacementAnswered]:
         """Take in one event and return the answers that are due."""
-        answers = [self.give_up_late(ask, now) for ask in self.room.hopeless(now)]
+        answers = [
+            self.refuse_expired(request, now)
+            for request in self.queues.pop_expired(now)
+        ]
         match event:
             case PlacementAsked():
-                answers += self.ask(event, now, random)
+                answers += self.place_or_queue(event, now, random)
             case PlacementWithdrawn(placement_id=placement_id):
-                waiting = self.room.asks.get(placement_id)
+                waiting = self.queues.requests.get(placement_id)
                 if waiting is not None:
-                    self.room.remove(waiting, served=False)
+                    self.queues.remove(waiting, served=False)
             case UpstreamAvailable(description=description):
                 self.fleet.add(event, now)
-                answers += self.after_change(now)
-                answers += self.dispatcher.serve_upstream(description.upstream_id, now)
+                answers += self.recheck_queued(now)
+                answers += self.dispatcher.dispatch_to_upstream(
+                    description.upstream_id, now
+                )
             case UpstreamUnavailable(upstream_id=upstream_id, reason=reason):
                 self.fleet.remove(upstream_id, reason in RETURNING_REASONS)
-                answers += self.after_change(now)
+                answers += self.recheck_queued(now)
             case LoadUpdated(upstream_id=upstream_id, epoch=epoch, load=load):
-                self.fleet.take_load(upstream_id, epoch, load, now)
-                answers += self.dispatcher.serve_upstream(upstream_id, now)
+                self.fleet.update_load(upstream_id, epoch, load, now)
+                answers += self.dispatcher.dispatch_to_upstream(upstream_id, now)
             case ConfigurationApplied(configuration=configuration):
                 self.fleet.apply_configuration(configuration)
-                self.read_configuration()
-                answers += self.after_change(now)
+                self.index_configuration()
+                answers += self.recheck_queued(now)
             case HandOverAccepted():
                 pass
             case HandOverRefused(attempt_id=attempt_id, load=load):
-                self.refused(attempt_id, load, now)
+                self.handle_refused_hand_over(attempt_id, load, now)
             case FirstTokenSeen(attempt_id=attempt_id, seconds=seconds):
-                self.ledger.first_token(attempt_id, seconds, now)
+                self.tracker.record_first_token(attempt_id, seconds, now)
             case AttemptEnded(attempt_id=attempt_id, outcome=outcome):
-                ended = self.ledger.finish(attempt_id, outcome, now)
+                ended = self.tracker.finish(attempt_id, outcome, now)
                 if ended is not None:
-                    answers += self.dispatcher.serve_upstream(ended.upstream_id, now)
+                    answers += self.dispatcher.dispatch_to_upstream(
+                        ended.upstream_id, now
+                    )
             case TickElapsed():
                 answers += self.tick(now, random)
         return answers
 
-    def read_configuration(self) -> None:
+    def index_configuration(self) -> None:
         """Index the configuration in force."""
         configuration = self.fleet.configuration
         self.customers = {c.name: c for c in configuration.customers}
         self.weights = {c.name: float(c.weight) for c in configuration.customers}
         self.services = {s.name: s for s in configuration.services}
 
-    def refused(self, attempt_id: AttemptId, load: LoadReport, now: float) -> None:
+    def handle_refused_hand_over(
+        self, attempt_id: AttemptId, load: LoadReport, now: float
+    ) -> None:
         """Believe the sidecar that refused, whatever was predicted."""
-        attempt = self.ledger.end(attempt_id)
+        attempt = self.tracker.end(attempt_id)
         view = self.fleet.views.get(attempt.upstream_id) if attempt else None
         if view is not None:
-            view.take_load(load, now)
+            view.update_load(load, now)
 
     def tick(self, now: float, random: Random) -> list[PlacementAnswered]:
         """Do what is due by time."""
-        if now - self.reviewed_at >= REVIEW_SECONDS:
-            self.reviewed_at = now
-            self.ledger.forget_lost(now)
-            outliers.review(self.fleet, now)
-            self.room.forget_idle()
+        if now - self.maintained_at >= MAINTENANCE_INTERVAL_SECONDS:
+            self.maintained_at = now
+            self.tracker.expire_lost(now)
+            outliers.update_ejections(self.fleet, now)
+            self.queues.drop_idle_customers()
             for group in self.fleet.groups.values():
-                group.shedding.forget_idle(now)
+                group.shedding.drop_idle_customers(now)
         answers = []
         for key, group in self.fleet.groups.items():
-            group.measure_capacity()
-            group.split()
-            group.shedding.adjust(self.room.pressure(key, group.capacity), now)
-            answers += self.dispatcher.serve_group(key, group, now, random)
-            for queue in self.room.waiting_for(key):
-                answers += self.shed_overfull(queue, now)
+            group.estimate_capacity()
+            group.assign_long_prompt_pool()
+            group.shedding.update_threshold(
+                self.queues.pressure(key, group.capacity), now
+            )
+            answers += self.dispatcher.dispatch_group(key, group, now, random)
+            for queue in self.queues.nonempty_queues(key):
+                answers += self.shed_excess(queue, now)
         return answers
 
     # Questions as they come in.
 
-    def ask(
+    def place_or_queue(
         self, asked: PlacementAsked, now: float, random: Random
     ) -> list[PlacementAnswered]:
         """Place a request, or refuse it, or let it wait."""
         facts = asked.facts
-        cost = self.cost_of(facts)
+        profile = self.profile_of(facts)
         key = GroupKey(facts.service, facts.model)
         group = self.fleet.groups.get(key)
-        refusal = self.refuse_at_once(asked, cost, group)
+        refusal = self.refuse_unplaceable(asked, profile, group)
         if refusal is not None or group is None:
             return [answer_refusal(asked, refusal)]
-        ask = self.estimate(asked, cost, group, now)
-        group.demand.add(ask.engine_seconds, cost.prompt_class is PromptClass.LONG, now)
-        group.shedding.count(ask.customer, ask.engine_seconds, now)
+        request = self.estimate(asked, profile, group, now)
+        group.long_prompt_demand.add(
+            request.engine_seconds, profile.prompt_class is PromptClass.LONG, now
+        )
+        group.shedding.record_demand(request.customer, request.engine_seconds, now)
         if group.shedding.refuses(
-            ask.customer, ask.worth_per_second, group.capacity, self.weights, now
+            request.customer,
+            request.value_per_engine_second,
+            group.capacity,
+            self.weights,
+            now,
         ):
             return [answer_refusal(asked, refusals.shed(self.retry_after(key)))]
-        if ask.latest_start() <= now:
-            least = ask.engine_seconds + ask.decode_seconds
+        if request.latest_start() <= now:
+            least = request.engine_seconds + request.decode_seconds
             return [answer_refusal(asked, refusals.too_slow(least, facts))]
-        if is_needed(group, cost):
-            return [self.dispatcher.place_spread(ask, group, now)]
-        queue = self.room.queue(QueueKey(key, cost.prompt_class))
+        if needs_spread(group, profile):
+            return [self.dispatcher.place_spread(request, group, now)]
+        queue = self.queues.queue(QueueKey(key, profile.prompt_class))
         if not queue.seconds:
-            drawn = self.dispatcher.draw(ask, group, random)
-            placed = self.dispatcher.try_place(ask, drawn, now)
+            sampled = self.dispatcher.sample_upstreams(request, group, random)
+            placed = self.dispatcher.try_place(request, sampled, now)
             if placed is not None:
-                queue.charge_at_once(ask.customer, ask.engine_seconds, ask.weight)
+                queue.charge_immediate(
+                    request.customer, request.engine_seconds, request.weight
+                )
                 return [placed]
-        return self.wait_or_refuse(ask, group, now)
+        return self.queue_or_refuse(request, group, now)
 
-    def refuse_at_once(
-        self, asked: PlacementAsked, cost: RequestCost, group: Group | None
+    def refuse_unplaceable(
+        self, asked: PlacementAsked, profile: RequestProfile, group: Group | None
     ) -> Refusal | None:
         """Return why a request has no chance, whatever the load."""
         facts = asked.facts
-        retry_after = self.config.least_retry_after_seconds
+        retry_after = self.config.min_retry_after_seconds
         if facts.deadline_seconds <= 0.0:
             return refusals.past_deadline()
         customer = self.customers.get(facts.customer)
         if customer is not None:
             name = customer.name
-            running = self.ledger.running[name] + self.room.waiting_of[name]
+            running = (
+                self.tracker.running_per_customer[name]
+                + self.queues.queued_per_customer[name]
+            )
             if running >= customer.most_concurrent:
                 return refusals.customer_limit(customer.most_concurrent, retry_after)
         key = GroupKey(facts.service, facts.model)
-        return refusals.impossible(
+        return refusals.unplaceable(
             group,
-            cost,
+            profile,
             asked.excluded,
             retry_after,
             lambda: self.fleet.expected_back(key),
         )
 
-    def cost_of(self, facts: PlacementFacts) -> RequestCost:
+    def profile_of(self, facts: PlacementFacts) -> RequestProfile:
         """Return what a request needs, wherever it goes."""
         service = self.services.get(facts.service)
-        return RequestCost(
+        return RequestProfile(
             facts,
             self.config.class_of(facts.prompt_tokens),
             service.long_prompt_weight if service else 1.0,
-            self.ledger.expected_output(facts.service, facts.most_output_tokens),
+            self.tracker.expected_output_tokens(
+                facts.service, facts.most_output_tokens
+            ),
         )
 
     def estimate(
-        self, asked: PlacementAsked, cost: RequestCost, group: Group, now: float
-    ) -> WaitingAsk:
+        self, asked: PlacementAsked, profile: RequestProfile, group: Group, now: float
+    ) -> PendingRequest:
         """Predict what a request needs on a typical upstream of its group."""
         view = group.members[-1]
-        return WaitingAsk(
+        return PendingRequest(
             asked,
-            cost,
+            profile,
             asked_at=now,
             deadline_at=now + asked.facts.deadline_seconds,
             engine_seconds=prefill_seconds(self.config, view, asked.facts),
             decode_seconds=decode_seconds(
-                self.config, view, cost.expected_output_tokens
+                self.config, view, profile.expected_output_tokens
             ),
             weight=self.weights.get(asked.facts.customer, 1.0),
         )
 
-    def wait_or_refuse(
-        self, ask: WaitingAsk, group: Group, now: float
+    def queue_or_refuse(
+        self, request: PendingRequest, group: Group, now: float
     ) -> list[PlacementAnswered]:
         """Queue a request, unless it would come out too late; keep the bound."""
-        key = queue_key(ask)
-        queue = self.room.queue(key)
-        ahead = queue.seconds_ahead_of(ask.customer, ask.weight, self.weights)
+        key = queue_key(request)
+        queue = self.queues.queue(key)
+        ahead = queue.seconds_ahead_of(request.customer, request.weight, self.weights)
         wait = ahead / group.capacity
-        if now + wait > ask.latest_start():
+        if now + wait > request.latest_start():
             refusal = refusals.too_late(wait, self.retry_after(key.group))
-            return [answer_refusal(ask.asked, refusal)]
-        self.room.push(ask)
-        return self.shed_overfull(key, now)
+            return [answer_refusal(request.asked, refusal)]
+        self.queues.push(request)
+        return self.shed_excess(key, now)
 
-    def shed_overfull(self, key: QueueKey, now: float) -> list[PlacementAnswered]:
+    def shed_excess(self, key: QueueKey, now: float) -> list[PlacementAnswered]:
         """Refuse what makes a queue longer than its bound."""
         group = self.fleet.groups[key.group]
-        given_up = self.room.overfull(key, group.capacity, self.weights)
+        evicted = self.queues.evict_excess(key, group.capacity, self.weights)
         return [
             answer_refusal(
                 victim.asked,
                 refusals.shed(self.retry_after(key.group)),
                 now - victim.asked_at,
             )
-            for victim in given_up
+            for victim in evicted
         ]
 
     def retry_after(self, key: GroupKey) -> float:
         """Predict when a refused request would find room, in seconds."""
         group = self.fleet.groups.get(key)
-        drain = self.room.drain_seconds(key, group.capacity) if group else 0.0
-        return max(self.config.least_retry_after_seconds, drain)
+        drain = self.queues.drain_seconds(key, group.capacity) if group else 0.0
+        return max(self.config.min_retry_after_seconds, drain)
 
     # Questions that wait.
 
-    def give_up_late(self, ask: WaitingAsk, now: float) -> PlacementAnswered:
+    def refuse_expired(self, request: PendingRequest, now: float) -> PlacementAnswered:
         """Refuse a waiting request as soon as it can't finish in time."""
-        self.room.remove(ask, served=False)
-        waited = now - ask.asked_at
-        refusal = refusals.too_late(waited, self.retry_after(queue_key(ask).group))
-        return answer_refusal(ask.asked, refusal, waited)
+        self.queues.remove(request, served=False)
+        waited = now - request.asked_at
+        refusal = refusals.too_late(waited, self.retry_after(queue_key(request).group))
+        return answer_refusal(request.asked, refusal, waited)
 
-    def after_change(self, now: float) -> list[PlacementAnswered]:
+    def recheck_queued(self, now: float) -> list[PlacementAnswered]:
         """Refuse what waits and has no chance since upstreams or settings changed."""
         answers = []
-        for ask in list(self.room.asks.values()):
-            key = queue_key(ask)
+        for request in list(self.queues.requests.values()):
+            key = queue_key(request)
             group = self.fleet.groups.get(key.group)
-            refusal = refusals.impossible(
+            refusal = refusals.unplaceable(
                 group,
-                ask.cost,
-                ask.asked.excluded,
-                self.config.least_retry_after_seconds,
+                request.profile,
+                request.asked.excluded,
+                self.config.min_retry_after_seconds,
             )
             if refusal is not None:
-                self.room.remove(ask, served=False)
-                answers.append(answer_refusal(ask.asked, refusal, now - ask.asked_at))
-            elif is_needed(group, ask.cost):
+                self.queues.remove(request, served=False)
+                answers.append(
+                    answer_refusal(request.asked, refusal, now - request.asked_at)
+                )
+            elif needs_spread(group, request.profile):
                 # The upstreams that it fitted alone have gone while it waited.
-                self.room.remove(ask, served=True)
-                answers.append(self.dispatcher.place_spread(ask, group, now))
-        for key in list(self.room.queues):
-            answers += self.shed_overfull(key, now)
+                self.queues.remove(request, served=True)
+                answers.append(self.dispatcher.place_spread(request, group, now))
+        for key in list(self.queues.by_key):
+            answers += self.shed_excess(key, now)
         return answers
--- a/packages/core/src/cowslipshelf_core/internal/routing/settings.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/settings.py
@@ -17,7 +17,7 @@
 class ClassLimits(NamedTuple):
     """Bound what one class of requests may wait for, in predicted seconds."""
 
-    most_wait_at_upstream_seconds: float
+    max_upstream_wait_seconds: float
     """A request goes to no upstream with more than this ahead of it; it queues here."""
     max_queued_seconds: float
     """The queue of this class is never predicted to take longer to drain."""
@@ -37,7 +37,7 @@
     """Output length assumed before any answer was seen."""
     plain_call_seconds: float = 0.02
     """Time that each running call at a plain service is taken to add."""
-    decode_delay_share: float = 0.02
+    decode_delay_weight: float = 0.02
     """Weight of a second lost between tokens against one lost before the first."""
     report_lag_seconds: float = 0.25
     """How old a load report may be when it arrives."""
@@ -46,37 +46,37 @@
 class OutlierConfig(NamedTuple):
     """Set when an upstream counts as slower than its peers, and what follows."""
 
-    slower_than_peers: float = 4.0
+    slow_ratio: float = 4.0
     """Ratio of its observed over predicted first-token time to the median of all."""
-    long_slower_than_peers: float = 2.5
+    long_prompt_slow_ratio: float = 2.5
     """The same for the last answer alone, above which long prompts keep away."""
-    most_set_aside_share: float = 0.2
-    set_aside_seconds: float = 20.0
+    max_ejected_share: float = 0.2
+    ejection_seconds: float = 20.0
     """Doubles each time that the same upstream is set aside again."""
-    most_set_aside_seconds: float = 320.0
+    max_ejection_seconds: float = 320.0
     slow_start_seconds: float = 10.0
-    slow_start_floor: float = 0.1
+    min_slow_start_share: float = 0.1
     """Share of its speed that a new upstream is credited with at first."""
 
 
-class LongSetConfig(NamedTuple):
+class LongPromptPoolConfig(NamedTuple):
     """Set how many upstreams take long prompts first."""
 
     headroom: float = 1.3
     """Upstreams set apart for each upstream's worth of long work."""
-    memory_seconds: float = 60.0
+    averaging_seconds: float = 60.0
     """Time over which demand is averaged."""
-    most_share: float = 0.5
-    least_upstreams: int = 4
+    max_share: float = 0.5
+    min_upstreams: int = 4
     """A smaller fleet sets none apart."""
-    patience_seconds: float = 20.0
+    starvation_seconds: float = 20.0
     """Time after which a waiting long prompt has the set to itself; for one that is
     worth more, so much shorter."""
-    short_spill_seconds: float = 0.05
+    short_spillover_seconds: float = 0.05
     """Harm added where a short prompt takes an upstream set apart."""
-    medium_spill_share: float = 0.5
+    medium_spillover_share: float = 0.5
     """The same for a medium prompt, per second of its prefill."""
-    long_spill_share: float = 0.25
+    long_spillover_share: float = 0.25
     """Harm added where a long prompt takes another one, per second of its prefill."""
 
 
@@ -88,11 +88,11 @@
     low_pressure: float = 0.25
     rise_per_second: float = 0.2
     fall_per_second: float = 0.1
-    lowest_worth: float = 0.04
-    highest_worth: float = 2.0
+    min_threshold: float = 0.04
+    max_threshold: float = 2.0
     """Work that is worth more than this is left to the bounds of the queues."""
-    memory_seconds: float = 30.0
-    forgotten_seconds: float = 0.001
+    averaging_seconds: float = 30.0
+    min_tracked_seconds: float = 0.001
 
 
 class RouterConfig(NamedTuple):
@@ -101,7 +101,7 @@
     data_centre: DataCentre = DataCentre("")
     other_data_centre_seconds: float = 0.01
     """Harm that a placement in another data centre is taken to do."""
-    sampled_choices: int = 4
+    sampled_upstreams: int = 4
     """Upstreams looked at for each placement, within each set."""
     short_prompt_tokens: int = 8_000
     long_prompt_tokens: int = 100_000
@@ -110,23 +110,23 @@
     limits_medium: ClassLimits = ClassLimits(1.5, 10.0)
     limits_long: ClassLimits = ClassLimits(10.0, 40.0)
     """Each wait bound is above the former, so that no class shuts out a longer one."""
-    most_prefixes: int = 4_096
+    max_prefixes: int = 4_096
     """Prompt prefixes whose last upstream is remembered."""
-    short_memory_share: float = 0.08
+    short_prompt_memory_share: float = 0.08
     """Memory of an upstream that medium prompts leave free for short ones."""
     slack_per_prefill_second: float = 4.0
     """Slack that priority gives a request for each second of its own prefill."""
-    least_slack_seconds: float = 0.1
-    most_slack_seconds: float = 40.0
+    min_slack_seconds: float = 0.1
+    max_slack_seconds: float = 40.0
     """After this long no later arrival passes, whatever its length."""
     heads_tried: int = 3
     """Customers whose first waiting request is tried each time; bounds the work."""
-    least_retry_after_seconds: float = 1.0
-    forgotten_after_deadline_seconds: float = 30.0
+    min_retry_after_seconds: float = 1.0
+    expire_after_deadline_seconds: float = 30.0
     """An attempt whose end was never reported stops counting this long after."""
     cost: CostConfig = CostConfig()
     outliers: OutlierConfig = OutlierConfig()
-    long_set: LongSetConfig = LongSetConfig()
+    long_prompt_pool: LongPromptPoolConfig = LongPromptPoolConfig()
     shedding: SheddingConfig = SheddingConfig()
 
     def class_of(self, prompt_tokens: int) -> PromptClass:
--- a/packages/core/src/cowslipshelf_core/internal/routing/shedding.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/shedding.py
@@ -14,9 +14,9 @@
     seconds: float = 0.0
     updated_at: float = 0.0
 
-    def decay(self, now: float, memory_seconds: float) -> None:
+    def decay(self, now: float, averaging_seconds: float) -> None:
         """Let what is past count less."""
-        self.seconds *= exp(-max(0.0, now - self.updated_at) / memory_seconds)
+        self.seconds *= exp(-max(0.0, now - self.updated_at) / averaging_seconds)
         self.updated_at = now
 
 
@@ -30,33 +30,33 @@
     """
 
     config: SheddingConfig
-    least_worth: float = 0.0
+    threshold: float = 0.0
     updated_at: float = 0.0
     usage: dict[CustomerName, Usage] = field(default_factory=dict)
 
-    def count(self, customer: CustomerName, seconds: float, now: float) -> None:
+    def record_demand(self, customer: CustomerName, seconds: float, now: float) -> None:
         """Count the predicted work that a customer asks for."""
         usage = self.usage.setdefault(customer, Usage(updated_at=now))
-        usage.decay(now, self.config.memory_seconds)
+        usage.decay(now, self.config.averaging_seconds)
         usage.seconds += seconds
 
-    def adjust(self, pressure: float, now: float) -> None:
+    def update_threshold(self, pressure: float, now: float) -> None:
         """Follow the queues; pressure is their length against their bounds."""
         passed = max(0.0, now - self.updated_at)
         self.updated_at = now
         if pressure > self.config.high_pressure:
-            start = max(self.least_worth, self.config.lowest_worth)
+            start = max(self.threshold, self.config.min_threshold)
             risen = start * exp(self.config.rise_per_second * passed)
-            self.least_worth = min(risen, self.config.highest_worth)
+            self.threshold = min(risen, self.config.max_threshold)
         elif pressure < self.config.low_pressure:
-            self.least_worth *= exp(-self.config.fall_per_second * passed)
-            if self.least_worth < self.config.lowest_worth:
-                self.least_worth = 0.0
+            self.threshold *= exp(-self.config.fall_per_second * passed)
+            if self.threshold < self.config.min_threshold:
+                self.threshold = 0.0
 
     def refuses(
         self,
         customer: CustomerName,
-        worth_per_second: float,
+        value_per_engine_second: float,
         capacity: float,
         weights: dict[CustomerName, float],
         now: float,
@@ -66,22 +66,22 @@
         A customer whose demand is within its share of the capacity is spared: another
         one's burst must not cost it anything.
         """
-        if worth_per_second >= self.least_worth:
+        if value_per_engine_second >= self.threshold:
             return False
         usage = self.usage.get(customer)
         if usage is None:
             return False
-        usage.decay(now, self.config.memory_seconds)
+        usage.decay(now, self.config.averaging_seconds)
         total = sum(weights.get(name, 1.0) for name in self.usage)
         share = capacity * weights.get(customer, 1.0) / total
-        return usage.seconds / self.config.memory_seconds > share
+        return usage.seconds / self.config.averaging_seconds > share
 
-    def forget_idle(self, now: float) -> None:
+    def drop_idle_customers(self, now: float) -> None:
         """Drop customers that have long asked for nothing."""
         for usage in self.usage.values():
-            usage.decay(now, self.config.memory_seconds)
+            usage.decay(now, self.config.averaging_seconds)
         self.usage = {
             name: usage
             for name, usage in self.usage.items()
-            if usage.seconds > self.config.forgotten_seconds
+            if usage.seconds > self.config.min_tracked_seconds
         }
--- a/packages/core/src/cowslipshelf_core/internal/routing/spreading.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
@@ -3,15 +3,15 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.internal.routing.cost import RequestCost
+from cowslipshelf_core.internal.routing.cost import RequestProfile
 from cowslipshelf_core.internal.routing.fleet import Group
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
 from cowslipshelf_core.prompt_parts import PartPlace
 
-USUAL_MEMORY_SHARE = 0.8
+PREFERRED_MEMORY_SHARE = 0.8
 """Part of each upstream's memory that a spread prompt takes where enough upstreams
 can share it; the rest stays for short prompts, which would otherwise be shut out."""
-MOST_PARTS = 16
+MAX_PARTS = 16
 
 
 class Spread(NamedTuple):
@@ -25,17 +25,19 @@
     @property
     def reason(self) -> str:
         """Explain the choice to operators."""
-        names = [place.upstream_id for place in self.helpers] + [order_of(self.last)]
+        names = [place.upstream_id for place in self.helpers] + [
+            upstream_id_of(self.last)
+        ]
         return f"fits no upstream alone; spread over {', '.join(names)}"
 
 
-def is_needed(group: Group, request: RequestCost) -> bool:
+def needs_spread(group: Group, profile: RequestProfile) -> bool:
     """Return whether a request fits no upstream of a group alone."""
-    return 0 < group.largest_memory < request.memory_tokens
+    return 0 < group.largest_memory < profile.memory_tokens
 
 
-def plan(
-    group: Group, request: RequestCost, excluded: frozenset[UpstreamId]
+def plan_spread(
+    group: Group, profile: RequestProfile, excluded: frozenset[UpstreamId]
 ) -> Spread | None:
     """Choose the upstreams of a spread prompt; None where the group can't hold it.
 
@@ -47,33 +49,33 @@
         for view in group.members
         if view.description.upstream_id not in excluded and view.memory_limit()
     ]
-    able.sort(key=lambda view: (-believed_free(view), order_of(view)))
-    for share in (USUAL_MEMORY_SHARE, 1.0):
-        for count in range(2, min(len(able), MOST_PARTS) + 1):
-            views = sorted(able[:count], key=order_of)
-            spread = divide(views, request, share)
+    able.sort(key=lambda view: (-reported_free_tokens(view), upstream_id_of(view)))
+    for share in (PREFERRED_MEMORY_SHARE, 1.0):
+        for count in range(2, min(len(able), MAX_PARTS) + 1):
+            views = sorted(able[:count], key=upstream_id_of)
+            spread = divide(views, profile, share)
             if spread is not None:
                 return spread
     return None
 
 
-def believed_free(view: UpstreamView) -> int:
+def reported_free_tokens(view: UpstreamView) -> int:
     """Return the tokens that the last report left free at an upstream."""
     return view.memory_limit() - view.load.reserved_tokens
 
 
-def order_of(view: UpstreamView) -> UpstreamId:
+def upstream_id_of(view: UpstreamView) -> UpstreamId:
     """Return what the one fixed order of all spread prompts goes by."""
     return view.description.upstream_id
 
 
 def divide(
-    views: list[UpstreamView], request: RequestCost, share: float
+    views: list[UpstreamView], profile: RequestProfile, share: float
 ) -> Spread | None:
     """Divide a prompt in proportion to memory; None where it does not fit so."""
     limits = [int(view.memory_limit() * share) for view in views]
     total = sum(limits)
-    needed = request.memory_tokens
+    needed = profile.memory_tokens
     if needed > total:
         return None
     helpers = []
@@ -81,15 +83,15 @@
     for view, limit in zip(views[:-1], limits[:-1], strict=True):
         # Rounded up, and never past the limit since what is needed is no more than all.
         end = start - (-needed * limit // total)
-        helpers.append(place_of(view, start, end))
+        helpers.append(part_place(view, start, end))
         start = end
-    if start >= request.facts.prompt_tokens:
+    if start >= profile.facts.prompt_tokens:
         # Mostly output: the last one would have nothing to prefill.
         return None
     return Spread(views[-1], start, tuple(helpers))
 
 
-def place_of(view: UpstreamView, start: int, end: int) -> PartPlace:
+def part_place(view: UpstreamView, start: int, end: int) -> PartPlace:
     """Say where a part goes."""
     return PartPlace(
         view.description.upstream_id,
--- a/packages/core/src/cowslipshelf_core/internal/routing/upstream_view.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/upstream_view.py
@@ -13,12 +13,12 @@
 )
 from cowslipshelf_core.upstream import LoadReport, UpstreamDescription
 
-RATIOS_KEPT = 9
-LEAST_RATIOS = 5
-RATIO_KEPT_SECONDS = 60.0
-SMALLEST_RATIO = 0.1
-LARGEST_RATIO = 100.0
-RATIO_FLOOR_SECONDS = 0.1
+MAX_SAMPLES = 9
+MIN_SAMPLES = 5
+SAMPLE_LIFETIME_SECONDS = 60.0
+MIN_RATIO = 0.1
+MAX_RATIO = 100.0
+RATIO_OFFSET_SECONDS = 0.1
 """Added to both times, so that fixed delays of short requests do not look slow."""
 
 
@@ -31,7 +31,7 @@
     customer: CustomerName
     prompt_class: PromptClass
     placed_at: float
-    forget_at: float
+    expires_at: float
     prefill_seconds: float
     prompt_tokens: int
     memory_tokens: int
@@ -43,10 +43,10 @@
     """Whether other upstreams prefill parts; its time says little of this one's."""
 
 
-class Ratio(NamedTuple):
+class SlownessSample(NamedTuple):
     """Be one observed time over the predicted one."""
 
-    seen_at: float
+    observed_at: float
     factor: float
 
 
@@ -60,31 +60,39 @@
     same reason ratios are dropped when they are old.
     """
 
-    ratios: deque[Ratio] = field(default_factory=lambda: deque(maxlen=RATIOS_KEPT))
+    samples: deque[SlownessSample] = field(
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
+    )
     factor: float = 1.0
-    last: Ratio | None = None
+    last: SlownessSample | None = None
 
     def add(
         self, observed_seconds: float, predicted_seconds: float, now: float
     ) -> None:
         """Take in one observed time beside the one that was predicted."""
-        ratio = (observed_seconds + RATIO_FLOOR_SECONDS) / (
-            predicted_seconds + RATIO_FLOOR_SECONDS
+        ratio = (observed_seconds + RATIO_OFFSET_SECONDS) / (
+            predicted_seconds + RATIO_OFFSET_SECONDS
         )
-        bounded = min(max(ratio, SMALLEST_RATIO), LARGEST_RATIO)
-        self.last = Ratio(now, bounded)
-        self.ratios.append(self.last)
+        bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
+        self.last = SlownessSample(now, bounded)
+        self.samples.append(self.last)
         self.estimate()
 
     def drop_old(self, now: float) -> None:
         """Forget what was observed long ago."""
-        if not self.ratios or self.ratios[0].seen_at + RATIO_KEPT_SECONDS > now:
+        if (
+            not self.samples
+            or self.samples[0].observed_at + SAMPLE_LIFETIME_SECONDS > now
+        ):
             return
-        while self.ratios and self.ratios[0].seen_at + RATIO_KEPT_SECONDS <= now:
-            self.ratios.popleft()
+        while (
+            self.samples
+            and self.samples[0].observed_at + SAMPLE_LIFETIME_SECONDS <= now
+        ):
+            self.samples.popleft()
         self.estimate()
 
-    def doubt(self, config: OutlierConfig, now: float) -> float:
+    def last_factor(self, config: OutlierConfig, now: float) -> float:
         """Return how slow the last answer was; one long ago says nothing.
 
         A slow upstream shows a long backlog, gets little for that, and so gives few
@@ -94,15 +102,15 @@
         """
         if self.last is None:
             return 1.0
-        old = self.last.seen_at + config.most_set_aside_seconds <= now
+        old = self.last.observed_at + config.max_ejection_seconds <= now
         return 1.0 if old else self.last.factor
 
     def estimate(self) -> None:
         """Bring the factor up to date."""
-        if len(self.ratios) < LEAST_RATIOS:
+        if len(self.samples) < MIN_SAMPLES:
             self.factor = 1.0
             return
-        self.factor = median(ratio.factor for ratio in self.ratios)
+        self.factor = median(ratio.factor for ratio in self.samples)
 
 
 @dataclass(slots=True)
@@ -112,21 +120,21 @@
     description: UpstreamDescription
     epoch: Epoch
     load: LoadReport
-    load_at: float
+    load_received_at: float
     available_since: float
     attempts: dict[AttemptId, PlacedAttempt] = field(default_factory=dict)
     slowness: SlownessEstimate = field(default_factory=SlownessEstimate)
-    set_aside_until: float | None = None
-    times_set_aside: int = 0
-    kept_from_long: bool = False
+    ejected_until: float | None = None
+    ejection_count: int = 0
+    avoid_for_long_prompts: bool = False
     """Whether a long prompt is too much to lose on what little is known of it."""
 
-    def take_load(self, load: LoadReport, now: float) -> None:
+    def update_load(self, load: LoadReport, now: float) -> None:
         """Replace the report; one that a newer report has overtaken is ignored."""
         if load.sequence < self.load.sequence:
             return
         self.load = load
-        self.load_at = now
+        self.load_received_at = now
 
     def unreported(self, cost: CostConfig) -> list[PlacedAttempt]:
         """Return our attempts that the last report can't have counted.
@@ -134,7 +142,7 @@
         A report describes a moment before it arrived. An attempt placed after that
         moment is added on top, or every entry would send its next request there too.
         """
-        since = self.load_at - cost.report_lag_seconds
+        since = self.load_received_at - cost.report_lag_seconds
         recent = []
         for attempt in reversed(self.attempts.values()):
             if attempt.placed_at < since:
@@ -151,9 +159,9 @@
         ours = sum(attempt.memory_tokens for attempt in unreported)
         return self.memory_limit() - self.load.reserved_tokens - ours
 
-    def ramp(self, config: OutlierConfig, now: float) -> float:
+    def slow_start_share(self, config: OutlierConfig, now: float) -> float:
         """Return the share of its speed that a new upstream is credited with."""
         age = now - self.available_since
         if age >= config.slow_start_seconds:
             return 1.0
-        return max(config.slow_start_floor, age / config.slow_start_seconds)
+        return max(config.min_slow_start_share, age / config.slow_start_seconds)
--- a/tests/cover/routing/test_long_set_rank.py
+++ b/tests/cover/routing/test_long_prompt_pool_rank.py
@@ -1,7 +1,7 @@
 """Check that the rank of an upstream doesn't depend on the process."""
 
 from cowslipshelf_core.identifiers import ConfigurationVersion, UpstreamId
-from cowslipshelf_core.internal.routing.long_set import rank
+from cowslipshelf_core.internal.routing.long_prompt_pool import rank
 
 VERSION = ConfigurationVersion(7)
 RANKS_FOR_GOOD = ["aa7869cc31bc8a1a", "96ba9b1a54a87dc9"]
--- a/tests/cover/routing/test_outliers.py
+++ b/tests/cover/routing/test_outliers.py
@@ -49,11 +49,11 @@
     return router, random
 
 
-def set_aside(router: Router) -> set[str]:
+def ejected(router: Router) -> set[str]:
     return {
         name
         for name, view in router.fleet.views.items()
-        if view.set_aside_until is not None
+        if view.ejected_until is not None
     }
 
 
@@ -69,12 +69,12 @@
     slow = {"upstream-0"}
     serve(router, random, START, slow, range(40 * upstreams))
     router.handle(TickElapsed(), START + 2.0, random)
-    assert set_aside(router) == slow
+    assert ejected(router) == slow
     after = range(10_000, 10_000 + 5 * upstreams)
     assert "upstream-0" not in serve(router, random, START + 3.0, slow, after)
-    back = START + 2.0 + OUTLIERS.set_aside_seconds + 1.0
+    back = START + 2.0 + OUTLIERS.ejection_seconds + 1.0
     router.handle(TickElapsed(), back, random)
-    assert not set_aside(router)
+    assert not ejected(router)
     healthy = range(20_000, 20_000 + 40 * upstreams)
     later = back + OUTLIERS.slow_start_seconds
     assert "upstream-0" in serve(router, random, later, set(), healthy)
@@ -90,8 +90,8 @@
         numbers = range(turn * 1_000, turn * 1_000 + 20 * upstreams)
         serve(router, random, START + turn * 2.0, slow, numbers)
         router.handle(TickElapsed(), START + turn * 2.0 + 1.5, random)
-        assert set_aside(router) <= slow
-        assert len(set_aside(router)) <= max(1, upstreams // 5)
+        assert ejected(router) <= slow
+        assert len(ejected(router)) <= max(1, upstreams // 5)
         assert chosen(router.handle(asked(90_000 + turn), START + turn, random))
 
 
@@ -105,7 +105,7 @@
         attempt = answered.answer.attempt_id
         router.handle(FirstTokenSeen(attempt, seconds), START, random)
     router.handle(TickElapsed(), START + 1.5, random)
-    assert not set_aside(router)
+    assert not ejected(router)
 
 
 def test_an_upstream_that_never_answers_is_set_aside_too():
@@ -128,7 +128,7 @@
         router.handle(FirstTokenSeen(attempt, 0.1), now, random)
         router.handle(AttemptEnded(attempt, AttemptOutcome.FINISHED), now, random)
         router.handle(TickElapsed(), now, random)
-    assert set_aside(router) == {"upstream-0"}
+    assert ejected(router) == {"upstream-0"}
     assert len(stuck) < 30
 
 
@@ -143,12 +143,12 @@
     slow = {"upstream-0", "upstream-1"}
     serve(router, random, START, slow, range(60 * upstreams))
     router.handle(TickElapsed(), START + 1.5, random)
-    assert set_aside(router) == slow
+    assert ejected(router) == slow
     for number in range(left, upstreams):
         gone = UpstreamUnavailable(f"upstream-{number}", "lease expired")
         router.handle(gone, START + 2.0, random)
     router.handle(TickElapsed(), START + 3.0, random)
-    assert len(set_aside(router)) == 1
+    assert len(ejected(router)) == 1
 
 
 @PROPERTY
--- a/tests/cover/routing/test_placement.py
+++ b/tests/cover/routing/test_placement.py
@@ -53,15 +53,15 @@
     for number in range(6):
         router.handle(asked(number, 300_000), START, random)
         router.handle(asked(100 + number, 20_000), START, random)
-    for attempt in list(router.ledger.attempts):
+    for attempt in list(router.tracker.attempts):
         ended = AttemptEnded(attempt, AttemptOutcome.FINISHED)
         router.handle(ended, START + 0.5, random)
     return router, random
 
 
-def long_set(router: Router) -> list[str]:
+def long_prompt_pool(router: Router) -> list[str]:
     (group,) = router.fleet.groups.values()
-    return [view.description.upstream_id for view in group.long_set]
+    return [view.description.upstream_id for view in group.long_prompt_pool]
 
 
 @PROPERTY
@@ -100,7 +100,7 @@
             prompt = 300_000 if is_long else 20_000
             router.handle(asked(number, prompt), START, random)
         router.handle(TickElapsed(), START + 0.1, random)
-        sets.append(long_set(router))
+        sets.append(long_prompt_pool(router))
     smallest = min(sets, key=len)
     assert all(names[: len(smallest)] == smallest for names in sets)
     assert all(len(names) <= max(1, upstreams // 2) for names in sets)
@@ -112,7 +112,7 @@
 def test_short_prompts_keep_off_busy_upstreams_for_long_ones(upstreams, seed):
     router, random = started_with_long_demand(upstreams, seed)
     router.handle(TickElapsed(), START + 1.0, random)
-    names = long_set(router)
+    names = long_prompt_pool(router)
     assert names
     for name in names:
         working = load(2, running=1, prefill_tokens=300_000)
@@ -132,7 +132,7 @@
         now = START + 20.0 + turn
         router.handle(TickElapsed(), now, random)
         (answered,) = router.handle(asked(1_000 + turn), now, random)
-        assert answered.answer.upstream_id not in long_set(router)
+        assert answered.answer.upstream_id not in long_prompt_pool(router)
         attempt = answered.answer.attempt_id
         ended = AttemptEnded(attempt, AttemptOutcome.FINISHED)
         router.handle(ended, now, random)
@@ -146,10 +146,10 @@
     """
     router, random = started_with_long_demand(8, 1)
     router.handle(TickElapsed(), START + 1.0, random)
-    for name in long_set(router):
+    for name in long_prompt_pool(router):
         router.handle(available(name, epoch="2"), START + 2.0, random)
     (group,) = router.fleet.groups.values()
-    assert {view.epoch for view in group.long_set} == {"2"}
+    assert {view.epoch for view in group.long_prompt_pool} == {"2"}
 
 
 @PROPERTY
@@ -243,7 +243,7 @@
     by_name = {c.upstream_id: c for c in explanation.considered}
     best = by_name[explanation.chosen].prediction
     assert best.first_token_seconds > 0.0
-    assert best.harm == min(c.prediction.harm for c in explanation.considered)
+    assert best.cost == min(c.prediction.cost for c in explanation.considered)
     assert explanation.request_id == "request-1"
 
 
@@ -301,7 +301,7 @@
     assert not router.handle(asked(1, 400_000, deadline=120.0), START, random)
     later = START + 6.0
     router.handle(TickElapsed(), later, random)
-    names = set(long_set(router))
+    names = set(long_prompt_pool(router))
     assert names
     placed = set()
     for number in range(2, 90):
@@ -322,9 +322,9 @@
     router.handle(TickElapsed(), START + 0.1, random)
     (group,) = router.fleet.groups.values()
     for epoch in ("2", "3"):
-        restarted = long_set(router)[0]
+        restarted = long_prompt_pool(router)[0]
         router.handle(available(restarted, load(2), epoch), START, random)
-        assert group.long_set[0].epoch == epoch
+        assert group.long_prompt_pool[0].epoch == epoch
 
 
 @PROPERTY
--- a/tests/cover/routing/test_router_machine.py
+++ b/tests/cover/routing/test_router_machine.py
@@ -230,23 +230,26 @@
 
     @invariant()
     def the_router_waits_for_just_the_open_questions(self) -> None:
-        assert set(self.router.room.asks) == set(self.open)
+        assert set(self.router.queues.requests) == set(self.open)
 
     @invariant()
     def no_customer_exceeds_its_limit(self) -> None:
         for customer in CUSTOMERS:
-            running = self.router.ledger.running[customer]
-            assert running + self.router.room.waiting_of[customer] <= MOST_CONCURRENT
+            running = self.router.tracker.running_per_customer[customer]
+            assert (
+                running + self.router.queues.queued_per_customer[customer]
+                <= MOST_CONCURRENT
+            )
 
     @invariant()
     def at_most_the_cap_is_set_aside(self) -> None:
         views = self.router.fleet.views.values()
-        aside = sum(view.set_aside_until is not None for view in views)
+        aside = sum(view.ejected_until is not None for view in views)
         assert aside <= max(1, len(self.present) // 5)
 
     @invariant()
     def queues_keep_their_bounds(self) -> None:
-        for key, queue in self.router.room.queues.items():
+        for key, queue in self.router.queues.by_key.items():
             group = self.router.fleet.groups[key.group]
             limits = self.router.config.limits_of(key.prompt_class)
             assert queue.seconds <= limits.max_queued_seconds * group.capacity + 1e-6
--- a/tests/cover/routing/test_shares.py
+++ b/tests/cover/routing/test_shares.py
@@ -16,8 +16,8 @@
     refusals,
 )
 from cowslipshelf_core.errors import RefusalReason
-from cowslipshelf_core.internal.routing.cost import RequestCost
-from cowslipshelf_core.internal.routing.fair_queue import FairQueue, WaitingAsk
+from cowslipshelf_core.internal.routing.cost import RequestProfile
+from cowslipshelf_core.internal.routing.fair_queue import FairQueue, PendingRequest
 from cowslipshelf_core.internal.routing.settings import PromptClass
 from cowslipshelf_core.routing import (
     AttemptEnded,
@@ -35,10 +35,12 @@
 )
 
 
-def waiting(number: int, customer: str, seconds: float, weight: float) -> WaitingAsk:
+def waiting(
+    number: int, customer: str, seconds: float, weight: float
+) -> PendingRequest:
     question = asked(number, customer=customer)
-    cost = RequestCost(question.facts, PromptClass.SHORT, 1.0, 200.0)
-    return WaitingAsk(question, cost, START, START + 60.0, seconds, 1.0, weight)
+    cost = RequestProfile(question.facts, PromptClass.SHORT, 1.0, 200.0)
+    return PendingRequest(question, cost, START, START + 60.0, seconds, 1.0, weight)
 
 
 @PROPERTY
@@ -68,9 +70,9 @@
 def test_unused_time_is_lent_and_not_saved_up(used_alone, idle_before):
     queue = FairQueue()
     for _ in range(used_alone):
-        queue.charge_at_once("factory", 1.0, 1.0)
+        queue.charge_immediate("factory", 1.0, 1.0)
     for number in range(idle_before):
-        queue.charge_at_once("mill", 0.001, 1.0)
+        queue.charge_immediate("mill", 0.001, 1.0)
         assert number < idle_before
     for number in range(10):
         queue.push(waiting(number, "factory", 1.0, 1.0))
@@ -166,7 +168,7 @@
     router.handle(configured(most_concurrent=1), START, random)
     router.handle(available("upstream-0"), START, random)
     assert chosen(router.handle(asked(1, deadline=10.0), START, random))
-    later = START + 10.0 + RouterConfig().forgotten_after_deadline_seconds
+    later = START + 10.0 + RouterConfig().expire_after_deadline_seconds
     assert refusals(router.handle(asked(2), later - 5.0, random))
     router.handle(TickElapsed(), later, random)
     assert chosen(router.handle(asked(3), later, random))
