--- a/packages/core/src/cowslipshelf_core/internal/routing/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which upstream takes a request, and when."""
+"""Place the requests of an entry on upstreams, or queue or refuse them."""
--- a/packages/core/src/cowslipshelf_core/internal/routing/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Keep the attempts that this router has placed."""
+"""Track the attempts that this router has placed."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class OutputLengthEstimate:
-    """Learn how long answers of a service are, in tokens."""
+    """Estimate the answer length of a service, in tokens."""
 
     tokens: float
 
     def add(self, tokens: float) -> None:
-        """Take in the length of one whole answer."""
+        """Update the moving average with the length of one complete answer."""
         self.tokens += OUTPUT_LENGTH_SMOOTHING * (tokens - self.tokens)
 
 
 @dataclass(slots=True)
 class AttemptTracker:
-    """Know every placed attempt until it ends, and how many each customer has."""
+    """Track every placed attempt until it ends, and the number of each customer."""
 
     fleet: Fleet
     attempts: dict[AttemptId, PlacedAttempt] = field(default_factory=dict)
@@ -33,14 +33,16 @@
         default_factory=dict
     )
 
-    def expected_output_tokens(self, service: ServiceName, most: int) -> float:
-        """Return the answer length to reckon with, in tokens."""
+    def expected_output_tokens(self, service: ServiceName, max_tokens: int) -> float:
+        """Return the expected answer length, in tokens."""
         known = self.output_lengths.get(service)
-        usual = known.tokens if known else self.fleet.config.cost.expected_output_tokens
-        return min(float(most), usual)
+        expected = (
+            known.tokens if known else self.fleet.config.cost.expected_output_tokens
+        )
+        return min(float(max_tokens), expected)
 
     def place(self, attempt: PlacedAttempt) -> None:
-        """Count an attempt on its upstream and for its customer."""
+        """Add an attempt to its upstream and to its customer's count."""
         self.end(attempt.attempt_id)
         self.attempts[attempt.attempt_id] = attempt
         self.running_per_customer[attempt.customer] += 1
@@ -49,7 +51,7 @@
     def record_first_token(
         self, attempt_id: AttemptId, seconds: float, now: float
     ) -> None:
-        """Learn from the time that an attempt's first token took."""
+        """Record an attempt's first token as a sample of its upstream's slowness."""
         attempt = self.attempts.get(attempt_id)
         if attempt is None or attempt.first_token_at is not None:
             return
@@ -63,7 +65,7 @@
     def finish(
         self, attempt_id: AttemptId, outcome: AttemptOutcome, now: float
     ) -> PlacedAttempt | None:
-        """End an attempt and learn from a whole answer's length."""
+        """Remove an ended attempt and record the length of a complete answer."""
         attempt = self.end(attempt_id)
         if attempt is None:
             return None
@@ -73,20 +75,22 @@
         return attempt
 
     def record_output_length(self, attempt: PlacedAttempt, seconds: float) -> None:
-        """Learn how many tokens an answer had from how long it streamed."""
+        """Estimate an answer's length in tokens from the time that it streamed."""
         view = self.fleet.views.get(attempt.upstream_id)
         if view is None or not view.load.decode_seconds_per_token:
             return
         tokens = min(
             seconds / view.load.decode_seconds_per_token,
-            float(attempt.most_output_tokens),
+            float(attempt.max_output_tokens),
         )
         service = view.description.service
-        usual = self.fleet.config.cost.expected_output_tokens
-        self.output_lengths.setdefault(service, OutputLengthEstimate(usual)).add(tokens)
+        initial = self.fleet.config.cost.expected_output_tokens
+        self.output_lengths.setdefault(service, OutputLengthEstimate(initial)).add(
+            tokens
+        )
 
     def end(self, attempt_id: AttemptId) -> PlacedAttempt | None:
-        """Stop counting an attempt."""
+        """Remove an attempt from its upstream and from its customer's count."""
         attempt = self.attempts.pop(attempt_id, None)
         if attempt is None:
             return None
@@ -99,10 +103,10 @@
         return attempt
 
     def expire_lost(self, now: float) -> None:
-        """Stop counting attempts whose end was never reported.
+        """Remove attempts whose end was never reported.
 
-        A reporter that died would otherwise use up its customer's limit for good. No
-        attempt outlives its deadline, so one this old has ended.
+        A request thread that died would otherwise use up its customer's limit for
+        ever. No attempt outlives its deadline, so one past its expiry has ended.
         """
         lost = [a.attempt_id for a in self.attempts.values() if a.expires_at <= now]
         for attempt_id in lost:
--- a/packages/core/src/cowslipshelf_core/internal/routing/cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/cost.py
@@ -1,4 +1,4 @@
-"""Predict what a request costs on an upstream, itself and others."""
+"""Predict the cost of a request on an upstream, to itself and to other requests."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,15 @@
 
 
 class Backlog(NamedTuple):
-    """Be the prefill work believed to be waiting at an upstream."""
+    """Hold the estimated prefill work waiting at an upstream."""
 
     seconds: float
     waiting: int
-    """Attempts before their first token."""
+    """Number of attempts without a first token."""
 
 
 class RequestProfile(NamedTuple):
-    """Be what a request needs, apart from where it goes."""
+    """Describe what a request needs, whichever upstream takes it."""
 
     facts: PlacementFacts
     prompt_class: PromptClass
@@ -25,12 +25,12 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return the tokens that have to be reserved."""
-        return self.facts.prompt_tokens + self.facts.most_output_tokens
+        """Return the tokens of engine memory to reserve."""
+        return self.facts.prompt_tokens + self.facts.max_output_tokens
 
     @property
     def value(self) -> float:
-        """Return the worth of answering in time."""
+        """Return the value of answering in time; 1 for all but long prompts."""
         if self.prompt_class is PromptClass.LONG:
             return self.long_prompt_weight
         return 1.0
@@ -39,7 +39,7 @@
 def prefill_seconds(
     config: RouterConfig, view: UpstreamView, facts: PlacementFacts
 ) -> float:
-    """Predict the prefill of a prompt alone on an upstream, in seconds."""
+    """Predict the prefill time of a prompt on an idle upstream, in seconds."""
     if view.description.kind == "plain":
         return config.cost.plain_call_seconds
     load = view.load
@@ -69,7 +69,7 @@
 
 
 def backlog(config: RouterConfig, view: UpstreamView, now: float) -> Backlog:
-    """Return the prefill work waiting now: the report, worked off since, plus ours."""
+    """Estimate the waiting prefill work from the last report and our later attempts."""
     load = view.load
     linear = load.prefill_seconds_per_token or config.cost.prefill_seconds_per_token
     reported = load.prefill_tokens * linear
@@ -92,7 +92,7 @@
     takes_long_prompts: bool,
     now: float,
 ) -> Prediction:
-    """Predict times and harm of placing a request on an upstream now."""
+    """Predict the times and cost of placing a request on an upstream now."""
     own = prefill_seconds(config, view, profile.facts)
     if view.description.kind == "plain":
         running = view.load.running + len(view.unreported(config.cost))
@@ -119,11 +119,12 @@
 def split_backlog(
     config: RouterConfig, work: Backlog, own_seconds: float
 ) -> tuple[float, float]:
-    """Return the seconds ahead of a request and the number of attempts behind it.
+    """Estimate the seconds ahead of a request and the number of attempts behind it.
 
-    Reports give no list of what waits. Priorities let a request pass those with much
-    more prefill than its own, but for the chunk that runs: ahead of it is at most its
-    own prefill time for each that waits, and at most all there is.
+    Reports do not list the waiting attempts. Priorities let a request overtake
+    attempts with much more prefill than its own, except for the chunk that is
+    running. So the work ahead is at most its own prefill time per waiting attempt,
+    and at most the whole backlog.
     """
     if work.waiting == 0 or work.seconds <= 0.0:
         return 0.0, 0.0
@@ -139,7 +140,7 @@
     takes_long_prompts: bool,
     prefill: float,
 ) -> float:
-    """Return the harm of using an upstream that another class is meant to have."""
+    """Return the cost of using an upstream from the pool of another class."""
     is_long = profile.prompt_class is PromptClass.LONG
     if is_long == takes_long_prompts:
         return 0.0
--- a/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Give requests, new or waiting, to upstreams that may take them now."""
+"""Dispatch new and queued requests to upstreams that have capacity now."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -43,12 +43,12 @@
 )
 
 SampledUpstreams = list[tuple[UpstreamView, bool]]
-"""Upstreams to look at, each with whether it takes long prompts first."""
+"""Upstreams to compare, each with whether it is in the pool for long prompts."""
 
 
 @dataclass(slots=True)
 class Dispatcher:
-    """Place requests, and take those that wait in the order of shares."""
+    """Place requests; queued ones are dispatched in fair-queueing order."""
 
     config: RouterConfig
     fleet: Fleet
@@ -59,7 +59,7 @@
     def dispatch_to_upstream(
         self, upstream_id: UpstreamId, now: float
     ) -> list[PlacementAnswered]:
-        """Give work that waits to an upstream that may have room now."""
+        """Dispatch queued requests to one upstream that may have capacity now."""
         view = self.fleet.views.get(upstream_id)
         if view is None or not self.queues.requests:
             return []
@@ -78,7 +78,7 @@
     def sample_upstreams(
         self, request: PendingRequest, group: Group, random: Random
     ) -> SampledUpstreams:
-        """Draw upstreams to look at, with the one that had the same prefix last."""
+        """Sample upstreams, and add the last one that received the same prefix."""
         sampled = sample(self.config, group, random)
         last = self.prefixes.last_upstream(request.profile.facts.prefix_hash)
         view = self.fleet.views.get(last) if last is not None else None
@@ -95,7 +95,7 @@
     def dispatch_group(
         self, key: GroupKey, group: Group, now: float, random: Random
     ) -> list[PlacementAnswered]:
-        """Give work that waits to any upstream of a group."""
+        """Dispatch queued requests to any upstream of a group."""
         answers = []
         for queue in self.queues.nonempty_queues(key):
             answers += self.dispatch_queue(
@@ -129,7 +129,7 @@
     def try_place(
         self, request: PendingRequest, sampled: SampledUpstreams, now: float
     ) -> PlacementAnswered | None:
-        """Place a request on the best of the upstreams drawn, if any may take it."""
+        """Place a request on the best sampled upstream; None if none is eligible."""
         is_long = request.profile.prompt_class is PromptClass.LONG
         if not is_long and self.queues.has_starving_long_prompt(
             queue_key(request).group, now
@@ -152,14 +152,15 @@
     def place_spread(
         self, request: PendingRequest, group: Group, now: float
     ) -> PlacementAnswered:
-        """Place a request that fits no upstream alone over several, at once.
+        """Place a request that no single upstream can hold on several at once.
 
-        It waits for memory at the sidecars, in the order of upstream ids, and not here:
-        no view of an entry tells when several upstreams have room together.
+        It waits for memory at the sidecars, in the order of upstream ids, and not in
+        a queue here: an entry can't see when several upstreams have memory free at
+        the same time.
         """
         spread = plan_spread(group, request.profile, request.asked.excluded)
         if spread is None:
-            detail = "the upstreams not tried yet can't hold the prompt together"
+            detail = "the remaining upstreams together can't hold the prompt"
             refusal = not_run(RefusalReason.NO_UPSTREAM, detail)
             return answer_refusal(request.asked, refusal, now - request.asked_at)
         prediction = predict(self.config, spread.last, request.profile, True, now)
@@ -180,7 +181,7 @@
     def build_attempt(
         self, request: PendingRequest, chosen: Candidate, now: float
     ) -> PlacedAttempt:
-        """Record what was placed and what was expected of it."""
+        """Build the record of a placed attempt and its prediction."""
         facts = request.profile.facts
         prediction = chosen.prediction
         slowness = chosen.view.slowness.factor
@@ -194,7 +195,7 @@
             prefill_seconds=prediction.prefill_seconds / slowness,
             prompt_tokens=facts.prompt_tokens,
             memory_tokens=request.profile.memory_tokens,
-            most_output_tokens=facts.most_output_tokens,
+            max_output_tokens=facts.max_output_tokens,
             predicted_first_token_seconds=prediction.first_token_seconds / slowness,
         )
 
@@ -205,7 +206,7 @@
         considered: tuple[ConsideredUpstream, ...],
         queued: float,
     ) -> PlacementAnswered:
-        """Answer with the chosen upstream and the reasons."""
+        """Build the answer with the chosen upstream and its explanation."""
         facts = request.profile.facts
         view = chosen.view
         priority = priority_of(
@@ -222,7 +223,7 @@
             upstream_id,
             considered,
             queued,
-            f"least predicted harm of {len(considered)} looked at",
+            f"lowest predicted cost of {len(considered)} considered",
         )
         return PlacementAnswered(
             request.asked.placement_id,
@@ -241,7 +242,7 @@
 def answer_refusal(
     asked: PlacementAsked, refusal: Refusal, queued: float = 0.0
 ) -> PlacementAnswered:
-    """Answer with a refusal and the reasons."""
+    """Build the answer with a refusal and its explanation."""
     facts = asked.facts
     explanation = PlacementExplanation(
         facts.request_id, facts.attempt_id, None, (), queued, refusal.detail
--- a/packages/core/src/cowslipshelf_core/internal/routing/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/events.py
@@ -1,4 +1,4 @@
-"""Define what the router is told, what it answers, and how it explains itself."""
+"""Define the events, answers and explanations of the router."""
 
 from dataclasses import dataclass
 from typing import NamedTuple, NewType
@@ -27,11 +27,11 @@
 )
 
 PlacementId = NewType("PlacementId", str)
-"""Names one question for a placement; unique within a process."""
+"""Identifies one placement request; unique within a process."""
 
 
 class PlacementFacts(NamedTuple):
-    """Be what the choice of an upstream may depend on."""
+    """Describe a request to be placed on an upstream."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -40,23 +40,23 @@
     model: ModelName
     """Empty for a plain service."""
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     prefix_hash: int
     """Hash of the start of the prompt; zero where there is none."""
     deadline_seconds: float
-    """Time left of the caller's deadline when the question is put."""
+    """Time left until the caller's deadline when the placement is requested."""
 
 
 class Prediction(NamedTuple):
-    """Be what a placement is expected to cost, in seconds."""
+    """Hold the predicted times and cost of a placement, in seconds."""
 
     wait_seconds: float
     prefill_seconds: float
     decode_seconds: float
     delay_to_others_seconds: float
-    """Sum over the other attempts on the upstream."""
+    """Total added delay of the other attempts on the upstream."""
     cost: float
-    """Weighed sum that the choice minimises."""
+    """Weighted sum that the choice of an upstream minimises."""
 
     @property
     def first_token_seconds(self) -> float:
@@ -70,7 +70,7 @@
 
 
 class ConsideredUpstream(NamedTuple):
-    """Be one upstream that a choice looked at, with what it expected there."""
+    """Describe one upstream that was considered for a placement."""
 
     upstream_id: UpstreamId
     prediction: Prediction
@@ -79,7 +79,7 @@
 
 
 class PlacementExplanation(NamedTuple):
-    """Explain one answer to one question for a placement."""
+    """Explain the answer to one placement request."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -91,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """Say that a configuration is now in force in this process."""
+    """Report that a configuration is now in force in this process."""
 
     configuration: FleetConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementAsked:
-    """Ask for an upstream; exactly one answer follows unless it is withdrawn."""
+    """Request a placement; exactly one answer follows unless it is withdrawn."""
 
     placement_id: PlacementId
     facts: PlacementFacts
@@ -107,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementWithdrawn:
-    """Say that nobody waits for the answer any more."""
+    """Withdraw a placement request; no answer is needed any more."""
 
     placement_id: PlacementId
 
 
 @dataclass(frozen=True, slots=True)
 class TickElapsed:
-    """Say that time has passed; sent several times a second."""
+    """Report that time has passed; sent several times a second."""
 
 
 RouterEvent = (
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementAnswered:
-    """Answer a question for a placement, for good."""
+    """Answer a placement request; the answer is final."""
 
     placement_id: PlacementId
     answer: ChosenUpstream | Refusal
--- a/packages/core/src/cowslipshelf_core/internal/routing/fair_queue.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/fair_queue.py
@@ -1,4 +1,4 @@
-"""Queue requests of one class so that customers share by weight."""
+"""Queue requests of one class with weighted fair sharing between customers."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -10,36 +10,36 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """Be one question that waits for an upstream."""
+    """Hold one request that waits for an upstream."""
 
     asked: PlacementAsked
     profile: RequestProfile
     asked_at: float
     deadline_at: float
     engine_seconds: float
-    """Predicted prefill alone on a typical upstream."""
+    """Predicted prefill time on an idle, typical upstream."""
     decode_seconds: float
     weight: float
     start_tag: float = 0.0
 
     @property
     def customer(self) -> CustomerName:
-        """Return whose request it is."""
+        """Return the customer that sent the request."""
         return self.profile.facts.customer
 
     @property
     def value_per_engine_second(self) -> float:
-        """Return what an engine second spent on it brings."""
+        """Return the request's value per engine second spent on it."""
         return self.profile.value / max(self.engine_seconds, 1e-9)
 
     def latest_start(self) -> float:
-        """Return when it must start at the latest to be answered whole in time."""
+        """Return the latest start that still meets the deadline."""
         return self.deadline_at - self.engine_seconds - self.decode_seconds
 
 
 @dataclass(slots=True)
 class Flow:
-    """Be the waiting requests of one customer."""
+    """Hold the queued requests of one customer."""
 
     waiting: deque[PendingRequest] = field(default_factory=deque)
     finish_tag: float = 0.0
@@ -50,8 +50,8 @@
 class FairQueue:
     """Order requests by start-time fair queueing over predicted engine seconds.
 
-    A customer that uses nothing lends its share to the others and builds up no claim.
-    One that sends a burst moves only its own start tags into the future.
+    A customer that sends nothing lends its share to the others and accumulates no
+    credit. One that sends a burst only moves its own start tags into the future.
     """
 
     flows: dict[CustomerName, Flow] = field(default_factory=dict)
@@ -71,7 +71,7 @@
     def charge_immediate(
         self, customer: CustomerName, seconds: float, weight: float
     ) -> None:
-        """Charge for work that did not have to wait."""
+        """Charge for a request that was placed without queueing."""
         start = self.charge(customer, seconds, weight)
         self.virtual_time = max(self.virtual_time, start)
 
@@ -85,14 +85,14 @@
         flow.seconds += request.engine_seconds
         self.seconds += request.engine_seconds
 
-    def heads(self, most: int) -> list[PendingRequest]:
-        """Return the first request of the customers that are served next."""
+    def heads(self, limit: int) -> list[PendingRequest]:
+        """Return the first request of each of the customers served next, in order."""
         firsts = [flow.waiting[0] for flow in self.flows.values() if flow.waiting]
         firsts.sort(key=lambda request: request.start_tag)
-        return firsts[:most]
+        return firsts[:limit]
 
     def remove(self, request: PendingRequest, served: bool) -> None:
-        """Take a request out; one that was served moves the virtual time on."""
+        """Remove a request; one that was served advances the virtual time."""
         flow = self.flows[request.customer]
         flow.waiting.remove(request)
         flow.seconds -= request.engine_seconds
@@ -107,11 +107,11 @@
             flow.seconds = 0.0
 
     def waiting(self) -> list[PendingRequest]:
-        """Return all that wait."""
+        """Return all queued requests."""
         return [request for flow in self.flows.values() for request in flow.waiting]
 
     def drop_idle_customers(self) -> None:
-        """Drop customers that wait for nothing and whose claims are level."""
+        """Drop customers with an empty queue that have caught up in virtual time."""
         self.flows = {
             customer: flow
             for customer, flow in self.flows.items()
@@ -121,7 +121,7 @@
     def seconds_ahead_of(
         self, customer: CustomerName, weight: float, weights: dict[CustomerName, float]
     ) -> float:
-        """Return the work served before a new request of a customer, in seconds."""
+        """Return the work ahead of a customer's new request, in engine seconds."""
         flow = self.flows.get(customer)
         own = flow.seconds if flow else 0.0
         others = sum(
@@ -132,10 +132,10 @@
         return min(self.seconds, own * (weight + others) / weight)
 
     def victim(self, weights: dict[CustomerName, float]) -> PendingRequest:
-        """Return the request to give up first when the queue is too long.
+        """Return the request to evict first when the queue is too long.
 
-        Of the customers that have queued no less than their share, the request that
-        is worth least per engine second goes; a customer below its share loses none.
+        It is the request of lowest value per engine second among the customers that
+        have queued at least their share; a customer below its share loses none.
         """
         active = {name: flow for name, flow in self.flows.items() if flow.waiting}
         total = sum(weights.get(name, 1.0) for name in active)
--- a/packages/core/src/cowslipshelf_core/internal/routing/fleet.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/fleet.py
@@ -1,4 +1,4 @@
-"""Keep the upstreams in groups that serve the same requests."""
+"""Group the available upstreams by the requests that they can serve."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class GroupKey(NamedTuple):
-    """Name the upstreams that serve one model for one service."""
+    """Identify the group of upstreams that serve one model of one service."""
 
     service: ServiceName
     model: ModelName
@@ -26,27 +26,27 @@
 
 @dataclass(slots=True)
 class Group:
-    """Be the upstreams that may be chosen for the same requests, in shared order."""
+    """Hold the upstreams for the same requests, in an order that all entries share."""
 
     long_prompt_demand: LongPromptDemand
     shedding: Shedding
     members: list[UpstreamView] = field(default_factory=list)
-    """All that take new work, those that take long prompts first at the front."""
+    """All upstreams that take new work; the pool for long prompts comes first."""
     long_prompt_pool: list[UpstreamView] = field(default_factory=list)
     general_pool: list[UpstreamView] = field(default_factory=list)
     largest_memory: int = 0
-    """Tokens that fit the largest upstream; zero where there is no limit."""
+    """Memory of the largest upstream in tokens; zero if there is no limit."""
     capacity: float = 1.0
-    """Engine seconds that this entry may expect to be done in each second."""
+    """Engine seconds per second that this entry may expect of the group."""
 
     def assign_long_prompt_pool(self) -> None:
-        """Set apart as many upstreams for long prompts as demand asks for."""
+        """Size the pool for long prompts by demand."""
         size = self.long_prompt_demand.resize(len(self.members))
         self.long_prompt_pool = self.members[:size]
         self.general_pool = self.members[size:]
 
     def estimate_capacity(self) -> None:
-        """Estimate this entry's part of the group from its part of what runs there."""
+        """Estimate this entry's share of the group by its share of running attempts."""
         ours = sum(len(view.attempts) for view in self.members)
         reported = sum(view.load.running for view in self.members)
         share = ours / max(ours, reported) if ours else 1.0
@@ -55,17 +55,17 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Know every available upstream and the groups that requests choose from."""
+    """Hold every available upstream and the groups that requests are placed in."""
 
     config: RouterConfig
     configuration: FleetConfiguration = field(default_factory=FleetConfiguration)
     views: dict[UpstreamId, UpstreamView] = field(default_factory=dict)
     groups: dict[GroupKey, Group] = field(default_factory=dict)
     absent: dict[UpstreamId, UpstreamView] = field(default_factory=dict)
-    """Upstreams that take no work now and are expected back."""
+    """Unavailable upstreams that are expected back."""
 
     def add(self, event: UpstreamAvailable, now: float) -> None:
-        """Take in an upstream, or news of a known one."""
+        """Add an upstream, or update a known one."""
         upstream_id = event.description.upstream_id
         self.absent.pop(upstream_id, None)
         known = self.views.get(upstream_id)
@@ -86,7 +86,7 @@
         self.rebuild_groups_of(event.description)
 
     def remove(self, upstream_id: UpstreamId, may_return: bool) -> None:
-        """Give an upstream no new work; forget it unless it is expected back."""
+        """Remove an upstream; it is kept in `absent` if it is expected back."""
         view = self.views.pop(upstream_id, None)
         if view is not None:
             self.rebuild_groups_of(view.description)
@@ -96,7 +96,7 @@
             self.absent[upstream_id] = view
 
     def expected_back(self, key: GroupKey) -> list[UpstreamView]:
-        """List the upstreams of a group that take no work only for a while."""
+        """List the upstreams of a group that are unavailable only temporarily."""
         ejected = [v for v in self.views.values() if v.ejected_until is not None]
         return [
             view
@@ -108,13 +108,13 @@
     def update_load(
         self, upstream_id: UpstreamId, epoch: Epoch, load: LoadReport, now: float
     ) -> None:
-        """Take in a report, unless it is of another start than the known one."""
+        """Apply a load report, unless its epoch differs from the known one."""
         view = self.views.get(upstream_id)
         if view is not None and view.epoch == epoch:
             view.update_load(load, now)
 
     def apply_configuration(self, configuration: FleetConfiguration) -> None:
-        """Put a configuration in force; an older one than that in force is ignored."""
+        """Apply a configuration; one older than the current one is ignored."""
         if configuration.version < self.configuration.version:
             return
         self.configuration = configuration
@@ -122,12 +122,12 @@
             self.rebuild(key)
 
     def rebuild_groups_of(self, description: UpstreamDescription) -> None:
-        """Bring the groups that an upstream may be in up to date."""
+        """Rebuild the groups that an upstream belongs to."""
         for key in group_keys_of(description):
             self.rebuild(key)
 
     def rebuild(self, key: GroupKey) -> None:
-        """Bring one group up to date with upstreams, draining and outliers."""
+        """Rebuild one group from the upstreams that are not draining or ejected."""
         group = self.groups.get(key)
         if group is None:
             group = self.groups[key] = Group(
--- a/packages/core/src/cowslipshelf_core/internal/routing/long_prompt_pool.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/long_prompt_pool.py
@@ -1,4 +1,4 @@
-"""Decide which upstreams take long prompts first."""
+"""Choose the pool of upstreams that prefer long prompts."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -9,11 +9,11 @@
 
 RANK_BYTES = 8
 SHRINK_MARGIN_UPSTREAMS = 0.5
-"""Upstreams by which demand must fall below the size before the set shrinks."""
+"""Hysteresis: the pool shrinks once demand is this far below the next smaller size."""
 
 
 def rank(version: ConfigurationVersion, upstream_id: UpstreamId) -> bytes:
-    """Return where an upstream stands in the order that all entries share."""
+    """Return the sort key of an upstream in the order that all entries share."""
     text = f"{version}:{upstream_id}".encode()
     return blake2b(text, digest_size=RANK_BYTES).digest()
 
@@ -21,16 +21,17 @@
 def ranked(
     version: ConfigurationVersion, upstream_ids: list[UpstreamId]
 ) -> list[UpstreamId]:
-    """Order upstreams so that every entry sets apart the same ones first."""
+    """Order upstreams so that every entry puts the same ones in its pool first."""
     return sorted(upstream_ids, key=lambda upstream_id: rank(version, upstream_id))
 
 
 @dataclass(slots=True)
 class LongPromptDemand:
-    """Measure the share of the work that long prompts bring, and size the set by it.
+    """Measure the share of work in long prompts and size the pool by it.
 
-    Each entry measures its own callers; behind one balancer these are alike. Sets of
-    different sizes are prefixes of the same order, so a difference costs its edge only.
+    Each entry measures its own callers; behind one load balancer these are alike. Pools
+    of different sizes are prefixes of the same order, so entries that disagree on the
+    size differ only in the last upstreams.
     """
 
     config: LongPromptPoolConfig
@@ -40,7 +41,7 @@
     size: int = 0
 
     def add(self, seconds: float, is_long: bool, now: float) -> None:
-        """Count the predicted work of a request that was asked for."""
+        """Add the predicted work of a new request, in engine seconds."""
         decay = exp(-max(0.0, now - self.updated_at) / self.config.averaging_seconds)
         self.updated_at = now
         self.long_seconds *= decay
@@ -50,15 +51,15 @@
             self.long_seconds += seconds
 
     def resize(self, upstreams: int) -> int:
-        """Return how many upstreams to set apart now."""
+        """Update and return the size of the pool for a number of upstreams."""
         if upstreams < self.config.min_upstreams or self.long_seconds <= 0.0:
             self.size = 0
             return 0
         share = self.long_seconds / self.all_seconds
         wanted = upstreams * share * self.config.headroom
-        most = max(1, int(upstreams * self.config.max_share))
+        max_size = max(1, int(upstreams * self.config.max_share))
         shrinks = wanted < self.size - 1 - SHRINK_MARGIN_UPSTREAMS
         if wanted > self.size or shrinks:
             self.size = ceil(wanted)
-        self.size = min(max(self.size, 1), most)
+        self.size = min(max(self.size, 1), max_size)
         return self.size
--- a/packages/core/src/cowslipshelf_core/internal/routing/outliers.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Set aside upstreams that have become slow without saying so."""
+"""Eject upstreams that are much slower than their load reports predict."""
 
 from statistics import median
 
@@ -14,10 +14,10 @@
 
 
 def record_overdue(view: UpstreamView, config: OutlierConfig, now: float) -> None:
-    """Count attempts that should have had their first token long ago.
+    """Record attempts whose first token is long overdue as samples of slowness.
 
-    An upstream that hardly answers gives hardly any first tokens to compare. Waiting
-    for them would leave it in use; an overdue attempt is a sample already.
+    An upstream that hardly answers yields hardly any first tokens to compare, and would
+    stay in use until they arrive.
     """
     for attempt in view.attempts.values():
         if attempt.first_token_at is not None or attempt.counted_overdue:
@@ -32,7 +32,7 @@
 
 
 def update_ejections(fleet: Fleet, now: float) -> None:
-    """Take back upstreams whose pause is over, and set aside new outliers."""
+    """Readmit upstreams whose ejection has ended, and eject new outliers."""
     changed = set()
     for view in fleet.views.values():
         record_overdue(view, fleet.config.outliers, now)
@@ -56,7 +56,7 @@
 
 
 def peers_by_service(fleet: Fleet) -> list[list[UpstreamView]]:
-    """Return the upstreams of each service."""
+    """Group the upstreams by service."""
     by_service: dict[str, list[UpstreamView]] = {}
     for view in fleet.views.values():
         by_service.setdefault(view.description.service, []).append(view)
@@ -64,39 +64,39 @@
 
 
 def max_ejected(upstreams: int, config: OutlierConfig) -> int:
-    """Return how many of these many upstreams may be set aside at a time."""
+    """Return how many of a service's upstreams may be ejected at a time."""
     if upstreams < MIN_PEERS:
         return 0
     return max(1, int(upstreams * config.max_ejected_share))
 
 
 def outliers(peers: list[UpstreamView], config: OutlierConfig) -> list[UpstreamView]:
-    """Return the slowest upstreams that stand out, no more than may be set aside.
+    """Return the slowest outliers, no more than may be ejected.
 
-    The cap holds when all seem slow at once: then the cause is not the upstreams, and
-    setting them aside would take the fleet away.
+    The cap matters when all upstreams seem slow at once: the cause is then not the
+    upstreams, and ejecting them would leave no capacity.
     """
     already = sum(view.ejected_until is not None for view in peers)
-    room = max_ejected(len(peers), config) - already
-    if room <= 0:
+    remaining = max_ejected(len(peers), config) - already
+    if remaining <= 0:
         return []
-    usual = median(view.slowness.factor for view in peers)
+    typical = median(view.slowness.factor for view in peers)
     slow = [
         view
         for view in peers
         if view.ejected_until is None
-        and view.slowness.factor > config.slow_ratio * usual
+        and view.slowness.factor > config.slow_ratio * typical
     ]
     slow.sort(key=lambda view: view.slowness.factor, reverse=True)
-    return slow[:room]
+    return slow[:remaining]
 
 
 def mark_avoided_for_long_prompts(
     peers: list[UpstreamView], config: OutlierConfig, now: float
 ) -> None:
-    """Mark the upstreams that long prompts must not be risked on.
+    """Mark the upstreams that long prompts avoid because their last answer was late.
 
-    The cap holds here too: where all are late at once, long prompts go on as before.
+    The cap applies here too: if all are late at once, long prompts go on as before.
     """
     last_factors = {
         view.description.upstream_id: view.slowness.last_factor(config, now)
@@ -113,26 +113,29 @@
 def enforce_cap(
     peers: list[UpstreamView], config: OutlierConfig, now: float
 ) -> set[UpstreamId]:
-    """Take back the earliest set aside where peers were lost since; return them."""
-    aside = [view for view in peers if view.ejected_until is not None]
-    excess = len(aside) - max_ejected(len(peers), config)
+    """Readmit the ejected upstreams above the cap, which shrinks as peers are lost.
+
+    Those whose ejection ends first are readmitted; returns their ids.
+    """
+    ejected = [view for view in peers if view.ejected_until is not None]
+    excess = len(ejected) - max_ejected(len(peers), config)
     if excess <= 0:
         return set()
-    aside.sort(key=lambda view: view.ejected_until or 0.0)
-    for view in aside[:excess]:
+    ejected.sort(key=lambda view: view.ejected_until or 0.0)
+    for view in ejected[:excess]:
         readmit(view, now)
-    return {view.description.upstream_id for view in aside[:excess]}
+    return {view.description.upstream_id for view in ejected[:excess]}
 
 
 def eject(view: UpstreamView, config: OutlierConfig, now: float) -> None:
-    """Give an upstream no new work for a while, longer each time."""
+    """Eject an upstream for a time that doubles with each ejection."""
     pause = config.ejection_seconds * 2.0**view.ejection_count
     view.ejected_until = now + min(pause, config.max_ejection_seconds)
     view.ejection_count += 1
 
 
 def readmit(view: UpstreamView, now: float) -> None:
-    """Let an upstream prove itself again, with little work at first."""
+    """Put an upstream back in use with no slowness samples and a slow start."""
     view.ejected_until = None
     view.slowness = SlownessEstimate(last=view.slowness.last)
     view.available_since = now
--- a/packages/core/src/cowslipshelf_core/internal/routing/placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/placement.py
@@ -1,4 +1,4 @@
-"""Choose the upstream where a request does the least predicted harm."""
+"""Choose the upstream with the lowest predicted cost for a request."""
 
 from random import Random
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Candidate(NamedTuple):
-    """Be one upstream that a choice looks at."""
+    """Hold one upstream that is considered for a request."""
 
     view: UpstreamView
     prediction: Prediction
@@ -22,7 +22,7 @@
 
 
 class Choice(NamedTuple):
-    """Be the outcome of a choice; no view where none may take the request now."""
+    """Hold the result of a choice; `chosen` is None if no upstream is eligible now."""
 
     chosen: Candidate | None
     considered: tuple[ConsideredUpstream, ...]
@@ -31,10 +31,10 @@
 def sample(
     config: RouterConfig, group: Group, random: Random
 ) -> list[tuple[UpstreamView, bool]]:
-    """Draw the upstreams to look at, from the set for the request and from the other.
+    """Sample the upstreams to compare, from the pool for long prompts and the other.
 
-    Looking at a few drawn ones only keeps entries that act on the same report from
-    all choosing the same upstream, and costs the same however many there are.
+    With a small random sample, entries that act on the same report do not all choose
+    the same upstream, and the work does not grow with the number of upstreams.
     """
     sampled = []
     for takes_long, members in (
@@ -55,7 +55,7 @@
     seconds_left: float,
     now: float,
 ) -> Choice:
-    """Choose the least harm among those drawn that may take the request now."""
+    """Choose the eligible upstream of the sample with the lowest predicted cost."""
     limits = config.limits_of(profile.prompt_class)
     is_long = profile.prompt_class is PromptClass.LONG
     candidates = []
@@ -83,7 +83,7 @@
 def fits_memory(
     config: RouterConfig, view: UpstreamView, profile: RequestProfile
 ) -> bool:
-    """Return whether prompt and output are believed to fit beside what is reserved."""
+    """Return whether an upstream is estimated to have enough free memory."""
     limit = view.memory_limit()
     if limit == 0:
         return True
@@ -102,8 +102,8 @@
 ) -> int:
     """Return the slack of an attempt in milliseconds; lower is served first.
 
-    Slack grows with the request's own prefill, so short ones pass long ones. It is a
-    time after which later arrivals no longer pass, so long ones are not starved.
+    Slack grows with the request's own prefill, so short requests overtake long ones.
+    Once it has passed, later arrivals no longer overtake, so long ones don't starve.
     """
     slack = (
         config.min_slack_seconds
--- a/packages/core/src/cowslipshelf_core/internal/routing/recent_prefixes.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/recent_prefixes.py
@@ -1,4 +1,4 @@
-"""Remember where prompts with the same prefix went last."""
+"""Remember the last upstream of each prompt prefix."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -8,17 +8,17 @@
 
 @dataclass(slots=True)
 class RecentPrefixes:
-    """Map prefix hashes to the upstream that was given them last; bounded.
+    """Map prefix hashes to the last upstream that received them; limited in size.
 
-    It only adds an upstream to those looked at. Whether the prefix is cached there is
-    for its load report to say, so a wrong entry costs one more prediction.
+    It only adds an upstream to those considered. Whether the prefix is cached there
+    is known from the load report, so a stale entry costs just one more prediction.
     """
 
     max_size: int
     upstreams: OrderedDict[int, UpstreamId] = field(default_factory=OrderedDict)
 
     def record(self, prefix_hash: int, upstream_id: UpstreamId) -> None:
-        """Remember a placement, and forget the oldest where there are too many."""
+        """Record a placement, and evict the oldest one beyond the limit."""
         if prefix_hash == 0:
             return
         self.upstreams[prefix_hash] = upstream_id
@@ -27,5 +27,5 @@
             self.upstreams.popitem(last=False)
 
     def last_upstream(self, prefix_hash: int) -> UpstreamId | None:
-        """Return where a prefix went last, if that is remembered."""
+        """Return the last upstream of a prefix, or None if it is not known."""
         return self.upstreams.get(prefix_hash)
--- a/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
@@ -1,4 +1,4 @@
-"""Word the refusals of the router; all of them are true: nothing has run."""
+"""Build the refusals of the router; all are `NOT_RUN`, as nothing was sent."""
 
 from collections.abc import Callable, Sequence
 
@@ -20,7 +20,7 @@
 def not_run(
     reason: RefusalReason, detail: str, retry_after_seconds: float | None = None
 ) -> Refusal:
-    """Build a refusal of a request that was given to no upstream."""
+    """Build a refusal of a request that was not placed."""
     return Refusal(
         RefusalCode.NOT_RUN,
         reason,
@@ -37,9 +37,9 @@
     retry_after_seconds: float,
     list_expected_back: Callable[[], Sequence[UpstreamView]] = tuple,
 ) -> Refusal | None:
-    """Return why no upstream of a group can take a request however long it waits.
+    """Return a refusal if no upstream can take a request however long it waits.
 
-    Those that are expected back are listed only where the group is too small: to look
+    Upstreams that are expected back are listed only if the group is too small: to look
     for them among thousands of upstreams would slow down every placement.
     """
     facts = profile.facts
@@ -47,7 +47,7 @@
         wanted = f"model {facts.model} for " if facts.model else ""
         return not_run(
             RefusalReason.NO_UPSTREAM,
-            f"no upstream takes {wanted}service {facts.service} now",
+            f"no upstream is available for {wanted}service {facts.service}",
             retry_after_seconds,
         )
     if (
@@ -58,9 +58,9 @@
         if expected_back and fits_together([*group.members, *expected_back], profile):
             return not_run(
                 RefusalReason.NO_UPSTREAM,
-                f"{profile.memory_tokens} tokens of memory are needed, which the "
-                f"upstreams of service {facts.service} have only together with "
-                f"{len(expected_back)} that take no work now",
+                f"{profile.memory_tokens} tokens of memory are needed; the available "
+                f"upstreams of service {facts.service} have them only together with "
+                f"{len(expected_back)} that are unavailable now",
                 retry_after_seconds,
             )
         return too_large(group, profile)
@@ -74,18 +74,18 @@
 
 
 def fits_together(views: list[UpstreamView], profile: RequestProfile) -> bool:
-    """Tell whether upstreams have the memory for a request, whole or in parts."""
+    """Return whether upstreams have the memory for a request, whole or in parts."""
     limits = sorted((view.memory_limit() for view in views), reverse=True)
     return sum(limits[:MAX_PARTS]) >= profile.memory_tokens
 
 
 def too_large(group: Group, profile: RequestProfile) -> Refusal:
-    """Refuse a request that all upstreams can't hold; coming back does not help."""
+    """Refuse a request that all upstreams together can't hold; retries don't help."""
     facts = profile.facts
     together = sum(view.memory_limit() for view in group.members)
     return not_run(
         RefusalReason.TOO_LARGE,
-        f"{facts.prompt_tokens} prompt and up to {facts.most_output_tokens} output "
+        f"{facts.prompt_tokens} prompt and up to {facts.max_output_tokens} output "
         f"tokens need {profile.memory_tokens} tokens of memory; the largest upstream "
         f"of service {facts.service} has {group.largest_memory}, all "
         f"{len(group.members)} have {together}, and one prompt is spread over "
@@ -94,12 +94,14 @@
 
 
 def past_deadline() -> Refusal:
-    """Refuse a request whose deadline is over."""
-    return not_run(RefusalReason.DEADLINE_PASSED, "no time was left to place it")
+    """Refuse a request whose deadline has passed."""
+    return not_run(
+        RefusalReason.DEADLINE_PASSED, "the deadline passed before placement"
+    )
 
 
 def too_slow(least_seconds: float, facts: PlacementFacts) -> Refusal:
-    """Refuse a request that an idle upstream would finish too late."""
+    """Refuse a request that even an idle upstream would finish too late."""
     return not_run(
         RefusalReason.CANNOT_FINISH_IN_TIME,
         f"needs {least_seconds:.1f} s on an idle upstream, "
@@ -108,28 +110,28 @@
 
 
 def too_late(wait_seconds: float, retry_after_seconds: float) -> Refusal:
-    """Refuse a request that the queue would let through too late."""
+    """Refuse a request that would be queued too long to finish in time."""
     return not_run(
         RefusalReason.CANNOT_FINISH_IN_TIME,
-        f"would wait {wait_seconds:.1f} s and then not finish in time",
+        f"would be queued for {wait_seconds:.1f} s and not finish in time",
         retry_after_seconds,
     )
 
 
 def shed(retry_after_seconds: float) -> Refusal:
-    """Refuse a request because the queue is full and others are worth more."""
+    """Refuse a request of low value under overload."""
     return not_run(
         RefusalReason.OVERLOADED,
-        "too much is asked for; of the work over its customer's share this is worth "
-        "least for each engine second",
+        "overloaded: of the requests beyond their customer's share, this one has the "
+        "lowest value per engine second",
         retry_after_seconds,
     )
 
 
-def customer_limit(most: int, retry_after_seconds: float) -> Refusal:
-    """Refuse a request of a customer that runs as many as it may."""
+def customer_limit(limit: int, retry_after_seconds: float) -> Refusal:
+    """Refuse a request of a customer that is at its concurrency limit."""
     return not_run(
         RefusalReason.CUSTOMER_LIMIT,
-        f"the customer already runs {most} requests here, which is its limit",
+        f"the customer already has {limit} requests running here, which is its limit",
         retry_after_seconds,
     )
--- a/packages/core/src/cowslipshelf_core/internal/routing/request_queues.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/request_queues.py
@@ -1,4 +1,4 @@
-"""Keep the questions that wait for an upstream, within bounds of predicted time."""
+"""Queue requests that wait for an upstream, up to limits of predicted time."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -14,14 +14,14 @@
 
 
 class QueueKey(NamedTuple):
-    """Name the queue of one class of requests for one group."""
+    """Identify the queue of one class of requests for one group."""
 
     group: GroupKey
     prompt_class: PromptClass
 
 
 class Expiry(NamedTuple):
-    """Order waiting questions by when they become hopeless."""
+    """Order queued requests by their latest start."""
 
     latest_start: float
     sequence: int
@@ -40,11 +40,11 @@
     sequence: count = field(default_factory=count)
 
     def queue(self, key: QueueKey) -> FairQueue:
-        """Return a queue, made when first used."""
+        """Return a queue, created on first use."""
         return self.by_key.setdefault(key, FairQueue())
 
     def push(self, request: PendingRequest) -> None:
-        """Let a question wait."""
+        """Queue a request."""
         placement_id = request.asked.placement_id
         self.queue(queue_key(request)).push(request)
         self.requests[placement_id] = request
@@ -55,7 +55,7 @@
         )
 
     def remove(self, request: PendingRequest, served: bool) -> None:
-        """Let a question wait no longer."""
+        """Remove a request from its queue."""
         del self.requests[request.asked.placement_id]
         self.by_key[queue_key(request)].remove(request, served)
         self.queued_per_customer[request.customer] -= 1
@@ -63,7 +63,7 @@
             del self.queued_per_customer[request.customer]
 
     def pop_expired(self, now: float) -> list[PendingRequest]:
-        """Return those that can't finish in time any more."""
+        """Return the queued requests that can't finish in time any more."""
         found = []
         while self.expiries and self.expiries[0].latest_start <= now:
             request = self.requests.get(heappop(self.expiries).placement_id)
@@ -72,7 +72,7 @@
         return found
 
     def nonempty_queues(self, key: GroupKey) -> list[QueueKey]:
-        """Return the queues of a group where somebody waits, shortest class first."""
+        """Return the non-empty queues of a group, shortest prompt class first."""
         keys = (QueueKey(key, prompt_class) for prompt_class in PromptClass)
         return [k for k in keys if k in self.by_key and self.by_key[k].seconds > 0.0]
 
@@ -82,23 +82,24 @@
         capacity: float,
         weights: dict[CustomerName, float],
     ) -> list[PendingRequest]:
-        """Take out and return what makes a queue longer than its bound."""
+        """Remove and return the requests that exceed the limit of a queue."""
         queue = self.queue(key)
-        most = self.config.limits_of(key.prompt_class).max_queued_seconds * capacity
+        limit = self.config.limits_of(key.prompt_class).max_queued_seconds * capacity
         evicted = []
-        while queue.seconds > most and queue.seconds > 0.0:
+        while queue.seconds > limit and queue.seconds > 0.0:
             victim = queue.victim(weights)
             self.remove(victim, served=False)
             evicted.append(victim)
         return evicted
 
     def has_starving_long_prompt(self, key: GroupKey, now: float) -> bool:
-        """Return whether a long prompt has lost patience waiting for a group.
+        """Return whether a long prompt has waited too long for a group.
 
-        While one has, others keep off the upstreams set apart for it. A long prompt
-        needs much memory free at once; shorter ones would take it bit by bit as it
-        becomes free, and the long one would wait until its deadline. That costs the
-        shorter ones more than it brings unless the service gives long ones more weight.
+        While one has, shorter prompts are kept off the pool for long prompts. A long
+        prompt needs much memory free at once; shorter ones would take it bit by bit as
+        it becomes free, and the long one would wait until its deadline. This costs the
+        shorter ones more than it gains unless the service gives long prompts a weight
+        above 1.
         """
         queue = self.by_key.get(QueueKey(key, PromptClass.LONG))
         if queue is None or queue.seconds <= 0.0:
@@ -111,7 +112,7 @@
         )
 
     def pressure(self, key: GroupKey, capacity: float) -> float:
-        """Return the length of a group's fullest queue against its bound."""
+        """Return the length of a group's fullest queue relative to its limit."""
         lengths = (
             self.by_key[k].seconds
             / (self.config.limits_of(k.prompt_class).max_queued_seconds * capacity)
@@ -120,17 +121,17 @@
         return max(lengths, default=0.0)
 
     def drain_seconds(self, key: GroupKey, capacity: float) -> float:
-        """Predict how long what waits for a group keeps it busy."""
+        """Predict the time to work off all queues of a group, in seconds."""
         work = sum(self.by_key[k].seconds for k in self.nonempty_queues(key))
         return work / capacity
 
     def drop_idle_customers(self) -> None:
-        """Drop the records of customers that wait for nothing."""
+        """Drop the flows of customers without queued requests."""
         for queue in self.by_key.values():
             queue.drop_idle_customers()
 
 
 def queue_key(request: PendingRequest) -> QueueKey:
-    """Return the queue that a question waits in."""
+    """Return the key of the queue for a request."""
     facts = request.profile.facts
     return QueueKey(GroupKey(facts.service, facts.model), request.profile.prompt_class)
--- a/packages/core/src/cowslipshelf_core/internal/routing/router.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/router.py
@@ -1,4 +1,4 @@
-"""Answer where each request goes: the decider that daemons drive."""
+"""Decide where each request goes: the state machine that the entry daemon drives."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Router:
-    """Place requests where they do least harm, or queue or refuse them."""
+    """Place requests on the upstream of least cost, or queue or refuse them."""
 
     config: RouterConfig
     fleet: Fleet
@@ -73,7 +73,7 @@
 
     @classmethod
     def from_config(cls, config: RouterConfig) -> "Router":
-        """Build a router that knows no upstream yet."""
+        """Create a router without upstreams."""
         fleet = Fleet(config)
         tracker = AttemptTracker(fleet)
         queues = RequestQueues(config)
@@ -84,7 +84,7 @@
     def handle(
         self, event: RouterEvent, now: float, random: Random
     ) -> list[PlacementAnswered]:
-        """Take in one event and return the answers that are due."""
+        """Apply one event and return the placement answers that follow from it."""
         answers = [
             self.refuse_expired(request, now)
             for request in self.queues.pop_expired(now)
@@ -138,14 +138,14 @@
     def handle_refused_hand_over(
         self, attempt_id: AttemptId, load: LoadReport, now: float
     ) -> None:
-        """Believe the sidecar that refused, whatever was predicted."""
+        """Take over the load that a sidecar reported when it refused a hand-over."""
         attempt = self.tracker.end(attempt_id)
         view = self.fleet.views.get(attempt.upstream_id) if attempt else None
         if view is not None:
             view.update_load(load, now)
 
     def tick(self, now: float, random: Random) -> list[PlacementAnswered]:
-        """Do what is due by time."""
+        """Run periodic maintenance and dispatch queued requests."""
         if now - self.maintained_at >= MAINTENANCE_INTERVAL_SECONDS:
             self.maintained_at = now
             self.tracker.expire_lost(now)
@@ -165,12 +165,12 @@
                 answers += self.shed_excess(queue, now)
         return answers
 
-    # Questions as they come in.
+    # New requests.
 
     def place_or_queue(
         self, asked: PlacementAsked, now: float, random: Random
     ) -> list[PlacementAnswered]:
-        """Place a request, or refuse it, or let it wait."""
+        """Place a new request, queue it or refuse it."""
         facts = asked.facts
         profile = self.profile_of(facts)
         key = GroupKey(facts.service, facts.model)
@@ -210,7 +210,7 @@
     def refuse_unplaceable(
         self, asked: PlacementAsked, profile: RequestProfile, group: Group | None
     ) -> Refusal | None:
-        """Return why a request has no chance, whatever the load."""
+        """Return a refusal if a request can't be placed whatever the load."""
         facts = asked.facts
         retry_after = self.config.min_retry_after_seconds
         if facts.deadline_seconds <= 0.0:
@@ -234,21 +234,19 @@
         )
 
     def profile_of(self, facts: PlacementFacts) -> RequestProfile:
-        """Return what a request needs, wherever it goes."""
+        """Return what a request needs on any upstream."""
         service = self.services.get(facts.service)
         return RequestProfile(
             facts,
             self.config.class_of(facts.prompt_tokens),
             service.long_prompt_weight if service else 1.0,
-            self.tracker.expected_output_tokens(
-                facts.service, facts.most_output_tokens
-            ),
+            self.tracker.expected_output_tokens(facts.service, facts.max_output_tokens),
         )
 
     def estimate(
         self, asked: PlacementAsked, profile: RequestProfile, group: Group, now: float
     ) -> PendingRequest:
-        """Predict what a request needs on a typical upstream of its group."""
+        """Estimate the work of a request on a typical upstream of its group."""
         view = group.members[-1]
         return PendingRequest(
             asked,
@@ -265,7 +263,7 @@
     def queue_or_refuse(
         self, request: PendingRequest, group: Group, now: float
     ) -> list[PlacementAnswered]:
-        """Queue a request, unless it would come out too late; keep the bound."""
+        """Queue a request unless it would start too late; trim the queue."""
         key = queue_key(request)
         queue = self.queues.queue(key)
         ahead = queue.seconds_ahead_of(request.customer, request.weight, self.weights)
@@ -277,7 +275,7 @@
         return self.shed_excess(key, now)
 
     def shed_excess(self, key: QueueKey, now: float) -> list[PlacementAnswered]:
-        """Refuse what makes a queue longer than its bound."""
+        """Refuse the requests that exceed the limit of a queue."""
         group = self.fleet.groups[key.group]
         evicted = self.queues.evict_excess(key, group.capacity, self.weights)
         return [
@@ -290,22 +288,22 @@
         ]
 
     def retry_after(self, key: GroupKey) -> float:
-        """Predict when a refused request would find room, in seconds."""
+        """Predict when a refused request could be admitted, in seconds."""
         group = self.fleet.groups.get(key)
         drain = self.queues.drain_seconds(key, group.capacity) if group else 0.0
         return max(self.config.min_retry_after_seconds, drain)
 
-    # Questions that wait.
+    # Queued requests.
 
     def refuse_expired(self, request: PendingRequest, now: float) -> PlacementAnswered:
-        """Refuse a waiting request as soon as it can't finish in time."""
+        """Refuse a queued request that can't finish before its deadline any more."""
         self.queues.remove(request, served=False)
         waited = now - request.asked_at
         refusal = refusals.too_late(waited, self.retry_after(queue_key(request).group))
         return answer_refusal(request.asked, refusal, waited)
 
     def recheck_queued(self, now: float) -> list[PlacementAnswered]:
-        """Refuse what waits and has no chance since upstreams or settings changed."""
+        """Refuse queued requests that no upstream can take after a change."""
         answers = []
         for request in list(self.queues.requests.values()):
             key = queue_key(request)
@@ -322,7 +320,7 @@
                     answer_refusal(request.asked, refusal, now - request.asked_at)
                 )
             elif needs_spread(group, request.profile):
-                # The upstreams that it fitted alone have gone while it waited.
+                # The upstreams that could hold it alone have gone since it was queued.
                 self.queues.remove(request, served=True)
                 answers.append(self.dispatcher.place_spread(request, group, now))
         for key in list(self.queues.by_key):
--- a/packages/core/src/cowslipshelf_core/internal/routing/settings.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/settings.py
@@ -7,7 +7,7 @@
 
 
 class PromptClass(Enum):
-    """Sort requests by prompt length, shortest first."""
+    """Classify requests by prompt length, shortest first."""
 
     SHORT = 0
     MEDIUM = 1
@@ -15,122 +15,128 @@
 
 
 class ClassLimits(NamedTuple):
-    """Bound what one class of requests may wait for, in predicted seconds."""
+    """Limit how long requests of one class may wait, in predicted seconds."""
 
     max_upstream_wait_seconds: float
-    """A request goes to no upstream with more than this ahead of it; it queues here."""
+    """An upstream with more work than this ahead of the request is not chosen."""
     max_queued_seconds: float
-    """The queue of this class is never predicted to take longer to drain."""
+    """Limit of the predicted time to drain the queue of this class."""
 
 
 class CostConfig(NamedTuple):
-    """Set what the cost model assumes where an upstream does not say."""
+    """Configure the cost model, with defaults for what an upstream does not report."""
 
     prefill_seconds_per_token: float = 25e-6
     prefill_seconds_per_token_squared: float = 3e-11
     decode_seconds_per_token: float = 0.02
     chunk_tokens: int = 2_048
-    """Prompt tokens that an engine prefills before it looks at priorities again."""
+    """Prompt tokens that an engine prefills before it checks priorities again."""
     cached_prefix_tokens: int = 512
-    """Tokens that a hot prefix is taken to save; a hint, so small."""
+    """Tokens that a hot prefix is assumed to save; low, as it is only a hint."""
     expected_output_tokens: float = 512.0
-    """Output length assumed before any answer was seen."""
+    """Output length assumed until a service has completed an answer."""
     plain_call_seconds: float = 0.02
-    """Time that each running call at a plain service is taken to add."""
+    """Time that each running call at a plain service is assumed to add."""
     decode_delay_weight: float = 0.02
-    """Weight of a second lost between tokens against one lost before the first."""
+    """Weight of a second of delay between tokens relative to one before the first."""
     report_lag_seconds: float = 0.25
-    """How old a load report may be when it arrives."""
+    """Maximum age of a load report when it arrives."""
 
 
 class OutlierConfig(NamedTuple):
-    """Set when an upstream counts as slower than its peers, and what follows."""
+    """Configure outlier detection and the ejection of slow upstreams."""
 
     slow_ratio: float = 4.0
-    """Ratio of its observed over predicted first-token time to the median of all."""
+    """An upstream is ejected above this multiple of the median slowness of its peers.
+
+    Slowness is the observed time to the first token, divided by the predicted one.
+    """
     long_prompt_slow_ratio: float = 2.5
-    """The same for the last answer alone, above which long prompts keep away."""
+    """The same for its last answer alone, above which long prompts avoid it."""
     max_ejected_share: float = 0.2
     ejection_seconds: float = 20.0
-    """Doubles each time that the same upstream is set aside again."""
+    """Doubles each time the same upstream is ejected again."""
     max_ejection_seconds: float = 320.0
     slow_start_seconds: float = 10.0
     min_slow_start_share: float = 0.1
-    """Share of its speed that a new upstream is credited with at first."""
+    """Share of its speed that a new upstream is assumed to have at first."""
 
 
 class LongPromptPoolConfig(NamedTuple):
-    """Set how many upstreams take long prompts first."""
+    """Configure the pool of upstreams that prefer long prompts."""
 
     headroom: float = 1.3
-    """Upstreams set apart for each upstream's worth of long work."""
+    """Upstreams in the pool for each upstream that long prompts keep busy."""
     averaging_seconds: float = 60.0
-    """Time over which demand is averaged."""
+    """Time constant over which demand is averaged."""
     max_share: float = 0.5
     min_upstreams: int = 4
-    """A smaller fleet sets none apart."""
+    """A smaller group has no pool for long prompts."""
     starvation_seconds: float = 20.0
-    """Time after which a waiting long prompt has the set to itself; for one that is
-    worth more, so much shorter."""
+    """Time after which a waiting long prompt has the pool to itself.
+
+    It is divided by the value of the request.
+    """
     short_spillover_seconds: float = 0.05
-    """Harm added where a short prompt takes an upstream set apart."""
+    """Cost added where a short prompt uses an upstream of the pool."""
     medium_spillover_share: float = 0.5
     """The same for a medium prompt, per second of its prefill."""
     long_spillover_share: float = 0.25
-    """Harm added where a long prompt takes another one, per second of its prefill."""
+    """Cost added where a long prompt uses another one, per second of its prefill."""
 
 
 class SheddingConfig(NamedTuple):
-    """Set how admission follows overload; worth is for each engine second."""
+    """Configure load shedding; thresholds are request value per engine second."""
 
     high_pressure: float = 0.5
-    """Length of the fullest queue against its bound above which more is refused."""
+    """Fill of the fullest queue above which the threshold rises; 1 is its limit."""
     low_pressure: float = 0.25
+    """Fill below which the threshold falls."""
     rise_per_second: float = 0.2
     fall_per_second: float = 0.1
     min_threshold: float = 0.04
     max_threshold: float = 2.0
-    """Work that is worth more than this is left to the bounds of the queues."""
+    """Requests of a higher value are limited only by the length of the queues."""
     averaging_seconds: float = 30.0
     min_tracked_seconds: float = 0.001
 
 
 class RouterConfig(NamedTuple):
-    """Be everything that tunes the router; times in seconds, sizes in tokens."""
+    """Configure the router; times in seconds, sizes in tokens."""
 
     data_centre: DataCentre = DataCentre("")
     other_data_centre_seconds: float = 0.01
-    """Harm that a placement in another data centre is taken to do."""
+    """Cost added to a placement in another data centre."""
     sampled_upstreams: int = 4
-    """Upstreams looked at for each placement, within each set."""
+    """Upstreams compared for each placement, drawn from each pool."""
     short_prompt_tokens: int = 8_000
     long_prompt_tokens: int = 100_000
-    """Prompts above this are long, those above the former are medium."""
+    """Longer prompts are long; those above `short_prompt_tokens` are medium."""
     limits_short: ClassLimits = ClassLimits(0.5, 4.0)
     limits_medium: ClassLimits = ClassLimits(1.5, 10.0)
     limits_long: ClassLimits = ClassLimits(10.0, 40.0)
-    """Each wait bound is above the former, so that no class shuts out a longer one."""
+    """The wait limits grow with the class, so that no class starves a longer one."""
     max_prefixes: int = 4_096
-    """Prompt prefixes whose last upstream is remembered."""
+    """Limit of the prompt prefixes whose last upstream is remembered."""
     short_prompt_memory_share: float = 0.08
-    """Memory of an upstream that medium prompts leave free for short ones."""
+    """Share of an upstream's memory that medium prompts leave free for short ones."""
     slack_per_prefill_second: float = 4.0
-    """Slack that priority gives a request for each second of its own prefill."""
+    """Slack in a request's priority for each second of its own prefill."""
     min_slack_seconds: float = 0.1
     max_slack_seconds: float = 40.0
-    """After this long no later arrival passes, whatever its length."""
+    """A request that has waited this long is not overtaken by any later one."""
     heads_tried: int = 3
-    """Customers whose first waiting request is tried each time; bounds the work."""
+    """Customers whose oldest queued request is tried per dispatch; limits the work."""
     min_retry_after_seconds: float = 1.0
     expire_after_deadline_seconds: float = 30.0
-    """An attempt whose end was never reported stops counting this long after."""
+    """Time after its deadline at which an attempt with no reported end is dropped."""
     cost: CostConfig = CostConfig()
     outliers: OutlierConfig = OutlierConfig()
     long_prompt_pool: LongPromptPoolConfig = LongPromptPoolConfig()
     shedding: SheddingConfig = SheddingConfig()
 
     def class_of(self, prompt_tokens: int) -> PromptClass:
-        """Return the class that a prompt of this length is in."""
+        """Return the class of a prompt of this length."""
         if prompt_tokens > self.long_prompt_tokens:
             return PromptClass.LONG
         if prompt_tokens > self.short_prompt_tokens:
@@ -138,7 +144,7 @@
         return PromptClass.SHORT
 
     def limits_of(self, prompt_class: PromptClass) -> ClassLimits:
-        """Return the bounds of a class."""
+        """Return the limits of a class."""
         match prompt_class:
             case PromptClass.SHORT:
                 return self.limits_short
--- a/packages/core/src/cowslipshelf_core/internal/routing/shedding.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/shedding.py
@@ -1,4 +1,4 @@
-"""Refuse under overload what is worth least for each engine second."""
+"""Shed the requests of least value per engine second under overload."""
 
 from dataclasses import dataclass, field
 from math import exp
@@ -9,24 +9,24 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Be a customer's demand, averaged over the last while."""
+    """Hold a customer's recent demand as a decaying sum, in engine seconds."""
 
     seconds: float = 0.0
     updated_at: float = 0.0
 
     def decay(self, now: float, averaging_seconds: float) -> None:
-        """Let what is past count less."""
+        """Apply the exponential decay up to now."""
         self.seconds *= exp(-max(0.0, now - self.updated_at) / averaging_seconds)
         self.updated_at = now
 
 
 @dataclass(slots=True)
 class Shedding:
-    """Keep the least worth per engine second that a group still admits.
+    """Maintain the minimum value per engine second that a group admits.
 
-    It rises while queues are long and falls once they are short. Work that brings
-    little is then refused as it comes, before it has waited or taken memory, and
-    goodput does not fall with offered load.
+    The threshold rises while queues are long and falls once they are short. Requests
+    of low value are then refused on arrival, before they have waited or taken memory,
+    and goodput does not fall with offered load.
     """
 
     config: SheddingConfig
@@ -35,13 +35,13 @@
     usage: dict[CustomerName, Usage] = field(default_factory=dict)
 
     def record_demand(self, customer: CustomerName, seconds: float, now: float) -> None:
-        """Count the predicted work that a customer asks for."""
+        """Add the predicted work of a request to its customer's demand."""
         usage = self.usage.setdefault(customer, Usage(updated_at=now))
         usage.decay(now, self.config.averaging_seconds)
         usage.seconds += seconds
 
     def update_threshold(self, pressure: float, now: float) -> None:
-        """Follow the queues; pressure is their length against their bounds."""
+        """Adjust the threshold to the fill of the fullest queue; 1 is its limit."""
         passed = max(0.0, now - self.updated_at)
         self.updated_at = now
         if pressure > self.config.high_pressure:
@@ -61,10 +61,10 @@
         weights: dict[CustomerName, float],
         now: float,
     ) -> bool:
-        """Return whether a request is worth too little now.
+        """Return whether a request is below the threshold and may be shed.
 
-        A customer whose demand is within its share of the capacity is spared: another
-        one's burst must not cost it anything.
+        A customer whose demand is within its share of the capacity is exempt, so that
+        the burst of another customer does not affect it.
         """
         if value_per_engine_second >= self.threshold:
             return False
@@ -77,7 +77,7 @@
         return usage.seconds / self.config.averaging_seconds > share
 
     def drop_idle_customers(self, now: float) -> None:
-        """Drop customers that have long asked for nothing."""
+        """Drop customers whose demand has decayed to almost nothing."""
         for usage in self.usage.values():
             usage.decay(now, self.config.averaging_seconds)
         self.usage = {
--- a/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
@@ -1,4 +1,4 @@
-"""Place a prompt that fits no single upstream over several."""
+"""Plan how a prompt that no single upstream can hold is spread over several."""
 
 from typing import NamedTuple
 
@@ -9,40 +9,40 @@
 from cowslipshelf_core.prompt_parts import PartPlace
 
 PREFERRED_MEMORY_SHARE = 0.8
-"""Part of each upstream's memory that a spread prompt takes where enough upstreams
-can share it; the rest stays for short prompts, which would otherwise be shut out."""
+"""Share of each upstream's memory that a spread prompt uses if enough upstreams can
+share it; the rest stays free for short prompts, which would otherwise be blocked."""
 MAX_PARTS = 16
 
 
 class Spread(NamedTuple):
-    """Be the places of a prompt's parts; the last one generates the answer."""
+    """Hold the upstreams of a prompt's parts; the last one generates the answer."""
 
     last: UpstreamView
     from_token: int
-    """Where the last one's part begins."""
+    """First token of the last upstream's part."""
     helpers: tuple[PartPlace, ...]
 
     @property
     def reason(self) -> str:
-        """Explain the choice to operators."""
+        """Return the reason of the placement, for operators."""
         names = [place.upstream_id for place in self.helpers] + [
             upstream_id_of(self.last)
         ]
-        return f"fits no upstream alone; spread over {', '.join(names)}"
+        return f"fits no single upstream; spread over {', '.join(names)}"
 
 
 def needs_spread(group: Group, profile: RequestProfile) -> bool:
-    """Return whether a request fits no upstream of a group alone."""
+    """Return whether a request fits no single upstream of a group."""
     return 0 < group.largest_memory < profile.memory_tokens
 
 
 def plan_spread(
     group: Group, profile: RequestProfile, excluded: frozenset[UpstreamId]
 ) -> Spread | None:
-    """Choose the upstreams of a spread prompt; None where the group can't hold it.
+    """Choose the upstreams of a spread prompt; None if the group can't hold it.
 
-    Fewest upstreams first, those with the most memory free before others. Every entry
-    asks for parts in the order of upstream ids, whatever it chose by.
+    It uses as few upstreams as possible, those with the most free memory first. Every
+    entry then requests the parts in the order of upstream ids.
     """
     able = [
         view
@@ -60,19 +60,19 @@
 
 
 def reported_free_tokens(view: UpstreamView) -> int:
-    """Return the tokens that the last report left free at an upstream."""
+    """Return the free memory of an upstream by its last report, in tokens."""
     return view.memory_limit() - view.load.reserved_tokens
 
 
 def upstream_id_of(view: UpstreamView) -> UpstreamId:
-    """Return what the one fixed order of all spread prompts goes by."""
+    """Return the id that defines the fixed order of the parts of all spread prompts."""
     return view.description.upstream_id
 
 
 def divide(
     views: list[UpstreamView], profile: RequestProfile, share: float
 ) -> Spread | None:
-    """Divide a prompt in proportion to memory; None where it does not fit so."""
+    """Split a prompt in proportion to memory; None if it does not fit this way."""
     limits = [int(view.memory_limit() * share) for view in views]
     total = sum(limits)
     needed = profile.memory_tokens
@@ -81,18 +81,18 @@
     helpers = []
     start = 0
     for view, limit in zip(views[:-1], limits[:-1], strict=True):
-        # Rounded up, and never past the limit since what is needed is no more than all.
+        # Rounded up; it can't exceed the limit, since `needed` is at most `total`.
         end = start - (-needed * limit // total)
         helpers.append(part_place(view, start, end))
         start = end
     if start >= profile.facts.prompt_tokens:
-        # Mostly output: the last one would have nothing to prefill.
+        # Mostly output: the last upstream would have nothing to prefill.
         return None
     return Spread(views[-1], start, tuple(helpers))
 
 
 def part_place(view: UpstreamView, start: int, end: int) -> PartPlace:
-    """Say where a part goes."""
+    """Return the place of one part of a prompt."""
     return PartPlace(
         view.description.upstream_id,
         view.epoch,
--- a/packages/core/src/cowslipshelf_core/routing.py
+++ b/packages/core/src/cowslipshelf_core/routing.py
@@ -1,4 +1,4 @@
-"""Choose upstreams: cost, placement, admission, shares and outliers."""
+"""Place requests on upstreams: cost model, fair queues, admission and outliers."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.directory_events import (
--- a/tests/common/routing.py
+++ b/tests/common/routing.py
@@ -1,4 +1,4 @@
-"""Build what the router's tests feed it."""
+"""Build events for the tests of the router, and check its answers."""
 
 from hypothesis import settings
 
@@ -16,7 +16,7 @@
 from cowslipshelf_core.upstream import LoadReport, UpstreamDescription
 
 PROPERTY = settings(deadline=None, derandomize=True, max_examples=60)
-"""Settings of the router's properties; the same verdict every time."""
+"""Settings of the router's property tests; derandomized, so runs are repeatable."""
 
 SERVICE = "assist-llm"
 MODEL = "field-model"
@@ -25,7 +25,7 @@
 
 
 def load(sequence: int = 0, **fields: object) -> LoadReport:
-    """Build a report of an upstream with ordinary slopes."""
+    """Build a load report with the usual seconds per token."""
     return LoadReport(
         sequence=sequence,
         memory_tokens=fields.pop("memory_tokens", MEMORY),
@@ -42,7 +42,7 @@
     epoch: str = "1",
     models: tuple[str, ...] = (MODEL,),
 ) -> UpstreamAvailable:
-    """Build the event that an upstream is there."""
+    """Build the event that an upstream is available."""
     description = UpstreamDescription(
         UpstreamId(name), "santarem-hall", SERVICE, "model", models, MEMORY, True, name
     )
@@ -84,7 +84,7 @@
     model: str = MODEL,
     prefix_hash: int = 0,
 ) -> PlacementAsked:
-    """Build a question for a placement."""
+    """Build a placement request."""
     facts = PlacementFacts(
         f"request-{number}",
         f"attempt-{number}",
@@ -100,19 +100,19 @@
 
 
 def chosen(answers: list[PlacementAnswered]) -> list[UpstreamId]:
-    """Return the upstreams in answers, refusals left out."""
+    """Return the chosen upstreams of the answers that are not refusals."""
     return [
         a.answer.upstream_id for a in answers if isinstance(a.answer, ChosenUpstream)
     ]
 
 
 def refusals(answers: list[PlacementAnswered]) -> list[Refusal]:
-    """Return the refusals in answers."""
+    """Return the refusals among the answers."""
     return [a.answer for a in answers if isinstance(a.answer, Refusal)]
 
 
 def check_spread(answer: ChosenUpstream, needed: int, memory: int = MEMORY) -> None:
-    """Check that parts cover a prompt once, fit, and come in the one fixed order."""
+    """Check that parts cover the prompt once, fit in memory, and are in id order."""
     names = [*(part.upstream_id for part in answer.helpers), answer.upstream_id]
     assert len(names) > 1
     assert names == sorted(set(names))
--- a/tests/cover/routing/test_outliers.py
+++ b/tests/cover/routing/test_outliers.py
@@ -1,4 +1,4 @@
-"""Check that slow upstreams are set aside, under a cap, and tried again."""
+"""Check that slow upstreams are ejected, up to a cap, and readmitted later."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 def serve(router, random, now, slow, numbers, factor=10.0) -> list[str]:
-    """Run requests to their first token, slow ones late; return where they went."""
+    """Place and finish requests, late on slow upstreams; return where they went."""
     placed = []
     for number in numbers:
         for answered in router.handle(asked(number), now, random):
@@ -59,11 +59,11 @@
 
 @PROPERTY
 @given(st.integers(5, 20))
-def test_an_upstream_ten_times_slower_is_set_aside_and_tried_again(upstreams):
-    """An engine's clock is throttled; it reports the same slopes and stays available.
+def test_an_upstream_ten_times_slower_is_ejected_and_readmitted(upstreams):
+    """An engine is throttled; it reports the same times per token and stays available.
 
-    Every request that goes there waits ten times as long as predicted. Only the first
-    tokens show it, against those of its peers.
+    Every request there waits ten times as long as predicted. It only shows in its first
+    tokens, compared to those of its peers.
     """
     router, random = started(upstreams)
     slow = {"upstream-0"}
@@ -82,7 +82,7 @@
 
 @PROPERTY
 @given(st.integers(3, 20), st.data())
-def test_no_more_than_the_cap_is_set_aside_however_many_are_slow(upstreams, data):
+def test_no_more_than_the_cap_is_ejected_however_many_are_slow(upstreams, data):
     router, random = started(upstreams)
     names = [f"upstream-{number}" for number in range(upstreams)]
     slow = data.draw(st.sets(st.sampled_from(names)))
@@ -97,7 +97,7 @@
 
 @PROPERTY
 @given(st.integers(4, 12), st.lists(st.floats(5.0, 500.0), min_size=1, max_size=4))
-def test_a_few_late_first_tokens_set_nothing_aside(upstreams, late):
+def test_a_few_late_first_tokens_eject_nothing(upstreams, late):
     router, random = started(upstreams)
     serve(router, random, START, set(), range(40 * upstreams))
     for number, seconds in enumerate(late):
@@ -108,11 +108,11 @@
     assert not ejected(router)
 
 
-def test_an_upstream_that_never_answers_is_set_aside_too():
-    """An engine takes requests and gives no first token at all.
+def test_an_upstream_that_never_answers_is_ejected_too():
+    """An engine takes requests and never gives a first token.
 
-    There is nothing to compare, so it would stay in use until its lease ends, which
-    never comes since its sidecar is well. Overdue attempts count as samples.
+    There is no time to compare, and its healthy sidecar keeps renewing the lease, so it
+    would stay in use for ever. Overdue attempts count as samples.
     """
     router, random = started(5)
     stuck = set()
@@ -135,9 +135,9 @@
 @PROPERTY
 @given(st.integers(10, 20), st.integers(3, 9))
 def test_the_cap_holds_as_peers_are_lost(upstreams, left):
-    """Two engines of ten are set aside as slow, then a data centre goes away.
+    """Two slow engines of ten or more are ejected, then most of their peers are lost.
 
-    With few peers left two are too many: slow engines are better than none.
+    With few peers left the cap is one: slow engines are better than none.
     """
     router, random = started(upstreams)
     slow = {"upstream-0", "upstream-1"}
@@ -154,10 +154,10 @@
 @PROPERTY
 @given(st.integers(2, 8), st.floats(20.0, 500.0))
 def test_one_late_first_token_keeps_no_requests_away(upstreams, late):
-    """An engine's very first answer comes late: it was loading a library.
+    """An engine's first answer is late because it was still loading a library.
 
-    If that made it look slow, no further request would go there, and there would never
-    be an answer in time that puts it right.
+    If that made the engine look slow, no further request would go there, and no answer
+    in time could ever correct it.
     """
     router, random = started(upstreams)
     (answered,) = router.handle(asked(0), START, random)
@@ -171,7 +171,7 @@
 
 
 def place_long(router, random, now, upstreams) -> set[str]:
-    """Place a long prompt for each upstream, one at a time; return where they went."""
+    """Place one long prompt at a time, as many as upstreams; return where they went."""
     places = set()
     for number in range(50_000, 50_000 + upstreams):
         event = asked(number, prompt_tokens=200_000, deadline=600.0)
@@ -187,11 +187,11 @@
 def test_a_long_prompt_is_not_risked_where_the_last_answer_was_late(
     upstreams, slow_ones, all_slow
 ):
-    """An engine becomes ten times slower; one answer shows it, after many good ones.
+    """An engine becomes ten times slower; one late answer follows many timely ones.
 
-    Its backlog keeps requests away, so more answers would take half a minute. A long
-    prompt placed there meanwhile waits more than a minute for its first token. Where
-    all are late at once the cap holds, and long prompts go on.
+    Its backlog keeps requests away, so further answers would take half a minute. A long
+    prompt placed there meanwhile waits more than a minute for its first token. If all
+    engines are late at once the cap applies, and long prompts are placed as before.
     """
     router, random = started(upstreams)
     serve(router, random, START, set(), range(60 * upstreams))
--- a/tests/cover/routing/test_placement.py
+++ b/tests/cover/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Check where requests go: no herd, no stale belief, an agreed long set."""
+"""Check where requests go: no herding, no stale loads, one pool for long prompts."""
 
 from collections import Counter
 from random import Random
@@ -67,10 +67,10 @@
 @PROPERTY
 @given(st.integers(6, 24), st.integers(2, 4))
 def test_entries_that_act_on_the_same_report_do_not_herd(upstreams, entries):
-    """All entries hold a report in which one upstream is idle and the rest are busy.
+    """All entries have the same reports: one upstream is idle and the rest are busy.
 
-    Requests come in faster than reports. If each entry took the best one on paper, all
-    would go to the idle upstream; it would be the slowest a moment later.
+    Requests arrive faster than reports. If each entry chose the best upstream by its
+    reports, all requests would go to the idle one, which would then be the slowest.
     """
     counts = Counter()
     for entry in range(entries):
@@ -79,8 +79,8 @@
             busy = load(2, running=1, prefill_tokens=8_000)
             router.handle(LoadUpdated(f"upstream-{number}", "1", busy), START, random)
         for number in range(2 * upstreams):
-            question = asked(number, prompt_tokens=8_000)
-            counts.update(chosen(router.handle(question, START + 0.01, random)))
+            request = asked(number, prompt_tokens=8_000)
+            counts.update(chosen(router.handle(request, START + 0.01, random)))
     assert sum(counts.values()) >= 1.5 * upstreams * entries
     assert max(counts.values()) <= 4 * entries + 2
 
@@ -88,10 +88,10 @@
 @PROPERTY
 @given(COUNTS, st.integers(1, 5), st.lists(st.booleans(), min_size=30, max_size=60))
 def test_entries_agree_on_the_upstreams_for_long_prompts(upstreams, version, mix):
-    """Entries hear of the upstreams in different orders and never talk of this.
+    """Entries learn of the upstreams in different orders and do not coordinate.
 
-    If each drew its own, every upstream would have long prompts from some entry, and
-    no short prompt would find one without.
+    If each chose its own pool, every upstream would get long prompts from some entry,
+    and none would be left for short prompts alone.
     """
     sets = []
     for entry in range(3):
@@ -109,7 +109,7 @@
 
 @PROPERTY
 @given(st.integers(8, 40), st.integers(0, 1_000))
-def test_short_prompts_keep_off_busy_upstreams_for_long_ones(upstreams, seed):
+def test_short_prompts_avoid_busy_upstreams_for_long_ones(upstreams, seed):
     router, random = started_with_long_demand(upstreams, seed)
     router.handle(TickElapsed(), START + 1.0, random)
     names = long_prompt_pool(router)
@@ -119,8 +119,8 @@
         router.handle(LoadUpdated(name, "1", working), START + 1.0, random)
     placed = []
     for number in range(upstreams - len(names)):
-        question = asked(1_000 + number)
-        placed += chosen(router.handle(question, START + 1.0, random))
+        request = asked(1_000 + number)
+        placed += chosen(router.handle(request, START + 1.0, random))
     assert not set(placed) & set(names)
 
 
@@ -139,10 +139,10 @@
 
 
 def test_a_restarted_upstream_for_long_prompts_is_chosen_under_its_new_epoch():
-    """A sidecar of the long set restarts; the size of the set stays the same.
+    """A sidecar in the pool for long prompts restarts; the pool keeps its size.
 
-    Requests kept going to its former start, which refuses each as "wrong epoch",
-    because only the other upstreams were compared with what was known before.
+    Requests were still sent with its former epoch and each refused as "wrong epoch",
+    because only the upstreams outside the pool were compared with their former state.
     """
     router, random = started_with_long_demand(8, 1)
     router.handle(TickElapsed(), START + 1.0, random)
@@ -154,7 +154,7 @@
 
 @PROPERTY
 @given(st.integers(1, 12), st.integers(0, 1_000))
-def test_a_sidecar_that_refuses_has_the_last_word(upstreams, seed):
+def test_the_load_in_a_refusal_overrides_older_reports(upstreams, seed):
     router, random = started(upstreams, seed)
     (first,) = chosen(router.handle(asked(1), START, random))
     full = load(9, running=40, decoding=40, reserved_tokens=479_999)
@@ -199,7 +199,7 @@
 def test_a_prompt_that_fits_with_an_upstream_that_returns_may_come_back(
     reason, refused_for
 ):
-    """A prompt is refused for good because one of its engines was silent."""
+    """A prompt was refused for good because one of the engines it needs was silent."""
     router, random = started(3)
     router.handle(UpstreamUnavailable("upstream-1", reason), START, random)
     (answer,) = router.handle(asked(1, 1_200_000, deadline=3600.0), START, random)
@@ -214,7 +214,7 @@
 
 
 def test_a_silent_upstream_that_is_gone_for_good_is_not_waited_for():
-    """Callers come back for ever to a prompt that nothing will hold."""
+    """Otherwise callers would retry for ever a prompt that no upstreams can hold."""
     router, random = started(3)
     for reason in (UnavailableReason.SUSPECTED, UnavailableReason.REMOVED):
         router.handle(UpstreamUnavailable("upstream-1", reason), START, random)
@@ -247,11 +247,11 @@
     assert explanation.request_id == "request-1"
 
 
-def test_a_returned_upstream_is_not_rushed():
-    """An upstream comes back empty while its peers have some work waiting.
+def test_a_returned_upstream_gets_few_requests_at_first():
+    """An upstream returns idle while its peers have some work waiting.
 
-    On paper it is by far the best, so every request of every entry would go to it at
-    once; its caches and its batch are cold.
+    By its report it is by far the best, so all requests of all entries would go to it
+    at once, while its caches are still cold.
     """
     router, random = started(4)
     later = START + 60.0
@@ -265,7 +265,7 @@
     assert placed["upstream-9"] <= 6
 
 
-def test_groups_know_models():
+def test_each_model_has_its_own_group():
     router, random = started(2)
     router.handle(available("upstream-7", models=("other",)), START, random)
     assert GroupKey("assist-llm", "other") in router.fleet.groups
@@ -274,10 +274,10 @@
 
 
 def test_a_late_report_of_an_earlier_start_is_ignored():
-    """An engine's sidecar restarts while a report of its former start is on its way.
+    """A sidecar restarts while a report of its former epoch is still in transit.
 
-    The old report says "idle" of an engine that is full now; believing it sends
-    requests to certain refusals until the next report.
+    The old report shows an idle engine that is full now; applying it would send
+    requests there that are refused until the next report.
     """
     router, random = started(1)
     full = load(3, running=40, decoding=40, reserved_tokens=479_999)
@@ -288,10 +288,10 @@
 
 @pytest.mark.parametrize(("weight", "kept_free"), [(4.0, True), (1.0, False)])
 def test_a_long_prompt_that_waits_keeps_its_upstreams_free(weight, kept_free):
-    """A ledger needs nearly a whole engine's memory, and short notes keep coming.
+    """A long prompt needs nearly all of an engine's memory; short ones keep arriving.
 
-    Each note takes a little of what becomes free, and the ledger waits for ever. Where
-    long prompts weigh more, shorter ones keep off after a while.
+    Each short prompt takes some of the memory that becomes free, so the long one would
+    starve. If long prompts weigh more, short ones avoid the pool after a while.
     """
     router, random = started(4)
     router.handle(configured(2, long_prompt_weight=weight), START, random)
@@ -309,11 +309,11 @@
     assert placed.isdisjoint(names) is kept_free
 
 
-def test_a_restarted_upstream_of_the_long_set_is_addressed_by_its_new_start():
-    """Long prompts fail on one upstream, again and again, since its sidecar restarted.
+def test_a_restarted_upstream_for_long_prompts_is_addressed_by_its_new_epoch():
+    """Long prompts failed on one upstream again and again after its sidecar restarted.
 
-    The sidecar refuses attempts for its former start. The set for long prompts still
-    held what was known before, since its size and the other set had not changed.
+    The sidecar refuses attempts for its former epoch. The pool for long prompts still
+    held the former state, since its size and the other pool had not changed.
     """
     router, random = started(12)
     for number in range(6):
--- a/tests/cover/routing/test_router_machine.py
+++ b/tests/cover/routing/test_router_machine.py
@@ -1,4 +1,4 @@
-"""Drive the router with any sequence of events and check what must always hold."""
+"""Drive the router with random sequences of events and check its invariants."""
 
 from random import Random
 
@@ -59,7 +59,10 @@
 
 
 class RouterMachine(RuleBasedStateMachine):
-    """Play directory, sidecars and callers at one router, and at a twin of it."""
+    """Send events of directory, sidecars and callers to a router and to its twin.
+
+    The twin gets the same events and must give the same answers.
+    """
 
     placed = Bundle("placed")
 
@@ -73,9 +76,9 @@
         """Epoch and last report of each available upstream."""
         self.draining: tuple[str, ...] = ()
         self.open: dict[str, tuple] = {}
-        """Questions without an answer, with the time of their deadline."""
+        """Placement requests without an answer, each with the time of its deadline."""
         self.running: dict[str, tuple[str, str, int]] = {}
-        """Attempts that have not ended: customer, upstream and memory."""
+        """Attempts that have not ended: customer, upstream and memory in tokens."""
         self.since_report: dict[str, set[str]] = {}
         self.numbers = 0
         self.version = 0
@@ -86,27 +89,27 @@
         assert answers == self.twin.handle(event, self.now, self.twin_random)
         self.new = []
         for answered in answers:
-            question, _ = self.open.pop(answered.placement_id)
+            request, _ = self.open.pop(answered.placement_id)
             match answered.answer:
                 case ChosenUpstream():
-                    self.check_chosen(question, answered.answer)
+                    self.check_chosen(request, answered.answer)
                 case Refusal(code=code, retry_after_seconds=retry_after):
                     assert code is RefusalCode.NOT_RUN
                     assert retry_after is None or retry_after > 0.0
 
-    def check_chosen(self, question, answer: ChosenUpstream) -> None:
-        facts = question.facts
+    def check_chosen(self, request, answer: ChosenUpstream) -> None:
+        facts = request.facts
         name = answer.upstream_id
         assert name in self.present
         assert name not in self.draining
-        assert name not in question.excluded
+        assert name not in request.excluded
         assert answer.epoch == self.present[name]["epoch"]
-        need = facts.prompt_tokens + facts.most_output_tokens
+        need = facts.prompt_tokens + facts.max_output_tokens
         if need > MEMORY:
-            # It waits for memory at the sidecars; no report is asked whether it fits.
+            # It waits for memory at the sidecars, so free memory is not checked here.
             check_spread(answer, need)
             for part in answer.helpers:
-                assert part.upstream_id not in (*self.draining, *question.excluded)
+                assert part.upstream_id not in (*self.draining, *request.excluded)
                 assert part.epoch == self.present[part.upstream_id]["epoch"]
             need -= answer.from_token
             self.count(facts, name, need)
@@ -177,9 +180,9 @@
         all_new = []
         for _ in range(count):
             self.numbers += 1
-            question = asked(self.numbers, prompt, customer, deadline, excluded, model)
-            self.open[question.placement_id] = (question, self.now + deadline)
-            self.feed(question)
+            request = asked(self.numbers, prompt, customer, deadline, excluded, model)
+            self.open[request.placement_id] = (request, self.now + deadline)
+            self.feed(request)
             all_new += self.new
         return multiple(*all_new)
 
@@ -225,11 +228,11 @@
         return multiple(*self.new)
 
     @invariant()
-    def no_question_outlives_its_deadline(self) -> None:
+    def no_request_outlives_its_deadline(self) -> None:
         assert all(deadline > self.now for _, deadline in self.open.values())
 
     @invariant()
-    def the_router_waits_for_just_the_open_questions(self) -> None:
+    def the_router_queues_just_the_unanswered_requests(self) -> None:
         assert set(self.router.queues.requests) == set(self.open)
 
     @invariant()
@@ -242,13 +245,13 @@
             )
 
     @invariant()
-    def at_most_the_cap_is_set_aside(self) -> None:
+    def at_most_the_cap_is_ejected(self) -> None:
         views = self.router.fleet.views.values()
-        aside = sum(view.ejected_until is not None for view in views)
-        assert aside <= max(1, len(self.present) // 5)
+        ejected = sum(view.ejected_until is not None for view in views)
+        assert ejected <= max(1, len(self.present) // 5)
 
     @invariant()
-    def queues_keep_their_bounds(self) -> None:
+    def queues_keep_their_limits(self) -> None:
         for key, queue in self.router.queues.by_key.items():
             group = self.router.fleet.groups[key.group]
             limits = self.router.config.limits_of(key.prompt_class)
--- a/tests/cover/routing/test_shares.py
+++ b/tests/cover/routing/test_shares.py
@@ -1,4 +1,4 @@
-"""Check that customers share by weight and that a burst hurts only its sender."""
+"""Check weighted sharing between customers, and that bursts do not affect others."""
 
 from random import Random
 
@@ -38,9 +38,9 @@
 def waiting(
     number: int, customer: str, seconds: float, weight: float
 ) -> PendingRequest:
-    question = asked(number, customer=customer)
-    cost = RequestProfile(question.facts, PromptClass.SHORT, 1.0, 200.0)
-    return PendingRequest(question, cost, START, START + 60.0, seconds, 1.0, weight)
+    request = asked(number, customer=customer)
+    cost = RequestProfile(request.facts, PromptClass.SHORT, 1.0, 200.0)
+    return PendingRequest(request, cost, START, START + 60.0, seconds, 1.0, weight)
 
 
 @PROPERTY
@@ -88,10 +88,10 @@
 @PROPERTY
 @given(st.integers(50, 400), st.sampled_from([2_000, 20_000, 60_000]))
 def test_a_burst_of_one_customer_does_not_delay_another(burst, prompt):
-    """One factory's ledger run sends hundreds of requests within a moment.
+    """One customer sends hundreds of requests at once, then another one sends one.
 
-    A clerk of another factory asks once, just after. Served in order of arrival, the
-    clerk waits behind the whole run; with shares the next free engine is the clerk's.
+    In order of arrival, the single request would wait behind the whole burst; with fair
+    queueing it is among the first two that are placed.
     """
     router = Router.from_config(RouterConfig())
     random = Random(1)
@@ -99,11 +99,11 @@
     busy = load(1, running=60, decoding=1, prefill_tokens=2_000_000)
     router.handle(available("upstream-0", busy), START, random)
     for number in range(burst):
-        question = asked(number, prompt, "factory")
-        assert not chosen(router.handle(question, START, random))
+        request = asked(number, prompt, "factory")
+        assert not chosen(router.handle(request, START, random))
     late = asked(burst, prompt, "mill")
-    given_up = {a.placement_id for a in router.handle(late, START, random)}
-    assert late.placement_id not in given_up
+    refused = {a.placement_id for a in router.handle(late, START, random)}
+    assert late.placement_id not in refused
     placed = []
     for turn in range(2, 5):
         now = START + 2.0 * turn
@@ -116,19 +116,19 @@
 
 @PROPERTY
 @given(st.lists(st.sampled_from([1_500, 20_000, 90_000]), min_size=80, max_size=300))
-def test_what_is_worth_less_per_engine_second_is_given_up_first(prompts):
+def test_requests_of_less_value_per_engine_second_are_refused_first(prompts):
     router = Router.from_config(RouterConfig())
     random = Random(1)
     router.handle(configured(), START, random)
     busy = load(1, running=60, decoding=1, prefill_tokens=2_000_000)
     router.handle(available("upstream-0", busy), START, random)
-    given_up = {}
+    refused = {}
     for number, prompt in enumerate(prompts):
         for answered in router.handle(asked(number, prompt), START, random):
-            given_up[answered.placement_id] = answered.answer
-    kept = [p for n, p in enumerate(prompts) if f"ask-{n}" not in given_up]
+            refused[answered.placement_id] = answered.answer
+    kept = [p for n, p in enumerate(prompts) if f"ask-{n}" not in refused]
     for number, prompt in enumerate(prompts):
-        refusal = given_up.get(f"ask-{number}")
+        refusal = refused.get(f"ask-{number}")
         if refusal is None or refusal.reason is not RefusalReason.OVERLOADED:
             continue
         assert refusal.retry_after_seconds >= 1.0
@@ -158,10 +158,10 @@
 
 
 def test_attempts_whose_end_is_never_told_stop_counting_after_their_deadline():
-    """A caller's thread dies and never reports the end of its attempt.
+    """A request thread dies and never reports the end of its attempt.
 
-    The customer's limit of one stays used up, and all its requests are refused with
-    "limit" for ever. No attempt outlives its deadline, so it is forgotten then.
+    Without expiry the customer's limit of one would stay used up, and all its further
+    requests would be refused for ever.
     """
     router = Router.from_config(RouterConfig())
     random = Random(1)
@@ -177,23 +177,23 @@
 @PROPERTY
 @given(st.integers(45, 200), st.integers(10_000, 20_000))
 def test_a_customer_within_its_share_is_not_shed_for_another(burst, prompt):
-    """One factory floods the queue with prompts that are each worth more a second.
+    """One customer floods the queue with prompts of a higher value per engine second.
 
-    By worth alone the other factory's single large request would go first, though it
-    has not had its share of engine time.
+    By value alone, the other customer's single large request would be evicted first,
+    though its customer has not had its share of engine time.
     """
     router = Router.from_config(RouterConfig())
     random = Random(1)
     router.handle(configured(weights={"factory": 1, "mill": 1}), START, random)
     busy = load(1, running=60, decoding=1, prefill_tokens=2_000_000)
     router.handle(available("upstream-0", busy), START, random)
-    given_up = set()
+    refused = set()
     for number in range(burst):
         if number == burst // 2:
             large = asked(10_000, 90_000, "mill")
             answers = router.handle(large, START, random)
-            given_up.update(a.placement_id for a in answers)
+            refused.update(a.placement_id for a in answers)
         answers = router.handle(asked(number, prompt, "factory"), START, random)
-        given_up.update(a.placement_id for a in answers)
-    assert given_up
-    assert large.placement_id not in given_up
+        refused.update(a.placement_id for a in answers)
+    assert refused
+    assert large.placement_id not in refused
