--- a/packages/core/src/cowslipshelf_core/internal/routing/outliers.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/outliers.py
@@ -16,8 +16,8 @@
 def record_overdue(view: UpstreamView, config: OutlierConfig, now: float) -> None:
     """Record attempts whose first token is long overdue as samples of slowness.
 
-    An upstream that hardly answers yields hardly any first tokens to compare, and would
-    stay in use until they arrive.
+    An upstream that hardly answers yields hardly any first tokens to compare. Without
+    these samples it would stay in use.
     """
     for attempt in view.attempts.values():
         if attempt.first_token_at is not None or attempt.counted_overdue:
--- a/packages/core/src/cowslipshelf_core/internal/routing/router.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/router.py
@@ -138,7 +138,7 @@
     def handle_refused_hand_over(
         self, attempt_id: AttemptId, load: LoadReport, now: float
     ) -> None:
-        """Take over the load that a sidecar reported when it refused a hand-over."""
+        """Use the load that a sidecar reported in a refusal, over any prediction."""
         attempt = self.tracker.end(attempt_id)
         view = self.fleet.views.get(attempt.upstream_id) if attempt else None
         if view is not None:
