--- a/benchmarks/configuration_reading.py
+++ b/benchmarks/configuration_reading.py
@@ -15,7 +15,11 @@
 
 from common.slow_links import many_routes
 from cowslipshelf_adapter.configuration import ConfigurationReader
-from cowslipshelf_core.routed import RouteTable, packed, unpacked
+from cowslipshelf_core.gateway import (
+    RouteTable,
+    compress_configuration,
+    decompress_configuration,
+)
 
 ROUTES = (250, 1000, 2000, 4450, 8000)
 ROUNDS = 7
@@ -39,11 +43,13 @@
         reader = ConfigurationReader()
         reader.read_accepted(before)
         began = time.perf_counter()
-        configuration = reader.read_accepted(unpacked(small).ok_value).ok_value
+        configuration = reader.read_accepted(
+            decompress_configuration(small).ok_value
+        ).ok_value
         RouteTable.from_configuration(configuration)
         in_force.append(time.perf_counter() - began)
 
-    small = packed(after)
+    small = compress_configuration(after)
     in_force: list[float] = []
     for _ in range(ROUNDS):
         accepted()
@@ -53,7 +59,7 @@
         "packed_kb": len(small) / 1e3,
         "read_whole_ms": least_milliseconds(lambda: ConfigurationReader().read(after)),
         "read_changed_ms": min(in_force) * 1e3,
-        "pack_ms": least_milliseconds(lambda: packed(after)),
+        "pack_ms": least_milliseconds(lambda: compress_configuration(after)),
     }
 
 
--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -1,55 +1,55 @@
-"""Lead: accept proposals, and step down without a quorum."""
+"""Accept proposals as the leader, and step down without a quorum."""
 
 from cowslipshelf_core.internal.agreement.events import CommandProposed
 from cowslipshelf_core.internal.agreement.membership import (
-    is_heard,
+    heard_within_lease,
     promote_learner,
-    remove_replaced_voter,
+    remove_silent_voter,
 )
 from cowslipshelf_core.internal.agreement.messages import ProposalRefusal
-from cowslipshelf_core.internal.agreement.reading import (
+from cowslipshelf_core.internal.agreement.read_index import (
     confirm_reads,
-    next_round_is_wanted,
+    needs_new_round,
 )
 from cowslipshelf_core.internal.agreement.records import EntryKind
 from cowslipshelf_core.internal.agreement.replication import (
     advance_commit,
-    flush,
-    hand_over,
     send_heartbeats,
+    send_pending,
+    try_transfer,
 )
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 
-def command_proposed(state: ReplicaState, event: CommandProposed) -> None:
-    """Append a command as the leader.
+def on_command_proposed(state: ReplicaState, event: CommandProposed) -> None:
+    """Append a command as the leader, unless it is already waiting for its commit.
 
-    One that waits for its commit already is answered with it. A proposer repeats what
-    is not answered for a second; large ones took longer, and each repeat went to every
-    replica before whatever waited behind the first.
+    A proposer repeats a proposal that is not answered within a second. Large ones
+    took longer, and each copy was replicated before the proposals behind it. A repeat
+    is answered when the first copy is committed.
     """
     leadership = state.leadership
     if event.proposal_id in leadership.proposals.values():
         return
-    if len(leadership.proposals) >= state.config.most_uncommitted_entries:
+    if len(leadership.proposals) >= state.config.max_uncommitted_entries:
         state.refuse(event.proposal_id, ProposalRefusal.OVERLOADED)
         return
-    entry = state.append_own(
+    entry = state.append_as_leader(
         EntryKind.COMMAND, event.command, event.proposal_id, event.at
     )
     leadership.proposals[entry.index] = event.proposal_id
 
 
-def refusal_of(state: ReplicaState) -> ProposalRefusal | None:
-    """Return why this replica can't take a proposal, if so."""
+def refusal_reason(state: ReplicaState) -> ProposalRefusal | None:
+    """Return why this replica can't accept a proposal, or `None` if it can."""
     if state.failure:
         return ProposalRefusal.DISK_FAILED
     if state.leadership is not None:
-        if state.leadership.transfer_to is not None:
+        if state.leadership.transfer_target is not None:
             return ProposalRefusal.TRANSFERRING
-        # A cluster that was founded alone holds a command on one disk only, and
-        # would lose it with that disk after it was acknowledged.
-        if waits_for_voters(state):
+        # A cluster that still has one voter keeps a command on one disk only, and
+        # would lose an acknowledged command with that disk.
+        if lacks_voters(state):
             return ProposalRefusal.NO_QUORUM
         return None
     if state.leader is not None:
@@ -57,32 +57,32 @@
     return ProposalRefusal.NO_QUORUM
 
 
-def waits_for_voters(state: ReplicaState) -> bool:
-    """Tell whether replicas that found each other are still too few."""
+def lacks_voters(state: ReplicaState) -> bool:
+    """Return whether an open cluster has too few voters to accept commands."""
     config = state.config
     if not config.open_membership:
         return False
-    reachable = min(config.least_voters, len(state.replica_instances))
+    reachable = min(config.min_voters, len(state.replica_instances))
     return len(state.membership.voters) < reachable
 
 
 def finish_batch(state: ReplicaState) -> None:
-    """Send what the events of a batch made necessary, once for all of them."""
+    """Advance commits, reads and replication once for all events of a batch."""
     leadership = state.leadership
     advance_commit(state)
-    if leave_if_removed(state):
+    if step_down_if_removed(state):
         return
     promote_learner(state)
     confirm_reads(state)
-    if next_round_is_wanted(state):
+    if needs_new_round(state):
         leadership.read_round += 1
         confirm_reads(state)
         send_heartbeats(state)
-    flush(state)
+    send_pending(state)
 
 
-def leave_if_removed(state: ReplicaState) -> bool:
-    """Step down once the membership without this replica is committed."""
+def step_down_if_removed(state: ReplicaState) -> bool:
+    """Step down once the removal of this replica is committed."""
     if state.replica_id in state.membership.voters:
         return False
     if state.commit_index < state.log.membership_index:
@@ -93,47 +93,52 @@
 
 
 def step_down_without_quorum(state: ReplicaState) -> None:
-    """Stop leading when no quorum has answered within the lease.
+    """Step down when no quorum has answered within the lease.
 
-    A leader behind a partition would otherwise go on for as long as that lasts:
-    its proposers wait for commits that can't come, and operators see a leader
-    that isn't one. Checked at every event, since a process that was frozen wakes
-    up with proposals in its queue and a lease that ended long ago.
+    A partitioned leader would otherwise lead until the partition ends: its proposers
+    would wait for commits that can't happen, and operators would see a second
+    leader. Checked at every event, since a process that was frozen can resume with
+    proposals in its queue and a lease that expired long ago.
     """
     leadership = state.leadership
     if state.now - leadership.began_at <= state.lease_seconds:
         return
-    heard = {p for p, progress in leadership.peers.items() if is_heard(state, progress)}
+    heard = {
+        p
+        for p, progress in leadership.peers.items()
+        if heard_within_lease(state, progress)
+    }
     heard.add(state.replica_id)
     if not state.membership.is_quorum(heard):
         state.become_follower(state.term, None)
 
 
 def transfer_leadership(state: ReplicaState) -> None:
-    """Choose the voter that is furthest, and take no proposals meanwhile."""
+    """Choose the most caught-up voter as successor; refuse proposals until it leads."""
     leadership = state.leadership
     candidates = [
         voter
         for voter in state.membership.voters
-        if voter in leadership.peers and is_heard(state, leadership.peers[voter])
+        if voter in leadership.peers
+        and heard_within_lease(state, leadership.peers[voter])
     ]
     if not candidates:
         return
-    leadership.transfer_to = max(
+    leadership.transfer_target = max(
         candidates, key=lambda voter: leadership.peers[voter].match_index
     )
-    leadership.transfer_ends = state.now + 2 * state.config.election_seconds
-    hand_over(state)
+    leadership.transfer_deadline = state.now + 2 * state.config.election_seconds
+    try_transfer(state)
 
 
-def lead_on(state: ReplicaState) -> None:
-    """Do what is due at a tick."""
+def on_tick(state: ReplicaState) -> None:
+    """Send due heartbeats, and continue a transfer or a voter removal."""
     leadership = state.leadership
-    if leadership.transfer_to is not None:
-        if state.now >= leadership.transfer_ends:
-            leadership.transfer_to = None
+    if leadership.transfer_target is not None:
+        if state.now >= leadership.transfer_deadline:
+            leadership.transfer_target = None
         else:
-            hand_over(state)
+            try_transfer(state)
     if state.now >= leadership.heartbeat_due:
         send_heartbeats(state)
-    remove_replaced_voter(state)
+    remove_silent_voter(state)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -1,4 +1,4 @@
-"""Change the membership one replica at a time."""
+"""Change the membership of the cluster by one replica at a time."""
 
 from cowslipshelf_core.internal.agreement.events import (
     AddReplica,
@@ -17,82 +17,82 @@
 from cowslipshelf_core.internal.agreement.state import ReplicaState
 
 
-def membership_proposed(state: ReplicaState, event: MembershipProposed) -> None:
-    """Put a change into the log, or refuse it with the reason."""
+def on_membership_proposed(state: ReplicaState, event: MembershipProposed) -> None:
+    """Append a membership change, or refuse it with a reason."""
     proposed = change_membership(state.membership, event.change)
     if proposed is None:
         state.refuse(event.proposal_id, ProposalRefusal.BAD_MEMBERSHIP)
-    elif not is_ready_for(state, proposed):
+    elif not can_change_to(state, proposed):
         state.refuse(event.proposal_id, ProposalRefusal.MEMBERSHIP_BUSY)
     else:
-        put_in_force(state, proposed, event.proposal_id, event.at)
+        append_membership(state, proposed, event.proposal_id, event.at)
 
 
 def change_membership(
     current: Membership, change: MembershipChange
 ) -> Membership | None:
-    """Return the membership after a change, or nothing where it makes no sense."""
+    """Return the membership after a change, or `None` if the change is invalid."""
     match change:
         case AddReplica(replica_id):
             if replica_id in current.replicas:
                 return None
-            others = without(current, replica_id.instance)
+            others = without_instance(current, replica_id.instance)
             proposed = others._replace(learners=(*others.learners, replica_id))
         case RemoveReplica(replica_id):
             if replica_id not in current.replicas:
                 return None
-            proposed = without(current, replica_id.instance)
+            proposed = without_instance(current, replica_id.instance)
     return proposed if proposed.voters else None
 
 
-def without(membership: Membership, instance: str) -> Membership:
-    """Leave out the replica of an instance, whatever its folder."""
+def without_instance(membership: Membership, instance: str) -> Membership:
+    """Return a membership without the replica of an instance, whatever its folder."""
     return Membership(
         tuple(r for r in membership.voters if r.instance != instance),
         tuple(r for r in membership.learners if r.instance != instance),
     )
 
 
-def is_ready_for(state: ReplicaState, proposed: Membership) -> bool:
-    """Tell whether the change before is whole and the next one can commit.
+def can_change_to(state: ReplicaState, proposed: Membership) -> bool:
+    """Return whether the previous change is complete and the next one can commit.
 
-    Two changes under way at once could each be committed by a quorum that shares
-    no voter with the other's. And a voter removed while too few of the others
-    have caught up would leave the committed entries on less than a quorum.
+    Two changes at once could be committed by two quorums that share no voter. And
+    removing a voter while too few of the others have caught up would leave committed
+    entries on less than a quorum.
     """
     waiting = set(state.membership.learners) & set(proposed.learners)
-    if waiting or not is_settled(state):
+    if waiting or not is_membership_committed(state):
         return False
     needed = state.log.membership_index
     caught_up = {state.replica_id}
     for peer, progress in state.leadership.peers.items():
-        if progress.match_index >= needed and is_heard(state, progress):
+        if progress.match_index >= needed and heard_within_lease(state, progress):
             caught_up.add(peer)
     return proposed.is_quorum(caught_up)
 
 
-def is_settled(state: ReplicaState) -> bool:
-    """Tell whether this term and the membership in force are both committed."""
+def is_membership_committed(state: ReplicaState) -> bool:
+    """Return whether the term's no-op and the current membership are committed."""
     needed = max(state.leadership.start_index, state.log.membership_index)
     return state.commit_index >= needed
 
 
-def is_heard(state: ReplicaState, progress: PeerProgress) -> bool:
-    """Tell whether a replica has answered within the lease."""
+def heard_within_lease(state: ReplicaState, progress: PeerProgress) -> bool:
+    """Return whether a replica has answered within the lease."""
     return heard_within(state, progress, state.lease_seconds)
 
 
 def heard_within(state: ReplicaState, progress: PeerProgress, seconds: float) -> bool:
-    """Tell whether a replica has answered within a time."""
+    """Return whether a replica has answered within some seconds."""
     heard = progress.heard_at
     return heard is not None and state.now - heard <= seconds
 
 
-def put_in_force(
+def append_membership(
     state: ReplicaState, membership: Membership, proposal_id: str, at: float
 ) -> None:
-    """Append a membership, which counts from here on, committed or not."""
-    entry = state.append_own(
+    """Append a membership, which takes effect at once, committed or not."""
+    entry = state.append_as_leader(
         EntryKind.MEMBERSHIP, encode_membership(membership), proposal_id, at
     )
     leadership = state.leadership
@@ -106,49 +106,52 @@
 
 
 def promote_learner(state: ReplicaState) -> None:
-    """Give a learner its vote once it holds everything committed, synced."""
-    if not state.membership.learners or not is_settled(state):
+    """Make a learner a voter once it has synced every committed entry."""
+    if not state.membership.learners or not is_membership_committed(state):
         return
     for learner in state.membership.learners:
         progress = state.leadership.peers[learner]
-        if is_heard(state, progress) and progress.match_index >= state.commit_index:
-            put_in_force(state, promoted(state.membership, learner), "", 0.0)
+        if (
+            heard_within_lease(state, progress)
+            and progress.match_index >= state.commit_index
+        ):
+            append_membership(state, with_promoted(state.membership, learner), "", 0.0)
             return
 
 
-def promoted(membership: Membership, learner: ReplicaId) -> Membership:
-    """Move a learner to the voters."""
+def with_promoted(membership: Membership, learner: ReplicaId) -> Membership:
+    """Return a membership with a learner moved to the voters."""
     learners = tuple(r for r in membership.learners if r != learner)
     return Membership((*membership.voters, learner), learners)
 
 
-def admit_newcomer(state: ReplicaState, newcomer: ReplicaId) -> None:
-    """Take in an empty replica that the settings know, when its turn comes.
+def admit_learner(state: ReplicaState, newcomer: ReplicaId) -> None:
+    """Add an empty replica as a learner, if its instance may join.
 
-    It asks again and again, so a request that comes while another change is
-    under way is let go; the next one finds the way free.
+    A request that arrives during another change is ignored, since the replica
+    repeats it.
     """
     known = newcomer.instance in state.replica_instances
     if not known and not state.config.open_membership:
         return
     proposed = change_membership(state.membership, AddReplica(newcomer))
-    if proposed is not None and is_ready_for(state, proposed):
-        put_in_force(state, proposed, "", 0.0)
+    if proposed is not None and can_change_to(state, proposed):
+        append_membership(state, proposed, "", 0.0)
 
 
-def remove_replaced_voter(state: ReplicaState) -> None:
-    """Remove a voter that stays silent although there are enough others.
+def remove_silent_voter(state: ReplicaState) -> None:
+    """Remove the one silent voter of an open cluster that has more than needed.
 
-    An instance that is gone for good would count in every quorum until an operator
-    removed it, and the next loss would stop all changes. Only where open membership
-    has brought more voters than needed, and all the others are heard.
+    A lost instance would otherwise count in every quorum until an operator removed
+    it, and the next loss could stop all changes. Nothing is removed while more than
+    one voter is silent.
     """
     config = state.config
     voters = state.membership.voters
-    if not config.open_membership or len(voters) <= config.least_voters:
+    if not config.open_membership or len(voters) <= config.min_voters:
         return
     leadership = state.leadership
-    silence = config.replaced_after_seconds + state.sync_allowance
+    silence = config.voter_removal_seconds + state.sync_allowance
     if state.now - leadership.began_at <= silence:
         return
     silent = [
@@ -160,5 +163,5 @@
     if len(silent) != 1:
         return
     proposed = change_membership(state.membership, RemoveReplica(silent[0]))
-    if proposed is not None and is_ready_for(state, proposed):
-        put_in_force(state, proposed, "", 0.0)
+    if proposed is not None and can_change_to(state, proposed):
+        append_membership(state, proposed, "", 0.0)
--- /dev/null
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""Decide for a gateway: routes, upstream registry, placement, peers and retries."""
--- a/packages/core/src/cowslipshelf_core/internal/routed/messages.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/messages.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import AttemptId, InstanceId, UpstreamId
-from cowslipshelf_core.internal.routed.registry import HeartbeatSeen
-from cowslipshelf_core.internal.routed.request_digest import RequestDigest
+from cowslipshelf_core.internal.gateway.registry import HeartbeatSeen
+from cowslipshelf_core.internal.gateway.request_digest import RequestDigest
 from cowslipshelf_core.messages import Message
 
 
@@ -18,11 +18,11 @@
     """Be what one engine does of an attempt."""
 
     upstream_id: UpstreamId
-    read_seconds: float
+    prefill_seconds: float
     """Time that reading takes on an engine that does nothing else."""
     chunks: int
     """Pieces in which the part is read, one in each step."""
-    writes: bool
+    decodes: bool
     """Whether this engine also writes the answer."""
     memory_tokens: int = 0
     """Memory that it holds for the prompt and its answer."""
@@ -34,7 +34,7 @@
     attempt_id: AttemptId
     parts: tuple[EnginePart, ...]
     value: float
-    """What is lost if it is late; see `worth_of`."""
+    """What is lost if it is late; see `answer_value`."""
     objective_seconds: float
     """Time to the first event that is still on time."""
     pause_seconds: float
@@ -71,7 +71,7 @@
     """Counts the sender's changes, from one on."""
 
 
-class UpstreamEnd(NamedTuple):
+class UpstreamExit(NamedTuple):
     """Name one end of an upstream's process."""
 
     upstream_id: UpstreamId
@@ -79,20 +79,20 @@
     """Counts its ends, from zero on, where it keeps its id over them."""
 
 
-class EndTold(NamedTuple):
+class ExitReport(NamedTuple):
     """Tell of an end under a request."""
 
-    end: UpstreamEnd
+    end: UpstreamExit
     age_seconds: float
     cleared: bool
     """Whether the request was answered whole after it."""
 
 
-class SuspectRequestTold(NamedTuple):
+class SuspectRequestReport(NamedTuple):
     """Tell all that a gateway knows of a request under which upstreams ended."""
 
     digest: RequestDigest
-    ends: tuple[EndTold, ...]
+    ends: tuple[ExitReport, ...]
     trials: int
     """Trials of it that were begun."""
     over: int
@@ -105,7 +105,7 @@
 class SuspectRequestsTold(Message, frozen=True):
     """Tell of requests under which upstreams ended."""
 
-    suspects: tuple[SuspectRequestTold, ...]
+    suspects: tuple[SuspectRequestReport, ...]
 
 
 class Relayed(Message, frozen=True):
--- a/packages/core/src/cowslipshelf_core/internal/routed/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 from cowslipshelf_core.identifiers import InstanceId, UpstreamId
-from cowslipshelf_core.internal.routed.messages import (
-    EndTold,
-    SuspectRequestTold,
-    UpstreamEnd,
+from cowslipshelf_core.internal.gateway.messages import (
+    ExitReport,
+    SuspectRequestReport,
+    UpstreamExit,
 )
-from cowslipshelf_core.internal.routed.request_digest import (
+from cowslipshelf_core.internal.gateway.request_digest import (
     RequestDigest,
     is_request_digest,
 )
@@ -54,7 +54,7 @@
     """Age of its last end at which a request that is not held back is forgotten."""
     forget_held_seconds: float = 6 * 3600.0
     """Age at which one that is held back is forgotten."""
-    most_suspects: int = 2_000
+    max_suspects: int = 2_000
     """Requests that are remembered."""
 
 
@@ -64,9 +64,9 @@
 
     changed_at: float
     """Time of the last change that is worth remembering."""
-    ends: dict[UpstreamEnd, float] = field(default_factory=dict)
+    ends: dict[UpstreamExit, float] = field(default_factory=dict)
     """The time of each end."""
-    cleared: set[UpstreamEnd] = field(default_factory=set)
+    cleared: set[UpstreamExit] = field(default_factory=set)
     """Ends before a whole answer."""
     trials: int = 0
     """Trials that were begun."""
@@ -76,7 +76,7 @@
     probes: int = 0
     """Trials that were begun while it was held back."""
 
-    def open_ends(self) -> list[UpstreamEnd]:
+    def open_ends(self) -> list[UpstreamExit]:
         """List the ends that speak against it."""
         return [end for end in self.ends if end not in self.cleared]
 
@@ -95,7 +95,7 @@
             return False
         if len(self.ends) >= MOST_ENDS:
             return False
-        self.ends[UpstreamEnd(upstream_id, len(same))] = at
+        self.ends[UpstreamExit(upstream_id, len(same))] = at
         return True
 
     def clear(self) -> bool:
@@ -121,17 +121,18 @@
         spread = 1.0 + config.hold_spread * share_of(config.instance, digest)
         return self.last_event() + config.hold_seconds * growth * spread
 
-    def told(self, digest: RequestDigest, now: float) -> SuspectRequestTold:
+    def told(self, digest: RequestDigest, now: float) -> SuspectRequestReport:
         """Write what is known of it for another gateway."""
         ends = tuple(
-            EndTold(end, now - at, end in self.cleared) for end, at in self.ends.items()
+            ExitReport(end, now - at, end in self.cleared)
+            for end, at in self.ends.items()
         )
         age = now - self.tried_at if self.trials else 0.0
-        return SuspectRequestTold(
+        return SuspectRequestReport(
             digest, ends, self.trials, self.over, age, self.probes
         )
 
-    def take(self, told: SuspectRequestTold, now: float) -> bool:
+    def take(self, told: SuspectRequestReport, now: float) -> bool:
         """Take in what another gateway knows of it; return whether any of it is news.
 
         Of two times of one event the earlier one counts: each message adds its way.
@@ -160,7 +161,7 @@
     return drawn / 256**SHARE_BYTES
 
 
-def problem_of(told: SuspectRequestTold) -> str | None:
+def suspect_report_problem(told: SuspectRequestReport) -> str | None:
     """Say what is wrong with word of another gateway, if anything is."""
     if not is_request_digest(told.digest):
         return "the digest is none"
--- a/packages/core/src/cowslipshelf_core/internal/requests/claims.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_commands.py
@@ -1,4 +1,4 @@
-"""Write the claim commands of a request."""
+"""Build the claim commands of a request."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.errors import Refusal
@@ -13,10 +13,13 @@
 )
 
 
-def claim_asked(
+def build_claim_asked(
     request: CallerRequest, chosen: ChosenUpstream, deadline_seconds: float
 ) -> ClaimAsked:
-    """Claim the key for a placed attempt, so that others know whom to ask."""
+    """Build the command that claims the key for a placed attempt.
+
+    It names the sidecar that other requests under the key can ask about the attempt.
+    """
     return ClaimAsked(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -30,8 +33,8 @@
     )
 
 
-def claim_looked_up(request: CallerRequest) -> ClaimLookedUp:
-    """Ask who holds the key of a request that was not placed."""
+def build_claim_looked_up(request: CallerRequest) -> ClaimLookedUp:
+    """Build the command that asks who holds the key of an unplaced request."""
     return ClaimLookedUp(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -40,13 +43,13 @@
     )
 
 
-def claim_moved(
+def build_claim_moved(
     request: CallerRequest,
     from_attempt: AttemptId,
     chosen: ChosenUpstream,
     deadline_seconds: float,
 ) -> ClaimMoved:
-    """Move the key from an attempt that will never run to a placed one."""
+    """Build the command that moves the key from a revoked attempt to a placed one."""
     return ClaimMoved(
         customer=request.customer,
         key=request.idempotency_key or "",
@@ -60,13 +63,13 @@
     )
 
 
-def claim_finished(
+def build_claim_finished(
     request: CallerRequest,
     holder: RequestId,
     attempt_id: AttemptId,
     outcome: StoredAnswer | Refusal | None,
 ) -> ClaimFinished:
-    """Store the outcome under the key, for the request that holds it."""
+    """Build the command that stores the outcome under the key for its holder."""
     return ClaimFinished(
         customer=request.customer,
         key=request.idempotency_key or "",
--- a/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/retrying.py
@@ -1,4 +1,4 @@
-"""Decide whether a request may try again, and when."""
+"""Decide whether and when a request may retry."""
 
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.internal.requests.effects import (
@@ -10,13 +10,13 @@
 from cowslipshelf_core.internal.requests.ending import (
     close_attempt,
     refuse,
-    refuse_for,
+    refuse_with_reason,
 )
 from cowslipshelf_core.internal.requests.events import RetryAnswered
 from cowslipshelf_core.internal.requests.state import Phase, RequestState
 from cowslipshelf_core.placement_feedback import AttemptOutcome
 
-REASONS_THAT_FOLLOW_THE_REQUEST = frozenset(
+NON_RETRYABLE_REASONS = frozenset(
     {
         RefusalReason.DEADLINE_PASSED,
         RefusalReason.NOT_ALLOWED,
@@ -26,13 +26,13 @@
         RefusalReason.KEY_REUSED,
     }
 )
-"""No other upstream would answer these otherwise."""
+"""Reasons that lie in the request, so that any other upstream refuses it too."""
 
 
-def is_truly_not_run(refusal: Refusal) -> bool:
-    """Tell whether a sidecar's refusal promises that the attempt never runs.
+def guarantees_not_run(refusal: Refusal) -> bool:
+    """Return whether a sidecar's refusal guarantees that the attempt never runs.
 
-    A duplicate is refused because its first copy was taken: that one may be running.
+    A duplicate is refused because its first copy was accepted, which may be running.
     """
     return (
         refusal.code is RefusalCode.NOT_RUN
@@ -40,59 +40,61 @@
     )
 
 
-def try_elsewhere(
+def retry_elsewhere(
     state: RequestState, refusal: Refusal, outcome: AttemptOutcome
 ) -> list[RequestEffect]:
-    """Close the open attempt and ask for a retry on another upstream."""
+    """Close the open attempt and request a retry on another upstream."""
     state.last_refusal = refusal
     attempt = state.attempt
-    # A spread prompt may need every upstream there is. What failed of it may be any
-    # part, and one that is dead or full is known to the router before long.
+    # A spread prompt may need every upstream, and any of its parts may have failed.
+    # The router soon learns by itself which upstream is dead or full.
     if attempt is not None and not attempt.chosen.helpers:
         state.excluded.add(attempt.chosen.upstream_id)
     effects = close_attempt(state, outcome)
-    if not _may_try_again(state, refusal):
-        return [*effects, *end_with_last_refusal(state)]
-    state.delivery.start_again()
+    if not _may_retry(state, refusal):
+        return [*effects, *refuse_with_last_refusal(state)]
+    state.delivery.reset_for_retry()
     state.phase = Phase.ASKING_BUDGET
     note = Note(f"trying elsewhere after {refusal.reason} at {refusal.step}")
     return [*effects, note, AskRetryBudget()]
 
 
-def _may_try_again(state: RequestState, refusal: Refusal) -> bool:
-    if state.caller_gone or refusal.reason in REASONS_THAT_FOLLOW_THE_REQUEST:
+def _may_retry(state: RequestState, refusal: Refusal) -> bool:
+    if state.caller_gone or refusal.reason in NON_RETRYABLE_REASONS:
         return False
     return (
-        state.hand_overs < state.config.most_attempts
-        and state.delivery.can_start_again()
+        state.hand_over_count < state.config.max_attempts
+        and state.delivery.can_retry_elsewhere()
     )
 
 
-def retry_answered(
+def on_retry_answered(
     state: RequestState, event: RetryAnswered, now: float
 ) -> list[RequestEffect]:
-    """Wait before the next placement, or end where the budget is spent."""
+    """Back off before the next placement, or end if the budget is spent."""
     if not event.allowed:
-        return [Note("retry budget is spent"), *end_with_last_refusal(state)]
-    return wait(state, Phase.WAITING_TO_PLACE, state.hand_overs - 1, event.jitter, now)
+        return [Note("retry budget is spent"), *refuse_with_last_refusal(state)]
+    return back_off(
+        state, Phase.WAITING_TO_PLACE, state.hand_over_count - 1, event.jitter, now
+    )
 
 
-def wait(
-    state: RequestState, phase: Phase, doublings: int, share: float, now: float
+def back_off(
+    state: RequestState, phase: Phase, doublings: int, jitter: float, now: float
 ) -> list[RequestEffect]:
-    """Back off exponentially, by the given share of the step, within the deadline."""
+    """Back off exponentially, scaled by the jitter factor, within the deadline."""
     config = state.config
     step = min(
         config.backoff_cap_seconds,
         config.backoff_base_seconds * 2.0 ** max(0, doublings),
     )
     state.phase = phase
-    return [Wait(min(step * share, state.left(now)))]
+    return [Wait(min(step * jitter, state.seconds_left(now)))]
 
 
-def end_with_last_refusal(state: RequestState) -> list[RequestEffect]:
-    """End with the reason for which the last attempt was given up."""
+def refuse_with_last_refusal(state: RequestState) -> list[RequestEffect]:
+    """End with the refusal of the last attempt."""
     last = state.last_refusal
     if last is None:
-        return refuse_for(state, RefusalReason.NO_UPSTREAM, "place")
-    return refuse(state, last._replace(code=state.code()))
+        return refuse_with_reason(state, RefusalReason.NO_UPSTREAM, "place")
+    return refuse(state, last._replace(code=state.refusal_code()))
--- a/packages/core/src/cowslipshelf_core/internal/routed/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Serve requests by route: matching, upstreams that announce themselves, placing."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -8,8 +8,8 @@
 from http import HTTPStatus
 
 from cowslipshelf_core.dialect import Dialect, MemoryTicket, OutgoingRequest
+from cowslipshelf_core.gateway import MemoryLease, MemoryLeaseConfig, UpstreamHeartbeat
 from cowslipshelf_core.identifiers import UpstreamId
-from cowslipshelf_core.routed import MemoryLease, MemoryLeaseConfig, UpstreamHeartbeat
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.upstream_connection import UpstreamLostError
 from cowslipshelf_daemon.internal.gateway.upstream_pool import UpstreamPool
@@ -114,7 +114,7 @@
         request = self.dialect.ask_report(user.upstream_id, user.address)
         status = await self.exchange(user.upstream_id, user.address, request)
         if status is not None and status < HTTPStatus.MULTIPLE_CHOICES:
-            lease.heard(asked_at)
+            lease.record_alive(asked_at)
 
     def release_soon(self, tickets: tuple[MemoryTicket, ...]) -> None:
         """Give memory back in a task of its own, which a caller's leaving spares."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -5,25 +5,25 @@
 from collections.abc import Iterable
 
 from cowslipshelf_core.dialect import Dialect
-from cowslipshelf_core.identifiers import InstanceId, UpstreamId
-from cowslipshelf_core.messages import (
-    FetchRoutes,
-    Message,
-    PeerAlive,
-    RoutesSnapshot,
-)
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     FetchWork,
     HeartbeatSeen,
     HeartbeatsSeen,
-    PeerNews,
+    PeerChange,
     Relayed,
     RequestDigest,
     SuspectRequestsTold,
     UpstreamHeartbeat,
     WorkChanged,
+    WorkGapDetector,
     WorkHeld,
-    WorkProgress,
+)
+from cowslipshelf_core.identifiers import InstanceId, UpstreamId
+from cowslipshelf_core.messages import (
+    FetchRoutes,
+    Message,
+    PeerAlive,
+    RoutesSnapshot,
 )
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
@@ -75,7 +75,7 @@
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams that were heard and are to be told of."""
         self.urgent: RepeatedNews[UpstreamId] = RepeatedNews()
-        self.progress = WorkProgress()
+        self.progress = WorkGapDetector()
         self.work_number = 0
         self.words = 0
         self.begun: list = []
@@ -113,7 +113,7 @@
         """
         now = time.monotonic()
         peers = self.view.peers
-        self.send_to(peers.neighbours(now), message)
+        self.send_to(peers.local_peers(now), message)
         relayed = Relayed(self.view.settings.instance, message, True)
         self.send_to(peers.relays(now, turn), relayed)
 
@@ -128,12 +128,14 @@
         """Say that this gateway is there, to all that it knows and to the seeds."""
         peers = self.view.peers
         message = self.alive_message(self.words % PEERS_TOLD_EACH == 0)
-        self.send_to(peers.near() if near_only else peers.to_tell(), message)
+        self.send_to(
+            peers.local_targets() if near_only else peers.gossip_targets(), message
+        )
 
     def alive_message(self, with_peers: bool) -> PeerAlive:
         """Return a word that this gateway is there."""
         held = self.view.document
-        return self.view.peers.own_message(
+        return self.view.peers.alive_message(
             held.version, len(held.body), self.work_number, with_peers
         )
 
@@ -240,7 +242,7 @@
     def tell_work_held(self, peer: InstanceId) -> None:
         """Tell one gateway all that this one has on engines."""
         own, now = self.view.settings.instance, time.monotonic()
-        self.send(peer, self.view.board.held_by(own, now, self.work_number))
+        self.send(peer, self.view.board.snapshot_of(own, now, self.work_number))
 
     # Taking in.
 
@@ -256,7 +258,7 @@
             case HeartbeatsSeen() | WorkChanged() | SuspectRequestsTold() as message:
                 self.take_spread(delivered.sender, message)
             case WorkHeld(number=number) as message:
-                if self.progress.all_heard(delivered.sender, number):
+                if self.progress.note_snapshot(delivered.sender, number):
                     now = time.monotonic()
                     self.view.board.replace(delivered.sender, message, now)
             case FetchWork():
@@ -274,13 +276,13 @@
             case HeartbeatsSeen():
                 self.view.take_heartbeats(message)
             case WorkChanged(number=number):
-                self.progress.change_heard(origin, number)
+                self.progress.note_change(origin, number)
                 self.view.take_work(origin, message)
 
     def pass_on(self, sender: InstanceId, relayed: Relayed) -> None:
         """Pass a message on in this data centre."""
         onward = Relayed(relayed.origin, relayed.message, False)
-        neighbours = self.view.peers.neighbours(time.monotonic())
+        neighbours = self.view.peers.local_peers(time.monotonic())
         known = (sender, relayed.origin)
         self.send_to([peer for peer in neighbours if peer not in known], onward)
 
@@ -288,18 +290,18 @@
         """Note a gateway, and ask it for a newer configuration."""
         now = time.monotonic()
         sender = delivered.sender
-        news = self.view.peers.heard(sender, alive, now)
-        if news is PeerNews.RESTARTED:
+        news = self.view.peers.record_alive(sender, alive, now)
+        if news is PeerChange.RESTARTED:
             self.view.board.forget_owner(sender, now)
             self.progress.forget(sender)
             self.routes.fetch.restarted(sender, now)
-        if news is not PeerNews.NONE:
+        if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
             self.post.learn(sender, self.view.settings.peer_address(sender))
             # One that has just started waits for the configuration to serve at all.
             self.send(sender, self.alive_message(True))
             self.tell_everything_to(sender)
-        if self.progress.is_behind(sender, alive.work_number):
+        if self.progress.has_gap(sender, alive.work_number):
             LOG.info("Word of work was lost.", peer=sender, told=alive.work_number)
             self.send(sender, FetchWork())
         if alive.routes_version > self.view.document.version:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -4,23 +4,23 @@
 import uuid
 from typing import NamedTuple
 
-from cowslipshelf_core.dialect import CallerFacts, Helper, MemoryTicket
-from cowslipshelf_core.identifiers import AttemptId, ServiceName, UpstreamId
-from cowslipshelf_core.routed import (
-    Candidate,
+from cowslipshelf_core.dialect import CallerFacts, MemoryTicket, PrefillHelper
+from cowslipshelf_core.gateway import (
+    EngineCandidate,
     EngineModel,
     EnginePart,
     EnginesChosen,
     EngineWork,
     NoEngine,
-    PlainCandidate,
-    PromptAsked,
+    PromptToPlace,
     Route,
+    UpstreamCandidate,
     UpstreamHeartbeat,
     admission_priority,
     choose_upstream,
     place_prompt,
 )
+from cowslipshelf_core.identifiers import AttemptId, ServiceName, UpstreamId
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 
 RETRY_SECONDS = 1.0
@@ -39,7 +39,7 @@
 
     upstream: UpstreamHeartbeat
     work: EngineWork | None = None
-    helpers: tuple[Helper, ...] = ()
+    helpers: tuple[PrefillHelper, ...] = ()
     tickets: tuple[MemoryTicket, ...] = ()
     """Memory that must be reserved before the request is sent."""
     first_token_seconds: float | None = None
@@ -87,13 +87,13 @@
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
-        health = view.health.seen(upstream.upstream_id, now)
+        health = view.health.estimate(upstream.upstream_id, now)
         candidates.append(
-            PlainCandidate(
+            UpstreamCandidate(
                 upstream.upstream_id,
                 upstream.slots,
                 view.running.get(upstream.upstream_id, 0),
-                health.failing,
+                health.failure_rate,
                 health.slowness,
                 health.avoided,
                 upstream.data_centre == view.settings.data_centre,
@@ -116,13 +116,13 @@
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
-        health = view.health.seen(upstream.upstream_id, now)
+        health = view.health.estimate(upstream.upstream_id, now)
         if health.avoided and len(upstreams) > 1:
             continue
         candidates.append(
-            Candidate(upstream.upstream_id, health.slowness, health.failing)
+            EngineCandidate(upstream.upstream_id, health.slowness, health.failure_rate)
         )
-    asked = PromptAsked(
+    asked = PromptToPlace(
         AttemptId(uuid.uuid4().hex),
         facts.prompt,
         route.objective_seconds,
@@ -139,7 +139,7 @@
         by_id[chosen.upstream_id],
         chosen.work,
         tuple(
-            Helper(by_id[helper].address, names.get(helper))
+            PrefillHelper(by_id[helper].address, names.get(helper))
             for helper in chosen.helpers
         ),
         tickets,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -8,7 +8,7 @@
 from result import Ok, Result
 
 from cowslipshelf_core.agreement import (
-    FoundCluster,
+    BootstrapCluster,
     Replica,
     ReplicaConfig,
     ReplicasSeen,
@@ -104,7 +104,7 @@
         if now < self.status_due or self.view.table is None:
             return
         self.status_due = now + STATUS_SECONDS
-        if self.view.peers.wants_own_replica():
+        if self.view.peers.should_hold_replica():
             LOG.info("Replica wanted here.", replicas=self.replicas)
             self.view.peers.holds_replica = True
 
@@ -125,7 +125,7 @@
             election_seconds=ELECTION_SECONDS,
             lease_seconds=ELECTION_SECONDS,
             open_membership=True,
-            most_lost=settings.most_lost,
+            max_failures=settings.most_lost,
         )
         state = ControlState()
         if stored.snapshot is not None:
@@ -200,10 +200,10 @@
             return
         if now - self.started < FOUND_AFTER_SECONDS:
             return
-        if self.view.peers.founder() == settings.instance:
+        if self.view.peers.bootstrap_instance() == settings.instance:
             self.founded = True
             LOG.info("Cluster founded.", replicas=self.replicas)
-            self.actor.tell(FoundCluster())
+            self.actor.tell(BootstrapCluster())
 
     def hand_over(self) -> None:
         """Give leadership away before the process ends."""
--- a/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
@@ -6,14 +6,14 @@
 from random import Random
 from typing import NamedTuple
 
-from cowslipshelf_core.identifiers import AttemptId, UpstreamId
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     EnginesChosen,
     EngineWork,
     NoEngine,
-    PromptAsked,
+    PromptToPlace,
     admission_priority,
 )
+from cowslipshelf_core.identifiers import AttemptId, UpstreamId
 from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
 from cowslipshelf_emulator.internal.load import Arrival, Fleet
 from cowslipshelf_emulator.internal.policies import Policy
@@ -99,7 +99,7 @@
         outcome = Outcome(arrival)
         self.outcomes.append(outcome)
         kind = arrival.kind
-        asked = PromptAsked(
+        asked = PromptToPlace(
             AttemptId(arrival.request),
             arrival.size,
             kind.objective_seconds,
--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -8,6 +8,7 @@
 from common.agreement_cluster import DECODER
 from common.matrix_control_cluster import ControlCluster, Mail, Viewer
 from cowslipshelf_core.agreement import (
+    CommandSubmitted,
     PeerMessageArrived,
     ProposalAnswered,
     ProposalClient,
@@ -16,15 +17,14 @@
     ProposalResult,
     ProposalResultArrived,
     SendTo,
-    SubmitAsked,
     TickElapsed,
 )
 from cowslipshelf_core.configuration import Model
 from cowslipshelf_core.configuration_view import (
+    ApplyConfiguration,
     AskForConfiguration,
     ConfigurationView,
     ConfigurationViewConfig,
-    PutInForce,
     SnapshotArrived,
     VersionSeen,
 )
@@ -177,7 +177,7 @@
         self.asked += 1
         submit_id = f"submit-{self.asked}"
         deadline = self.now + PATIENCE_SECONDS
-        event = SubmitAsked(submit_id, encode_command(command), deadline)
+        event = CommandSubmitted(submit_id, encode_command(command), deadline)
         self.tell_client(name, event)
         return submit_id
 
@@ -260,7 +260,7 @@
                         address,
                         lambda a=address, q=question: self.tell(a, name, q),
                     )
-                case PutInForce(configuration):
+                case ApplyConfiguration(configuration):
                     viewer.versions.append(configuration.version)
                     if any(m.name == "wanted" for m in configuration.models):
                         self.marks.add("in force")
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, heartbeat, route
+from common.gateway_samples import GATEWAY_SETTINGS, heartbeat, route
 from cowslipshelf_adapter.wire import MachinesDialect
 from cowslipshelf_core.dialect import CallerFacts
-from cowslipshelf_core.routed import (
+from cowslipshelf_core.gateway import (
     EnginePart,
     EngineWork,
     RouteKind,
@@ -101,7 +101,7 @@
 
 
 def placement(attempt_id: str) -> Placement:
-    part = EnginePart("u-1", 0.1, 1, writes=True)
+    part = EnginePart("u-1", 0.1, 1, decodes=True)
     work = EngineWork(attempt_id, (part,), 1.0, 0.3, 0.25)
     return Placement(heartbeat(), work, first_token_seconds=0.1)
 
@@ -169,7 +169,7 @@
     """
     outcomes, _, view = run(PlayedConnection(status, b"data: x\n\n"))
     assert isinstance(outcomes[0], NotRun) is avoided
-    assert view.health.seen("u-1", time.monotonic()).avoided is avoided
+    assert view.health.estimate("u-1", time.monotonic()).avoided is avoided
 
 
 class HangingConnection(PlayedConnection):
@@ -200,7 +200,7 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.4):
                 await runner.run(task(), Placement(heartbeat()))
-        return view.health.seen("u-1", time.monotonic()).avoided
+        return view.health.estimate("u-1", time.monotonic()).avoided
 
     assert asyncio.run(wait_in_vain()) is answered_before
 
--- a/tests/cover/gateway/test_behind.py
+++ b/tests/cover/gateway/test_behind.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from common.routed import GATEWAY_SETTINGS, configuration, route
+from common.gateway_samples import GATEWAY_SETTINGS, configuration, route
 from cowslipshelf_adapter.wire import MachinesDialect
+from cowslipshelf_core.gateway import GatewayCustomer
 from cowslipshelf_core.identifiers import ConfigurationVersion, DataCentre, Epoch
 from cowslipshelf_core.messages import PeerAlive, RoutesDocument
-from cowslipshelf_core.routed import RoutedCustomer
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_daemon.internal.gateway.request_handler import RequestHandler
@@ -26,7 +26,7 @@
     route(prefix="/old/", public=True),
     route(prefix="/new/"),
     version=2,
-    customers=(RoutedCustomer("c", ("key-2",)),),
+    customers=(GatewayCustomer("c", ("key-2",)),),
 )
 DEADLINE_MS = b"1200"
 """A quarter of it is the time for which a request waits to learn."""
@@ -49,7 +49,7 @@
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     put(view, configuration)
     word = PeerAlive(Epoch("e"), DataCentre("here"), True, heard, ())
-    view.peers.heard("10.0.0.2", word, time.monotonic())
+    view.peers.record_alive("10.0.0.2", word, time.monotonic())
     return view
 
 
@@ -104,7 +104,7 @@
 
 def test_a_key_that_a_known_later_version_may_add_is_awaited():
     """A gateway that denies at once, asked with a key of the later version."""
-    older = NEW._replace(version=1, customers=(RoutedCustomer("c", ("key-1",)),))
+    older = NEW._replace(version=1, customers=(GatewayCustomer("c", ("key-1",)),))
     answer, _ = asked(view_with(older, heard=1), "/new/x")
     assert answer.status == 401
     answer, _ = asked(view_with(older, heard=2), "/new/x", comes=NEW)
