--- a/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
@@ -132,6 +132,6 @@
     """Refuse a request of a customer that is at its concurrency limit."""
     return not_run(
         RefusalReason.CUSTOMER_LIMIT,
-        f"the customer already has {limit} requests running here, which is its limit",
+        f"the customer already has {limit} requests open here, which is its limit",
         retry_after_seconds,
     )
