--- a/tests/common/agreement_cluster.py
+++ b/tests/common/agreement_cluster.py
@@ -1,4 +1,4 @@
-"""Run replicas in memory, over a network and disks that fail on demand."""
+"""Run replicas in memory, with a network and disks that fail on demand."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -50,7 +50,7 @@
 
 
 class InFlight(NamedTuple):
-    """Be a message on its way."""
+    """Hold a message that is not delivered yet."""
 
     sender: InstanceId
     recipient: InstanceId
@@ -59,7 +59,7 @@
 
 @dataclass(repr=False)
 class Cluster:
-    """Drive replicas step by step, and check after each what must always hold."""
+    """Drive replicas step by step, and check the invariants after each step."""
 
     config: ReplicaConfig
     random: Random
@@ -72,7 +72,7 @@
     acknowledged: dict[str, int] = field(default_factory=dict)
     refused: dict[str, ProposalRefusal] = field(default_factory=dict)
     reads: dict[str, int] = field(default_factory=dict)
-    """Least index that each read asked for must see."""
+    """Lowest index that each requested read must include."""
     confirmed_reads: dict[str, int] = field(default_factory=dict)
     failed_reads: set[str] = field(default_factory=set)
     proposed: int = 0
@@ -93,7 +93,7 @@
 
     @classmethod
     def settled(cls, size: int = 3, seed: int = 0, **settings) -> "Cluster":
-        """Start a cluster and let it be founded."""
+        """Start replicas, and run until the cluster has settled."""
         cluster = cls.of_size(size, seed, **settings)
         cluster.run_until(cluster.is_settled)
         return cluster
@@ -102,10 +102,10 @@
         self.folders += 1
         return self.make_disk(instance, f"folder-{self.folders}")
 
-    # What may happen to the cluster.
+    # Events and faults.
 
     def propose(self, instance: InstanceId, crash: Crash | None = None) -> str:
-        """Propose a fresh command at an instance; return its id."""
+        """Propose a new command at an instance, and return its id."""
         self.proposed += 1
         proposal_id = f"proposal-{self.proposed}"
         at = self.nodes[instance].clock
@@ -115,37 +115,37 @@
         return proposal_id
 
     def read(self, instance: InstanceId) -> str:
-        """Ask for a linearizable read; return its id."""
+        """Request a linearizable read, and return its id."""
         read_id = f"read-{len(self.reads)}"
         self.reads[read_id] = max(self.acknowledged.values(), default=0)
         self.step(instance, [ReadAsked(read_id)])
         return read_id
 
     def change(self, instance: InstanceId, change: MembershipChange) -> str:
-        """Propose a membership change; return its id."""
+        """Propose a membership change, and return its id."""
         self.proposed += 1
         proposal_id = f"change-{self.proposed}"
         self.step(instance, [MembershipProposed(proposal_id, change, 0.0)])
         return proposal_id
 
     def acknowledge(self) -> str:
-        """Propose a command at the leader and wait until it is acknowledged."""
+        """Propose a command at the leader, and run until it is acknowledged."""
         proposal = self.propose(self.leader().instance)
         self.run_until(lambda: proposal in self.acknowledged)
         return proposal
 
     def transfer(self, instance: InstanceId) -> None:
-        """Ask a leader to hand over."""
+        """Ask a leader to transfer leadership."""
         self.step(instance, [TransferLeadership()])
 
     def fail_disk(self, instance: InstanceId) -> None:
-        """Let an instance find that its disk takes no more writes."""
+        """Report to an instance that its disk has failed."""
         self.step(instance, [DiskFailed("no space left")])
 
     def deliver(
         self, position: int = 0, keep: bool = False, crash: Crash | None = None
     ) -> None:
-        """Deliver a message from the network, and leave a copy there if asked."""
+        """Deliver a message from the network, and keep a copy there if asked."""
         item = self.network[position] if keep else self.network.pop(position)
         if {item.sender, item.recipient} & self.isolated:
             return
@@ -153,7 +153,7 @@
         self.step(item.recipient, [PeerMessageArrived(item.sender, message)], crash)
 
     def deliver_all(self) -> None:
-        """Deliver every message that is on its way now, in order."""
+        """Deliver every message that is in the network now, in order."""
         waiting, self.network = self.network, []
         for item in waiting:
             self.network.insert(0, item)
@@ -164,13 +164,13 @@
         del self.network[position]
 
     def tick(self, seconds: float) -> None:
-        """Let time pass for every running instance."""
+        """Advance the clocks, and let every running instance handle a tick."""
         for node in self.nodes.values():
             node.clock += seconds
             self.step(node.instance, [TickElapsed()])
 
     def jump(self, instance: InstanceId, seconds: float) -> None:
-        """Let one clock jump, forwards or backwards."""
+        """Move one clock forwards or backwards."""
         self.nodes[instance].clock += seconds
 
     def crash(self, instance: InstanceId) -> None:
@@ -194,21 +194,21 @@
         self.nodes[instance].disk = self.new_disk(instance)
 
     def isolate(self, instance: InstanceId) -> None:
-        """Cut an instance off; what is on its way to or from it gets lost."""
+        """Partition an instance; messages to and from it are lost."""
         self.isolated.add(instance)
 
     def heal(self) -> None:
-        """End every cut."""
+        """End all partitions."""
         self.isolated.clear()
 
     def run(self, rounds: int, seconds: float = SETTLE_TICK_SECONDS) -> None:
-        """Let time pass and every message arrive."""
+        """Let time pass, and deliver every message."""
         for _ in range(rounds):
             self.tick(seconds)
             self.deliver_all()
 
     def run_until(self, condition: Callable[[], bool]) -> None:
-        """Run until a condition holds; fail where it never does."""
+        """Run until a condition holds, or fail after a number of rounds."""
         for _ in range(SETTLE_ROUNDS):
             if condition():
                 return
@@ -217,18 +217,18 @@
         raise AssertionError(f"{condition.__name__} not reached: {statuses}")
 
     def settle(self) -> None:
-        """Repair everything, and run until all replicas agree and have their vote."""
+        """End all faults, run until the cluster has settled, and check the outcomes."""
         self.heal()
         for node in self.nodes.values():
             if not node.running or node.replica.status().failure:
                 self.restart(node.instance)
         self.run_until(self.is_settled)
-        self.check_whole()
+        self.check_outcomes()
 
-    # What can be seen.
+    # Observations.
 
     def leader(self) -> Node | None:
-        """Return the leader of the highest term that runs and isn't cut off."""
+        """Return the running leader with the highest term that isn't partitioned."""
         leaders = [
             node
             for node in self.nodes.values()
@@ -242,11 +242,11 @@
         return [instance for instance in self.nodes if instance != leader]
 
     def replica_of(self, instance: InstanceId) -> ReplicaId:
-        """Return the identity on an instance's disk."""
+        """Return the identity of the replica on an instance's disk."""
         return self.nodes[instance].disk.load().replica_id
 
     def is_settled(self) -> bool:
-        """Tell whether a leader has brought every replica of its membership along."""
+        """Return whether every member is a voter and has applied the leader's log."""
         leader = self.leader()
         if leader is None:
             return False
@@ -262,10 +262,10 @@
         learning = status.membership.learners
         return whole and current and not learning and applied == {status.last_index}
 
-    def is_whole(self) -> bool:
-        """Tell whether every voter runs on its own disk and holds all that counts.
+    def is_fully_replicated(self) -> bool:
+        """Return whether every voter runs on its disk and has all committed entries.
 
-        Only then can one be wiped without a loss beyond what a quorum bears.
+        Only then can one be wiped without losing more than a quorum tolerates.
         """
         last = max(self.committed, default=0)
         logs = {n.disk.load().replica_id: n for n in self.nodes.values()}
@@ -282,12 +282,12 @@
         voters = set(memberships.pop().voters)
         return voters <= set(logs) and len(voters) > 2
 
-    # How a batch is performed, and what is checked.
+    # Handling of batches, with checks.
 
     def step(
         self, instance: InstanceId, events: Sequence[Event], crash: Crash | None = None
     ) -> None:
-        """Let an instance handle a batch, as the actor of the daemon does."""
+        """Let an instance handle a batch, as the replica actor of the daemon does."""
         node = self.nodes[instance]
         if not node.running:
             return
@@ -365,7 +365,7 @@
         assert self.reads[read_id] <= index <= node.applied_index
         self.confirmed_reads[read_id] = index
 
-    def check_whole(self) -> None:
+    def check_outcomes(self) -> None:
         """Check that nothing acknowledged is lost and nothing refused took effect."""
         for proposal_id, index in self.acknowledged.items():
             assert self.committed[index].proposal_id == proposal_id
@@ -380,6 +380,6 @@
             assert node.commands == self.commands_up_to(node.applied_index)
 
     def commands_up_to(self, index: int) -> list[str]:
-        """Return what a state machine must hold at an index."""
+        """Return the commands that a state machine must have at an index."""
         entries = [self.committed[i] for i in range(1, index + 1)]
         return [e.proposal_id for e in entries if e.kind is EntryKind.COMMAND]
--- a/tests/common/agreement_machine.py
+++ b/tests/common/agreement_machine.py
@@ -1,4 +1,4 @@
-"""Let Hypothesis choose what happens to a cluster of replicas."""
+"""Let Hypothesis choose events and faults for a cluster of replicas."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
@@ -14,7 +14,7 @@
 
 
 class AgreementMachine(RuleBasedStateMachine):
-    """Send commands through failures; the cluster checks itself at each step."""
+    """Apply commands and faults to a cluster, which checks itself at each step."""
 
     cluster: Cluster
 
@@ -25,7 +25,7 @@
         kept=st.integers(0, 2),
         entries=st.integers(1, 3),
         size_bytes=st.sampled_from([8, 1000]),
-        founded=st.booleans(),
+        bootstrapped=st.booleans(),
         make_disk=st.just(MemoryDisk),
     )
     def start(
@@ -36,7 +36,7 @@
         kept,
         entries,
         size_bytes,
-        founded,
+        bootstrapped,
         make_disk,
     ):
         self.cluster = Cluster.of_size(
@@ -49,7 +49,7 @@
             max_messages_in_flight=2,
             make_disk=make_disk,
         )
-        if founded:
+        if bootstrapped:
             self.cluster.run_until(self.cluster.is_settled)
 
     def instance(self, position):
@@ -128,13 +128,13 @@
 
     @rule(position=POSITIONS, prefer_leader=st.booleans())
     def wipe(self, position, prefer_leader):
-        if self.cluster.is_whole():
+        if self.cluster.is_fully_replicated():
             self.cluster.wipe(self.target(position, prefer_leader))
 
     @rule(position=POSITIONS, add=st.booleans())
     def change_membership(self, position, add):
         leader = self.cluster.leader()
-        if leader is not None and self.cluster.is_whole():
+        if leader is not None and self.cluster.is_fully_replicated():
             replica = self.cluster.replica_of(self.instance(position))
             change = AddReplica(replica) if add else RemoveReplica(replica)
             self.cluster.change(leader.instance, change)
--- a/tests/common/agreement_node.py
+++ b/tests/common/agreement_node.py
@@ -1,4 +1,4 @@
-"""Stand in for a replica's disk and process, in memory."""
+"""Simulate the disk and the process of a replica in memory."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -17,26 +17,26 @@
 
 
 class CrashPoint(Enum):
-    """Say when, in the handling of a batch, a process ends."""
+    """Define when a process crashes while it handles a batch."""
 
     BEFORE_SYNC = "before sync"
-    """Some of what the batch wrote is lost, and nobody has heard of any."""
+    """Some writes of the batch are lost, and no effects after the sync happen."""
     AFTER_SYNC = "after sync"
-    """All is durable, and nobody has heard of it."""
+    """All writes are durable, and no effects after the sync happen."""
     AMID_EFFECTS = "amid effects"
-    """All is durable, and only the first effects were performed."""
+    """All writes are durable, and only the first effects are performed."""
 
 
 class Crash(NamedTuple):
-    """Say when a process ends and how much it still does."""
+    """Describe when a process crashes and how much it still does."""
 
     point: CrashPoint
     survivors: int = 0
-    """Writes that reach the disk, or effects that are performed."""
+    """Writes that reach the disk, or effects that are still performed."""
 
 
 class MemoryDisk:
-    """Hold what is synced, and what is written and may be lost."""
+    """Hold synced state, and unsynced writes that a crash may lose."""
 
     def __init__(self, instance: InstanceId, folder: str) -> None:
         self.stored = StoredState(ReplicaId(instance, folder))
@@ -85,16 +85,16 @@
 
 @dataclass
 class Node:
-    """Be one instance: its disk, its replica while it runs, and what it applied."""
+    """Hold one instance: its disk, its replica while it runs, and what it applied."""
 
     instance: InstanceId
     disk: MemoryDisk
     replica: Replica | None = None
     applied_index: int = 0
     commands: list[str] = field(default_factory=list)
-    """Proposal ids of the commands in the state machine, in order."""
+    """Proposal ids of the applied commands, in order."""
     waiting: set[str] = field(default_factory=set)
-    """Proposals made here that this process has not answered."""
+    """Proposals made at this instance that are not answered yet."""
     clock: float = 0.0
 
     @property
--- a/tests/common/agreement_walk.py
+++ b/tests/common/agreement_walk.py
@@ -1,4 +1,4 @@
-"""Walk through long random histories of a cluster, a seed for each."""
+"""Run long random histories of a cluster, one per seed."""
 
 from collections.abc import Callable
 from random import Random
@@ -59,8 +59,8 @@
 }
 
 
-class Walk:
-    """Choose what happens to a cluster, mostly useful work, sometimes a fault."""
+class RandomWalk:
+    """Apply random actions to a cluster, mostly useful work and some faults."""
 
     def __init__(self, seed: int, make_disk: Callable = MemoryDisk) -> None:
         self.random = Random(seed)
@@ -75,12 +75,12 @@
             kept=choice([0, 2]),
             entries=choice([1, 3]),
             size_bytes=choice([16, 1000]),
-            founded=choice([True, True, False]),
+            bootstrapped=choice([True, True, False]),
             make_disk=make_disk,
         )
 
     def run(self) -> Cluster:
-        """Take the steps, then repair everything and check the whole."""
+        """Run all steps, end all faults, and check the cluster."""
         weights = [
             weight if action in WORK else weight * self.faults
             for action, (weight, _) in ACTIONS.items()
@@ -94,7 +94,7 @@
         return self.machine.cluster
 
     def exchange(self) -> None:
-        """Deliver some messages, mostly in order; lose or copy a few."""
+        """Deliver some messages, mostly in order, and lose or duplicate a few."""
         network = self.machine.cluster.network
         for _ in range(self.random.randrange(1, 8)):
             late = self.random.random() < LATE_CHANCE
--- a/tests/common/single_replica.py
+++ b/tests/common/single_replica.py
@@ -27,40 +27,40 @@
 
 @dataclass
 class FailingStorage:
-    """Be a disk whose sync fails from some time on."""
+    """Simulate a disk whose sync fails once it is full."""
 
     full: bool = False
 
     def write(self, effects):
-        """Take everything, as a page cache does."""
+        """Accept every write, as a page cache does."""
 
     def sync(self):
-        """Fail where the disk is full."""
+        """Fail if the disk is full."""
         if self.full:
             raise StorageError("sync", "data folder", "no space left on device")
 
 
 @dataclass
 class Receiver:
-    """Keep what an actor or the post is told."""
+    """Record the messages that are sent to an actor or by the post."""
 
     told: list = field(default_factory=list)
     instance: str = "entry-1"
     address: str = "here"
 
     def tell(self, message):
-        """Take a message for an actor."""
+        """Record a message to an actor."""
         self.told.append(message)
 
     def send(self, _address, message):
-        """Take a message for an address."""
+        """Record a message to an address."""
         self.told.append(message)
 
     def send_to_instance(self, _instance, message):
-        """Lose a message for an instance, as the post does for one it doesn't know."""
+        """Drop a message to an instance, as the post does if it doesn't know it."""
 
     def take(self, kind) -> list:
-        """Give what came of one type, and forget everything."""
+        """Return the recorded messages of one type, and clear the record."""
         found = [message for message in self.told if isinstance(message, kind)]
         self.told.clear()
         return found
--- a/tests/cover/agreement/test_agreement_machine.py
+++ b/tests/cover/agreement/test_agreement_machine.py
@@ -1,10 +1,10 @@
-"""Check what must always hold of the agreement, whatever fails and when."""
+"""Check the invariants of the replicated log under random failures."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from common.agreement_machine import AgreementMachine
-from common.agreement_walk import Walk
+from common.agreement_walk import RandomWalk
 
 TestAgreement = AgreementMachine.TestCase
 TestAgreement.settings = settings(
@@ -15,9 +15,9 @@
 @given(seed=st.integers(0, 2**32))
 @settings(max_examples=250, deadline=None, derandomize=True)
 def test_long_histories_lose_nothing_and_settle(seed):
-    """Changes are lost, doubled or refused for good after rare orders of failures.
+    """Rare sequences of failures lose, repeat or permanently refuse changes.
 
-    Histories are long here, since the rare orders need a leader, a log and a
-    repair under way; the checks are those of the cluster after each step.
+    Histories are long, since such sequences need a leader, a log and a running
+    membership change. The cluster checks its invariants after each step.
     """
-    Walk(seed).run()
+    RandomWalk(seed).run()
--- a/tests/cover/agreement/test_catching_up.py
+++ b/tests/cover/agreement/test_catching_up.py
@@ -1,4 +1,4 @@
-"""Check how replicas that are behind come up with the rest."""
+"""Check how lagging replicas catch up."""
 
 import pytest
 from hypothesis import given, settings
@@ -7,8 +7,8 @@
 from common.agreement_cluster import DECODER, Cluster
 from cowslipshelf_core.agreement import InstallSnapshot, ReplicaConfig
 
-MISSED = 600
-BURST = 8
+MISSED_COMMANDS = 600
+BURST_MESSAGES = 8
 
 
 def propose_many(cluster: Cluster, count: int) -> None:
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize("snapshot_after", [50, 10_000])
 def test_a_restart_after_hundreds_of_changes_catches_up(snapshot_after):
-    """A process that was away is left with an old configuration.
+    """A restarted process keeps an old configuration.
 
-    Hundreds of changes pass it by; the leader may have dropped the entries that
-    it misses, and sends a snapshot in chunks and the tail after it.
+    It misses hundreds of changes. The leader may have dropped those entries, and then
+    sends a snapshot in chunks and the entries after it.
     """
     cluster = Cluster.settled(
         snapshot_after_entries=snapshot_after,
@@ -33,18 +33,18 @@
     )
     away = cluster.followers()[0]
     cluster.crash(away)
-    propose_many(cluster, MISSED)
+    propose_many(cluster, MISSED_COMMANDS)
     cluster.restart(away)
     cluster.run_until(cluster.is_settled)
-    cluster.check_whole()
-    assert len(cluster.nodes[away].commands) == MISSED
+    cluster.check_outcomes()
+    assert len(cluster.nodes[away].commands) == MISSED_COMMANDS
 
 
 def test_doubled_messages_do_not_double_a_snapshot():
-    """A replica that catches up takes the whole bandwidth of its leader.
+    """A lagging replica uses up the bandwidth of its leader.
 
-    Every message arrives twice; were each answer followed by the next chunk, the
-    copies would multiply with each chunk of the snapshot.
+    Every message arrives twice. If each answer led to the next chunk, the copies would
+    multiply with each chunk of the snapshot.
     """
     cluster = Cluster.settled(
         snapshot_after_entries=50, entries_kept=0, max_bytes_per_message=100
@@ -73,8 +73,8 @@
 def test_a_restarted_replica_is_served_at_once(snapshot_after, away_rounds):
     """Each planned restart leaves a replica behind for half a second.
 
-    The leader has retried just before the replica came back, and has entries or a
-    chunk under way that it takes for unanswered rather than lost.
+    The leader retried just before the replica came back, and waits for the answer to
+    entries or a chunk that were lost.
     """
     cluster = Cluster.settled(snapshot_after_entries=snapshot_after, entries_kept=0)
     away = cluster.followers()[0]
@@ -87,7 +87,7 @@
 
 
 def test_the_log_in_memory_is_bounded_by_snapshots():
-    """A daemon's memory grows with every change until it is killed."""
+    """The memory of a daemon grows with every change until it is killed."""
     cluster = Cluster.settled(snapshot_after_entries=20, entries_kept=5)
     propose_many(cluster, 200)
     for node in cluster.nodes.values():
@@ -97,44 +97,44 @@
 
 @pytest.mark.parametrize("snapshot_after", [50, 10_000])
 def test_an_old_leader_drops_its_entries_in_a_few_messages(snapshot_after):
-    """After a partition, the old leader takes minutes to follow again.
+    """After a partition, the old leader takes minutes to catch up.
 
-    It has taken hundreds of proposals that can't be committed, and hundreds of
-    others were committed in their place. A leader elected after those must find
-    the common entry by going back a term at a time, not an entry, or send its
-    snapshot; nothing of the old entries may stay on the disk.
+    It has hundreds of uncommitted entries, and hundreds of others were committed in
+    their place. The new leader must find the last common entry by stepping back one
+    term at a time, not one entry, or send its snapshot. None of the old entries may
+    stay on the disk.
     """
     cluster = Cluster.settled(snapshot_after_entries=snapshot_after, entries_kept=0)
     old = cluster.leader().instance
     cluster.isolate(old)
-    for _ in range(2 * MISSED):
+    for _ in range(2 * MISSED_COMMANDS):
         cluster.propose(old)
     cluster.run_until(lambda: cluster.leader() is not None)
-    propose_many(cluster, MISSED)
+    propose_many(cluster, MISSED_COMMANDS)
     cluster.crash(cluster.leader().instance)
     cluster.heal()
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run(8)
-    assert len(cluster.nodes[old].commands) == MISSED
+    assert len(cluster.nodes[old].commands) == MISSED_COMMANDS
     for entry in cluster.nodes[old].disk.load().entries:
         assert entry == cluster.committed[entry.index]
 
 
-@given(lost=st.integers(0, BURST - 1))
-@settings(max_examples=BURST, deadline=None, derandomize=True)
+@given(lost=st.integers(0, BURST_MESSAGES - 1))
+@settings(max_examples=BURST_MESSAGES, deadline=None, derandomize=True)
 def test_a_lost_message_costs_few_others(lost):
-    """One lost packet makes the leader resend its window many times over.
+    """One lost message makes the leader resend its window many times.
 
-    Messages behind the lost one are refused, each of them; answering every
-    refusal with the whole window would multiply the load when it hurts most.
+    Each message after the lost one is refused. Answering every refusal with the whole
+    window would multiply the load during a network problem.
     """
     cluster = Cluster.settled(max_entries_per_message=1)
     target = cluster.followers()[0]
-    for _ in range(BURST):
+    for _ in range(BURST_MESSAGES):
         cluster.propose(cluster.leader().instance)
     positions = [i for i, m in enumerate(cluster.network) if m.recipient == target]
     cluster.drop(positions[lost])
-    sent = BURST
+    sent = BURST_MESSAGES
     while not cluster.is_settled():
         cluster.tick(0.02)
         cluster.deliver_all()
@@ -142,13 +142,13 @@
         folder = cluster.nodes[target].disk.load().replica_id.folder
         mine = [m for m in messages if m.recipient_folder == folder]
         sent += sum(bool(getattr(m, "entries", ())) for m in mine)
-    assert sent <= 2 * BURST
+    assert sent <= 2 * BURST_MESSAGES
 
 
 def test_a_lost_message_is_noticed_by_the_next_heartbeat():
     """One replica answers reads and applies changes half a second late.
 
-    The only message with a change gets lost on the way to it; no other follows.
+    The only message with a change is lost on the way to it, and no other follows.
     """
     cluster = Cluster.settled()
     target = cluster.followers()[0]
@@ -159,7 +159,7 @@
 
 
 def test_a_heartbeat_is_small():
-    """Control traffic of idle replicas eats the budget of a daemon."""
+    """Heartbeats of idle replicas exceed the traffic budget of a daemon."""
     cluster = Cluster.settled()
     cluster.network.clear()
     cluster.run(2)
--- a/tests/cover/agreement/test_forwarded_reads.py
+++ b/tests/cover/agreement/test_forwarded_reads.py
@@ -1,4 +1,4 @@
-"""Check reads that a follower has its leader confirm."""
+"""Check reads that a follower forwards to its leader for confirmation."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
     passes: Callable[[InFlight], bool],
     frozen: frozenset = frozenset(),
 ) -> None:
-    """Let time pass, except where frozen, and only some messages arrive."""
+    """Advance the clocks that aren't frozen, and deliver only matching messages."""
     for node in cluster.nodes.values():
         if node.instance not in frozen:
             node.clock += TICK_SECONDS
@@ -23,10 +23,10 @@
 
 
 def test_a_follower_waits_until_it_has_applied_what_was_acknowledged():
-    """A process that starts is told an old configuration by a follower.
+    """A follower answers a starting process with an old configuration.
 
-    The leader's answer overtakes the entries: the follower knows from which index
-    on it may answer and has not applied that far.
+    The leader's answer overtakes the entries, so the follower knows the read index
+    but has not applied the entries up to it.
     """
     cluster = Cluster.settled()
     follower = cluster.followers()[0]
@@ -51,8 +51,8 @@
 def test_a_deposed_leader_confirms_no_read_for_its_follower():
     """A read misses a change that was acknowledged before it.
 
-    A partition leaves the leader with one follower, and its clock stands still, so
-    that it believes in its lease; the others have elected a new leader.
+    A partition leaves the leader with one follower. Its clock stands still, so its
+    lease does not expire, and the others have elected a new leader.
     """
     cluster = Cluster.settled(5)
     side = frozenset({cluster.leader().instance, cluster.followers()[0]})
--- a/tests/cover/agreement/test_leadership.py
+++ b/tests/cover/agreement/test_leadership.py
@@ -1,4 +1,4 @@
-"""Check who leads, and what a leader without followers may still do."""
+"""Check elections, leadership transfer, and leaders without a quorum."""
 
 import pytest
 from hypothesis import given, settings
@@ -10,12 +10,12 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 def test_an_isolated_leader_neither_commits_nor_confirms_and_says_so(size):
-    """Operators see two leaders, and one of them accepts changes that vanish.
+    """Operators see two leaders, and one of them accepts changes that are lost.
 
-    A partition cuts the leader off; it goes on taking proposals and reads. The
-    others elect a new leader and commit. The old one must have answered nothing,
-    must refuse with `no_quorum` once its lease is over, and must drop its entries
-    when the partition heals.
+    A partitioned leader still receives proposals and reads, while the others elect a
+    new leader and commit. The old one must not acknowledge anything, must refuse with
+    `no_quorum` once its lease has expired, and must drop its entries when the
+    partition heals.
     """
     cluster = Cluster.settled(size)
     old = cluster.leader().instance
@@ -36,10 +36,10 @@
 
 
 def test_a_leader_that_was_frozen_refuses_the_first_proposal_after_it_wakes():
-    """A change is accepted by a process that was stopped for a minute.
+    """A process that was frozen for a minute accepts a change.
 
-    The process of the leader is frozen, the others elect a new one, and it wakes
-    with a proposal and a read in its queue, before any tick or message.
+    The others have elected a new leader meanwhile. The old one resumes with a proposal
+    and a read in its queue, before any tick or message.
     """
     cluster = Cluster.settled()
     old = cluster.leader().instance
@@ -51,10 +51,10 @@
 @given(seed=st.integers(0, 10_000), rounds=st.integers(1, 200))
 @settings(max_examples=15, deadline=None, derandomize=True)
 def test_a_replica_that_comes_back_deposes_nobody(seed, rounds):
-    """Every end of a partition costs a second without a leader.
+    """The end of every partition costs a second without a leader.
 
-    A follower that is cut off stands for election again and again; with a grown
-    term it would depose the leader that the others follow.
+    A partitioned follower starts elections again and again. With a raised term, it
+    would depose the leader that the others follow.
     """
     cluster = Cluster.settled(seed=seed)
     leader = cluster.leader().instance
@@ -73,8 +73,8 @@
 def test_a_leader_that_shuts_down_hands_over_at_once(seed, waiting):
     """Each planned restart of the leader stops changes for an election timeout.
 
-    The leader hands over before it exits: proposals accepted so far are committed,
-    and the successor leads without any silence before it.
+    The leader transfers leadership before it exits: accepted proposals are committed,
+    and the successor leads without waiting for the timeout.
     """
     cluster = Cluster.settled(seed=seed)
     old = cluster.leader().instance
@@ -91,11 +91,11 @@
 
 
 def test_a_replica_whose_term_is_ahead_finds_its_way_back():
-    """One replica falls behind for good after a planned restart was called off.
+    """One replica never catches up after a planned restart was cancelled.
 
-    It was asked to take over and raised its term, but all that it sent got lost.
-    The old leader goes on in the old term, which the replica no longer follows,
-    and the others, who hear their leader, answer none of its pre-votes.
+    It was asked to take over and raised its term, but all its messages were lost. The
+    old leader continues in the old term, which the replica no longer follows, and the
+    others, which hear the leader, ignore its pre-votes.
     """
     cluster = Cluster.settled()
     leader = cluster.leader().instance
@@ -110,10 +110,10 @@
 
 
 def test_a_replica_with_a_failed_disk_gives_no_vote_and_says_why():
-    """A replica promises what its disk can't keep, and forgets it at its restart.
+    """A replica gives a vote that its disk can't store, and forgets it on restart.
 
-    The disk of a follower fails; then the leader is lost. The third replica must
-    not become leader by the vote of the failed one.
+    The disk of a follower fails, then the leader is lost. The third replica must not
+    become leader with the vote of the failed one.
     """
     cluster = Cluster.settled()
     leader = cluster.leader().instance
@@ -150,7 +150,7 @@
 def test_clocks_that_jump_back_delay_no_election():
     """After clocks were set back by an hour, a lost leader is replaced an hour late.
 
-    Timers that were set by the old time lie far in the future.
+    Timers that were set before the jump end far in the future.
     """
     cluster = Cluster.settled()
     for instance in cluster.nodes:
@@ -165,8 +165,8 @@
 def test_the_time_of_entries_never_falls(seed):
     """A deadline that had passed is open again after a change of leader.
 
-    The next leader's clock is behind; the cluster compares the times of entries
-    whenever one is applied.
+    The clock of the next leader is behind. The cluster compares the timestamps of
+    entries whenever one is applied.
     """
     cluster = Cluster.settled(seed=seed)
     first = cluster.leader().instance
@@ -181,10 +181,10 @@
 
 
 def test_a_proposal_that_is_repeated_enters_the_log_once_and_is_answered():
-    """A large change goes through the log several times, before what waits behind it.
+    """A large change is replicated several times and delays the changes after it.
 
-    Its proposer hears nothing for a second, since the commit takes longer, and sends it
-    again. The leader has it already, and answers once it is committed.
+    The commit takes longer than a second, so the proposer sends the change again. The
+    leader has it already, and must answer once it is committed.
     """
     cluster = Cluster.settled(3)
     leader = cluster.leader()
--- a/tests/cover/agreement/test_membership.py
+++ b/tests/cover/agreement/test_membership.py
@@ -1,4 +1,4 @@
-"""Check how replicas come, go and are lost."""
+"""Check how replicas are added, removed, wiped and lost."""
 
 import pytest
 
@@ -14,11 +14,11 @@
 
 
 def test_a_wiped_disk_never_votes_under_its_old_name():
-    """An accepted change is gone after a disk was replaced.
+    """An accepted change is lost after a disk was replaced.
 
-    The change is on the leader and on one follower, the other one was cut off.
-    The follower's disk is wiped and the leader is lost. The wiped one must not
-    help the third, which misses the change, to become leader.
+    The change is on the leader and one follower; the other follower is partitioned.
+    The first follower's disk is wiped and the leader is lost. The wiped replica must
+    not vote for the third one, which misses the change.
     """
     cluster = Cluster.settled()
     leader = cluster.leader().instance
@@ -37,10 +37,10 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 def test_a_second_loss_right_after_a_repair_is_survived(size):
-    """Changes are refused for good although only one disk at a time was lost.
+    """Changes are refused permanently although only one disk was lost at a time.
 
-    A wiped replica joins again; as soon as it has its vote back, another one is
-    wiped, the leader among them, and so on for every replica.
+    A wiped replica joins again. As soon as it is a voter, the next one is wiped, until
+    every replica, including the leader, has been.
     """
     cluster = Cluster.settled(size)
     for lost in sorted(cluster.nodes):
@@ -53,11 +53,11 @@
 
 
 def test_a_second_change_waits_until_the_first_is_whole():
-    """Two repairs at once leave a quorum that has seen none of the changes.
+    """Two membership changes at once leave a quorum that has none of the entries.
 
-    A replica is wiped and joins as a learner that gets no entries; another
-    removal is asked for meanwhile. It is refused with the reason, and accepted
-    once the learner has its vote.
+    A wiped replica joins as a learner and gets no entries, and a removal is proposed
+    meanwhile. The removal is refused with the reason, and accepted once the learner is
+    a voter.
     """
     cluster = Cluster.settled(5)
     leader = cluster.leader().instance
@@ -78,10 +78,10 @@
 
 
 def test_a_healthy_replica_is_not_removed_while_another_is_down():
-    """Taking out one of three replicas stops all changes.
+    """Removing one of three replicas stops all changes.
 
-    One replica is cut off when the operator removes another: the removal would
-    leave a quorum that can't be reached, and is refused with the reason.
+    One replica is partitioned when the operator removes another. The removal would
+    make the quorum unreachable, and is refused with the reason.
     """
     cluster = Cluster.settled()
     down, healthy = cluster.followers()
@@ -96,8 +96,8 @@
 def test_a_learner_gets_its_vote_only_when_it_holds_everything():
     """After one more loss, accepted changes are on too few disks.
 
-    A wiped replica hears the leader, but the entries that it misses get lost on
-    the way; its vote must wait for them.
+    A wiped replica hears the leader, but the entries that it misses are lost on the
+    way. It must not become a voter before it has them.
     """
     cluster = Cluster.settled()
     wiped = cluster.followers()[0]
@@ -120,9 +120,9 @@
 def test_a_late_answer_to_a_wiped_disk_founds_no_second_cluster():
     """Two clusters exist side by side, each with a leader.
 
-    While the cluster was founded, every replica told the first one that it was
-    empty. The first one's disk is wiped, and late copies of those answers reach
-    the new disk, which would believe that it has to found a cluster.
+    When the cluster was started, every replica answered the first one that it was
+    empty. The first one's disk is wiped, and delayed copies of those answers arrive
+    and would make it start a second cluster.
     """
     cluster = Cluster.settled()
     first, *others = sorted(cluster.nodes)
@@ -138,10 +138,10 @@
 
 
 def test_a_founder_that_crashed_before_its_sync_founds_again():
-    """A new fleet never gets a leader.
+    """A new cluster never gets a leader.
 
-    The first replica noted that it founds the cluster and ended before its first
-    entry was synced. Found by a seeded walk.
+    The first replica wrote the identity of the new cluster, and crashed before its
+    first entry was synced. Found by a random walk.
     """
     cluster = Cluster.of_size(3)
     founder = sorted(cluster.nodes)[0]
@@ -157,12 +157,12 @@
 
 
 def test_a_voter_that_alone_holds_its_removal_leads_the_others_on():
-    """Changes are refused for good after one replica was taken out.
+    """Changes are refused permanently after one replica was removed.
 
-    The leader of two removes itself and crashes before anybody else has the
-    entry. The other needs its vote but has the shorter log; so the removed one
-    must stand for election, although it is no voter by its own log. Found by a
-    seeded walk.
+    The leader of two replicas removes itself, and crashes before the other has the
+    entry. The other needs its vote but has the shorter log. So the removed replica
+    must stand for election, though it is no voter by its own log. Found by a random
+    walk.
     """
     cluster = Cluster.settled()
     first_removed = cluster.followers()[0]
@@ -184,11 +184,11 @@
 
 
 def test_a_newcomer_that_was_forgotten_asks_again():
-    """A repaired replica stays out of the cluster for good.
+    """A wiped replica never joins the cluster again.
 
-    The leader takes the wiped replica in and is lost before anybody else has the
-    change; the newcomer has joined the cluster by a message that brought it no
-    entry. The next leader drops the change. Found by a seeded walk.
+    The leader adds the wiped replica, and is lost before another has the change. The
+    replica has joined the cluster by a message without entries, and the next leader
+    drops the change. Found by a random walk.
     """
     cluster = Cluster.settled(5)
     leader = cluster.leader().instance
@@ -212,9 +212,9 @@
 def test_operators_go_on_from_one_replica_after_the_loss_of_a_quorum():
     """Two of three disks are lost, and every change is refused.
 
-    The operator makes the last replica the only member of a new cluster. It goes
-    on from its log; an old replica that turns out to be alive is refused, and
-    joins again once it is wiped.
+    The operator makes the last replica the only member of a new cluster, which
+    continues from its log. An old replica that is still alive is refused, and joins
+    again once it is wiped.
     """
     cluster = Cluster.settled()
     accepted = cluster.acknowledge()
--- a/tests/cover/agreement/test_open_membership.py
+++ b/tests/cover/agreement/test_open_membership.py
@@ -1,4 +1,4 @@
-"""Check replicas that find each other, with no list of them anywhere."""
+"""Check clusters with open membership, which have no fixed list of instances."""
 
 from common.agreement_cluster import Cluster
 from common.agreement_node import Node
@@ -10,19 +10,19 @@
 )
 from cowslipshelf_core.identifiers import InstanceId
 
-OPEN = {"open_membership": True, "max_failures": 1}
+OPEN_MEMBERSHIP = {"open_membership": True, "max_failures": 1}
 
 
-def founded(size: int = 3) -> Cluster:
-    """Found a cluster at its first replica, and let the others join."""
-    cluster = Cluster.of_size(size, **OPEN)
+def started_cluster(size: int = 3) -> Cluster:
+    """Start a cluster at its first replica, and let the others join."""
+    cluster = Cluster.of_size(size, **OPEN_MEMBERSHIP)
     cluster.step("entry-0", [BootstrapCluster()])
     cluster.run_until(lambda: has_voters(cluster, cluster.nodes))
     return cluster
 
 
 def has_voters(cluster: Cluster, instances) -> bool:
-    """Tell whether a leader counts just these instances as voters."""
+    """Return whether a leader has exactly these instances as voters."""
     leader = cluster.leader()
     if leader is None:
         return False
@@ -31,25 +31,25 @@
 
 
 def test_the_others_join_the_one_that_founds():
-    cluster = founded()
+    cluster = started_cluster()
     accepted = cluster.acknowledge()
     cluster.settle()
     assert all(accepted in node.commands for node in cluster.nodes.values())
 
 
 def test_nobody_founds_unless_told_to():
-    """Two halves of a fleet that start cut off from each other hold two truths.
+    """Two partitioned halves start two clusters with different states.
 
-    Replicas that know only some of the others must not take these for all.
+    Replicas that know only some of the others must not assume that these are all.
     """
-    cluster = Cluster.of_size(3, **OPEN)
+    cluster = Cluster.of_size(3, **OPEN_MEMBERSHIP)
     cluster.run(100)
     assert cluster.leader() is None
 
 
 def test_no_command_is_accepted_while_the_founder_is_alone():
-    """An acknowledged change is gone with the one disk that held it."""
-    cluster = Cluster.of_size(3, **OPEN)
+    """An acknowledged change is lost with the one disk that held it."""
+    cluster = Cluster.of_size(3, **OPEN_MEMBERSHIP)
     cluster.step("entry-0", [BootstrapCluster()])
     for _ in range(100):
         cluster.nodes["entry-0"].clock += 0.05
@@ -60,12 +60,12 @@
 
 
 def test_a_new_instance_takes_the_place_of_one_that_is_gone_for_good():
-    """All changes stop at the second loss although the first was long repaired.
+    """All changes stop at the second loss, although the first was long replaced.
 
-    A machine is removed and another comes at a new address with an empty disk. The
-    lost one must not count in quorums for ever.
+    A machine is removed, and another joins at a new address with an empty disk. The
+    lost one must not count for quorums for ever.
     """
-    cluster = founded()
+    cluster = started_cluster()
     accepted = cluster.acknowledge()
     cluster.crash("entry-2")
     newcomer = InstanceId("entry-9")
@@ -78,8 +78,8 @@
 
 
 def test_a_voter_that_was_silent_for_long_comes_back():
-    """A machine that was cut off for long stays a stranger to its own cluster."""
-    cluster = founded(4)
+    """A machine that was partitioned for long never joins its cluster again."""
+    cluster = started_cluster(4)
     cluster.isolate("entry-3")
     cluster.run_until(lambda: has_voters(cluster, ("entry-0", "entry-1", "entry-2")))
     cluster.heal()
@@ -87,8 +87,8 @@
 
 
 def test_a_silent_voter_stays_where_there_are_no_more_than_needed():
-    """A frozen machine wakes and its quorum has been made smaller without it."""
-    cluster = founded(3)
+    """The quorum of a cluster without spare voters shrinks while one is frozen."""
+    cluster = started_cluster(3)
     cluster.isolate("entry-2")
     cluster.run(400)
     assert has_voters(cluster, cluster.nodes)
--- a/tests/cover/agreement/test_proposal_client.py
+++ b/tests/cover/agreement/test_proposal_client.py
@@ -1,4 +1,4 @@
-"""Check that commands reach the leader, and that the client never guesses."""
+"""Check that commands reach the leader, and that reported outcomes are true."""
 
 from random import Random
 
@@ -29,7 +29,7 @@
 
 
 class ProposalClientMachine(RuleBasedStateMachine):
-    """Play replicas that accept, refuse or stay silent."""
+    """Simulate replicas that accept, refuse or don't answer."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
@@ -38,7 +38,7 @@
         self.client = ProposalClient.from_config(config)
         self.now = 0.0
         self.asked = []
-        """Copies under way, as (replica, proposal)."""
+        """Unanswered copies, as (replica, proposal)."""
         self.answers = []
         self.deadlines = {}
         self.accepted = set()
@@ -134,7 +134,7 @@
 
 
 def test_a_command_finds_the_leader_whoever_is_asked_first():
-    """A change takes seconds because each replica is asked in turn."""
+    """A change takes seconds because replicas are asked one after another."""
     for seed in range(20):
         client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
         random = Random(seed)
@@ -152,8 +152,8 @@
 def test_a_late_refusal_brings_no_further_copy():
     """An overloaded leader gets several copies of each command.
 
-    A replica was silent for too long, so that another was asked; then its refusal
-    arrives, while the other one is at work.
+    A replica doesn't answer in time, so another one is asked. Then the refusal of the
+    first arrives, while the second is still working.
     """
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
     random = Random(0)
@@ -166,10 +166,10 @@
 
 
 def test_a_new_leader_is_asked_at_once_for_what_the_former_one_left_unanswered():
-    """An operator's confirm takes a second longer than the election did.
+    """The confirmation of an operator takes a second longer than the election.
 
-    The command went to a leader that died. Another one leads soon after, and the
-    client knows it, but goes on waiting for the dead one's answer.
+    The command was sent to a leader that crashed. The client knows the new leader, but
+    keeps waiting for the answer of the old one.
     """
     random = Random(1)
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
@@ -182,9 +182,9 @@
 
 
 def test_a_large_command_is_given_the_time_that_it_travels():
-    """A large change is sent over and over, and fills the link before it.
+    """A large change is sent again and again, and saturates the link.
 
-    It takes longer on its way than the silence after which another replica is asked.
+    Its transfer takes longer than the time after which another replica is asked.
     """
     pace = ProposalClientConfig(REPLICAS).min_bytes_per_second
     client = ProposalClient.from_config(ProposalClientConfig(REPLICAS))
--- a/tests/cover/agreement/test_slow_disks.py
+++ b/tests/cover/agreement/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""Check that replicas on slow disks found a cluster, and keep their leader."""
+"""Check that replicas on slow disks start a cluster, and keep their leader."""
 
 from random import Random
 
@@ -11,17 +11,17 @@
 
 FAST_SECONDS = 0.0005
 RECOVER_SECONDS = 12.0
-"""Time within which a fleet has to take changes again after a loss."""
+"""Time within which a fleet must accept changes again after a failure."""
 
 
-def drawn(seed: int, least: float, most: float):
-    """Draw each sync from a range."""
+def random_sync_seconds(seed: int, least: float, most: float):
+    """Return a function that draws the time of each sync from a range."""
     random = Random(seed)
     return lambda _name, _now: random.uniform(least, most)
 
 
 def commit(fleet: SlowFleet, proposal_id: str, seconds: float) -> float:
-    """Propose a command at whoever leads, again after a refusal, until it commits."""
+    """Propose a command to the leader, again after a refusal, until it is committed."""
 
     def committed() -> bool:
         leader = fleet.leader()
@@ -41,8 +41,8 @@
 @settings(max_examples=10, deadline=None)
 @pytest.mark.parametrize("most", [0.1, 1.0, 3.0])
 def test_a_fleet_of_slow_disks_founds_its_cluster_and_takes_changes(most, seed, size):
-    """A fleet whose syncs take a second elects on for ever and takes no change."""
-    fleet = SlowFleet.of_size(size, seed, drawn(seed, most / 2, most))
+    """A fleet with syncs of a second holds elections for ever and commits nothing."""
+    fleet = SlowFleet.of_size(size, seed, random_sync_seconds(seed, most / 2, most))
     fleet.run_until(lambda: fleet.voters() >= 3, 5 + 20 * most)
     commit(fleet, "first", 2 + 8 * most)
 
@@ -51,8 +51,8 @@
 @settings(max_examples=10, deadline=None)
 @pytest.mark.parametrize("most", [0.1, 1.0, 3.0])
 def test_a_leader_on_a_slow_disk_is_kept_while_all_are_slow(most, seed):
-    """Changes stop again and again although every replica is there."""
-    fleet = SlowFleet.of_size(3, seed, drawn(seed, most / 2, most))
+    """Changes stop again and again although every replica is running."""
+    fleet = SlowFleet.of_size(3, seed, random_sync_seconds(seed, most / 2, most))
     fleet.run_until(lambda: fleet.voters() == 3, 5 + 20 * most)
     commit(fleet, "first", 2 + 8 * most)
     leader, changes = fleet.leader(), len(fleet.role_changes)
@@ -65,23 +65,23 @@
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=10, deadline=None)
 def test_a_new_leader_is_found_on_slow_disks(seed):
-    fleet = SlowFleet.of_size(3, seed, drawn(seed, 0.5, 1.0))
+    fleet = SlowFleet.of_size(3, seed, random_sync_seconds(seed, 0.5, 1.0))
     fleet.run_until(lambda: fleet.voters() == 3, 25)
     commit(fleet, "first", 10)
-    silence(fleet, fleet.leader())
+    remove_replica(fleet, fleet.leader())
     fleet.run_until(fleet.leader, 30)
     commit(fleet, "second", 15)
 
 
-def silence(fleet: SlowFleet, name: str) -> None:
-    """Take a replica away for good."""
+def remove_replica(fleet: SlowFleet, name: str) -> None:
+    """Remove a replica permanently."""
     del fleet.nodes[name]
 
 
 @given(seed=st.integers(0, 10_000), slow=st.sampled_from([0, 1, 2]))
 @settings(max_examples=10, deadline=None)
 def test_one_slow_disk_among_three_holds_up_no_change_for_long(seed, slow):
-    """One disk that takes seconds holds up what the two others have long written."""
+    """One disk with syncs of seconds delays commits that the two others have synced."""
     fleet = SlowFleet.of_size(
         3, seed, lambda name, _: 2.0 if name.endswith(str(slow)) else FAST_SECONDS
     )
@@ -95,7 +95,7 @@
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=10, deadline=None)
 def test_disks_that_turn_slow_for_a_while_leave_the_fleet_as_it_was(seed):
-    """All disks are slow for ten seconds in the middle of a day."""
+    """The fleet stays slow after all disks were slow for ten seconds."""
 
     def sync_seconds(name: str, now: float) -> float:
         return 1.0 if 20.0 <= now < 30.0 else FAST_SECONDS
@@ -112,9 +112,9 @@
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=10, deadline=None)
 def test_fast_disks_elect_as_fast_as_without_any_word_of_syncs(seed):
-    """A guard for slow disks makes every fail-over slower."""
+    """The allowance for slow disks makes every failover slower."""
     fleet = SlowFleet.of_size(3, seed, lambda _name, _now: FAST_SECONDS)
     fleet.run_until(lambda: fleet.voters() == 3, 10)
     fleet.run(3)
-    silence(fleet, fleet.leader())
+    remove_replica(fleet, fleet.leader())
     assert fleet.run_until(fleet.leader, 5) < 3.0
--- a/tests/cover/agreement/test_votes.py
+++ b/tests/cover/agreement/test_votes.py
@@ -43,7 +43,7 @@
     return StoredState(FIRST, hard_state, None, (FOUNDING, *entries))
 
 
-def hand(replica: Replica, sender: ReplicaId, kind: type, term: int, **fields):
+def deliver(replica: Replica, sender: ReplicaId, kind: type, term: int, **fields):
     message = kind(
         sender_folder=sender.folder,
         recipient_folder=FIRST.folder,
@@ -57,17 +57,17 @@
 
 def ask_vote(replica: Replica, candidate: ReplicaId):
     fields = {"last_index": 1, "last_term": 1, "pre_vote": False}
-    effects = hand(replica, candidate, VoteAsked, 2, **fields)
+    effects = deliver(replica, candidate, VoteAsked, 2, **fields)
     answers = [e.message for e in effects if isinstance(e, SendTo)]
     saved = [e.hard_state for e in effects if isinstance(e, Persist) and e.hard_state]
     return answers[-1].granted, saved
 
 
 def test_a_vote_outlives_a_restart():
-    """Two leaders hold the same term, and two values stand at one index.
+    """Two leaders have the same term, and commit two values at one index.
 
-    A replica votes for one candidate, is restarted, and is asked by another in
-    the same term; what it does depends on what it had synced before it answered.
+    A replica votes for one candidate, restarts, and is asked by another in the same
+    term. It must have synced its vote before it answered.
     """
     granted, saved = ask_vote(Replica.from_config(CONFIG, stored(1)), SECOND)
     assert granted
@@ -79,57 +79,57 @@
 
 
 def elected(entry: Entry) -> Replica:
-    """Return the leader of term 4, with an older entry and its own no-op."""
+    """Return a leader of term 4, with an older entry and its own no-op."""
     replica = Replica.from_config(CONFIG, stored(3, entry))
     replica.handle(TickElapsed(), 98.0, RANDOM)
     replica.handle(TickElapsed(), 100.0, RANDOM)
     for pre_vote in (True, False):
         fields = {"granted": True, "pre_vote": pre_vote}
-        hand(replica, SECOND, VoteAnswered, 4, **fields)
+        deliver(replica, SECOND, VoteAnswered, 4, **fields)
     return replica
 
 
 def test_a_new_leader_changes_no_membership_before_its_first_commit():
-    """Two leaders commit by quorums that share no replica.
+    """Two leaders commit with quorums that share no replica.
 
-    A leader finds a change of the membership in its log that may not be committed
-    and makes the next one after it; another leader does so without the first.
+    A leader has a membership change in its log that may not be committed, and makes
+    the next change after it. Another leader does so without the first change.
     """
     learner = ReplicaId("entry-3", "folder-3")
     joining = encode_membership(Membership((FIRST, SECOND, THIRD), (learner,)))
     replica = elected(Entry(2, 2, 0.0, EntryKind.MEMBERSHIP, joining))
     fields = {"match_index": 3, "read_round": 0}
-    hand(replica, learner, EntriesAppended, 4, **fields)
+    deliver(replica, learner, EntriesAppended, 4, **fields)
     assert replica.status().membership.learners == (learner,)
-    hand(replica, SECOND, EntriesAppended, 4, **fields)
+    deliver(replica, SECOND, EntriesAppended, 4, **fields)
     assert replica.status().membership.voters[-1] == learner
 
 
 def test_an_entry_of_an_older_term_is_not_committed_by_counting():
     """An acknowledged change is overwritten by a later leader.
 
-    A leader finds that a quorum holds an entry of an older term. Another replica
-    with a later term in its log could still be elected and overwrite it, until an
-    entry of the leader's own term is on a quorum too.
+    A quorum has an entry of an older term. Another replica with a later term in its
+    log could still be elected and overwrite it, until an entry of the leader's own
+    term is on a quorum too.
     """
     replica = elected(Entry(2, 2, 0.0, EntryKind.COMMAND, b"old", "old"))
-    counted = hand(replica, SECOND, EntriesAppended, 4, match_index=2, read_round=0)
+    counted = deliver(replica, SECOND, EntriesAppended, 4, match_index=2, read_round=0)
     assert not [e for e in counted if isinstance(e, Committed)]
-    own = hand(replica, SECOND, EntriesAppended, 4, match_index=3, read_round=0)
+    own = deliver(replica, SECOND, EntriesAppended, 4, match_index=3, read_round=0)
     assert [e.index for e in own if isinstance(e, Committed)] == [1, 2, 3]
 
 
 def test_a_membership_that_was_cut_off_the_log_is_out_of_force():
-    """A replica counts votes by a membership that never was.
+    """A replica counts votes by a membership that was never committed.
 
-    A change was appended under a leader that was lost, and the next leader cuts it
-    off; what was in force before must be in force again.
+    A change was appended under a leader that was lost, and the next leader truncates
+    it. The previous membership must be current again.
     """
     joining = encode_membership(Membership((FIRST, SECOND)))
     change = Entry(2, 2, 0.0, EntryKind.MEMBERSHIP, joining)
     replica = Replica.from_config(CONFIG, stored(2, change))
     assert replica.status().membership.voters == (FIRST, SECOND)
-    hand(
+    deliver(
         replica,
         THIRD,
         AppendEntries,
@@ -144,11 +144,11 @@
 
 
 def test_a_leader_by_itself_tells_nothing_that_its_crash_could_take_back():
-    """A replica that joined has applied a change that the leader never had.
+    """A learner has applied a change that the leader lost in a crash.
 
-    A single voter commits what it appends at once, and sends entries beside its
-    sync. What goes out before the sync must neither use a term that is not synced
-    yet nor call an entry committed that is not.
+    A single voter commits what it appends at once, and sends entries during its sync.
+    What it sends before the sync must neither use a term that is not synced yet nor
+    report an entry as committed that is not.
     """
     joining = encode_membership(Membership((FIRST,), (SECOND,)))
     alone = FOUNDING._replace(payload=joining)
@@ -169,11 +169,11 @@
 
 
 def test_a_replica_that_cannot_hear_the_leader_deposes_nobody():
-    """The fleet changes its leader every second although most replicas are well.
+    """The leader changes every second although most replicas are healthy.
 
-    Messages from the leader to one follower get lost, the other way they arrive.
-    The follower stands for election again and again; the third replica hears the
-    leader and must not help to depose it.
+    Messages from the leader to one follower are lost, and those in the other direction
+    arrive. The follower starts elections again and again. The third replica hears the
+    leader and must not vote for the follower.
     """
     cluster = Cluster.of_size(3)
     cluster.run_until(cluster.is_settled)
--- a/tests/nocover/agreement/test_on_folders.py
+++ b/tests/nocover/agreement/test_on_folders.py
@@ -1,11 +1,11 @@
-"""Check the agreement on real data folders."""
+"""Check the replicated log on real data folders."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
 import pytest
 
-from common.agreement_walk import Walk
+from common.agreement_walk import RandomWalk
 from cowslipshelf_core.agreement import ReplicaId
 from cowslipshelf_host.storage import ReplicaStorage, ReplicaStorageConfig
 
@@ -13,7 +13,7 @@
 
 
 class FolderDisk:
-    """Be a data folder that is opened anew, with all checks, at each load."""
+    """Implement a disk by a data folder that each load reopens and checks."""
 
     def __init__(self, root: Path, instance: str, folder: str) -> None:
         path = root / folder
@@ -39,15 +39,15 @@
         self.storage.sync()
 
     def lose_unsynced(self, survivors: int) -> None:
-        """Lose nothing: the process ends, and the system keeps what it wrote."""
+        """Lose nothing, since the system keeps the writes of a process that ended."""
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_long_histories_lose_nothing_on_real_folders(seed):
-    """A replica starts with another log than it had when its process ended.
+    """A replica restarts with a log that differs from the one it had.
 
-    The histories are those of the in-memory tests; each start and each check reads
-    the folder as a new process would.
+    The histories are those of the in-memory tests. Each start and each check reads the
+    folder as a new process would.
     """
     with TemporaryDirectory() as root:
-        Walk(seed, lambda *names: FolderDisk(Path(root), *names)).run()
+        RandomWalk(seed, lambda *names: FolderDisk(Path(root), *names)).run()
