--- a/packages/core/src/cowslipshelf_core/agreement.py
+++ b/packages/core/src/cowslipshelf_core/agreement.py
@@ -1,4 +1,4 @@
-"""Agree on one log among the replicas, without input or output."""
+"""Replicate one log among replicas with Raft, without input or output."""
 
 from cowslipshelf_core.internal.agreement.config import ReplicaConfig
 from cowslipshelf_core.internal.agreement.effects import (
@@ -18,10 +18,10 @@
 from cowslipshelf_core.internal.agreement.errors import LogDivergedError
 from cowslipshelf_core.internal.agreement.events import (
     AddReplica,
+    BootstrapCluster,
     CommandProposed,
     DiskFailed,
     Event,
-    FoundCluster,
     MembershipChange,
     MembershipProposed,
     PeerMessageArrived,
@@ -50,7 +50,8 @@
     VoteAnswered,
     VoteAsked,
 )
-from cowslipshelf_core.internal.agreement.proposals import (
+from cowslipshelf_core.internal.agreement.proposal_client import (
+    CommandSubmitted,
     LeaderSeen,
     ProposalAnswered,
     ProposalClient,
@@ -59,7 +60,6 @@
     ProposalClientEvent,
     ProposalFailed,
     ProposalResultArrived,
-    SubmitAsked,
 )
 from cowslipshelf_core.internal.agreement.records import (
     Entry,
@@ -85,6 +85,7 @@
     "AgreementMessage",
     "AppendEntries",
     "AppendRefused",
+    "BootstrapCluster",
     "CommandProposed",
     "Committed",
     "DiskFailed",
@@ -94,7 +95,6 @@
     "EntryKind",
     "Event",
     "ForcedMembership",
-    "FoundCluster",
     "HardState",
     "InstallSnapshot",
     "InstallState",
@@ -138,7 +138,7 @@
     "SnapshotTaken",
     "SnapshotWanted",
     "StoredState",
-    "SubmitAsked",
+    "CommandSubmitted",
     "TickElapsed",
     "TimeoutNow",
     "TransferLeadership",
--- a/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
@@ -1,4 +1,4 @@
-"""Elect one leader for each term."""
+"""Elect at most one leader per term."""
 
 from cowslipshelf_core.internal.agreement.effects import Role
 from cowslipshelf_core.internal.agreement.messages import VoteAnswered, VoteAsked
@@ -7,21 +7,21 @@
 from cowslipshelf_core.internal.agreement.state import Campaign, ReplicaState
 
 
-def may_lead(state: ReplicaState) -> bool:
-    """Tell whether this replica stands for election.
+def may_campaign(state: ReplicaState) -> bool:
+    """Return whether this replica may stand for election.
 
-    A voter whose removal is not known to be committed still does, on behalf of
-    the voters that stay: it may be the only one that holds the removal. They would
-    get no vote from it, its log being longer, and without it no quorum.
+    A voter whose removal is not known to be committed may, too. It can be the only
+    replica that holds the removal; the remaining voters then need its vote for a
+    quorum and can't get it, since its log is longer than theirs.
     """
     if state.replica_id in state.membership.voters:
         return True
     uncommitted = state.commit_index < state.log.membership_index
-    return uncommitted and state.replica_id in state.log.membership_before.voters
+    return uncommitted and state.replica_id in state.log.previous_membership.voters
 
 
 def campaign_when_due(state: ReplicaState) -> None:
-    """Stand for election, as a voter, after too long a silence."""
+    """Start a pre-vote when the election timeout has passed."""
     if state.election_due is None:
         state.start_campaign_timer()
     if state.now >= state.election_due:
@@ -29,24 +29,24 @@
 
 
 def campaign(state: ReplicaState, pre_vote: bool, transfer: bool = False) -> None:
-    """Ask for votes; the pre-vote raises no term.
+    """Ask all other voters for their vote; a pre-vote does not raise the term.
 
-    Without it, a replica that was cut off would come back with a term grown by
-    its failed elections and depose a healthy leader.
+    Without the pre-vote, a replica that was partitioned would return with a term
+    raised by its failed elections and depose a healthy leader.
     """
     term = state.term + 1
     if not pre_vote:
         state.save_hard_state(term=term, voted_for=state.replica_id)
     state.campaign = Campaign(pre_vote, term, transfer, {state.replica_id})
-    state.become(Role.CANDIDATE, None)
+    state.set_role(Role.CANDIDATE, None)
     state.restart_campaign_timer()
     if not pre_vote:
-        state.await_vote_round()
+        state.extend_vote_round()
     if count_votes(state):
         return
     for voter in state.membership.voters:
         if voter != state.replica_id:
-            state.send_at(
+            state.send_in_term(
                 term,
                 voter,
                 VoteAsked,
@@ -59,18 +59,18 @@
 
 
 def count_votes(state: ReplicaState) -> bool:
-    """Go on to the election, or to lead, once a quorum is for it."""
+    """Move on from pre-vote to election, or to leader, once a quorum agrees."""
     if not state.membership.is_quorum(state.campaign.granted):
         return False
     if state.campaign.pre_vote:
         campaign(state, pre_vote=False)
     else:
-        lead(state)
+        become_leader(state)
     return True
 
 
-def lead(state: ReplicaState) -> None:
-    """Begin to lead, with a no-op that can commit the entries of older terms."""
+def become_leader(state: ReplicaState) -> None:
+    """Become leader, and append a no-op that commits the entries of older terms."""
     state.campaign = None
     start_index = state.log.last_index + 1
     state.leadership = Leadership(
@@ -79,12 +79,12 @@
     for peer in state.membership.replicas:
         if peer != state.replica_id:
             state.leadership.peers[peer] = PeerProgress(start_index)
-    state.become(Role.LEADER, state.replica_id.instance)
-    state.append_own(EntryKind.NO_OP, b"", "", state.log.last_at)
+    state.set_role(Role.LEADER, state.replica_id.instance)
+    state.append_as_leader(EntryKind.NO_OP, b"", "", state.log.last_at)
 
 
-def follows_a_leader(state: ReplicaState) -> bool:
-    """Tell whether a leader has been heard so lately that none else is wanted."""
+def follows_active_leader(state: ReplicaState) -> bool:
+    """Return whether this replica leads or has heard a leader within the timeout."""
     if state.leadership is not None:
         return True
     heard = state.leader_heard_at
@@ -93,8 +93,13 @@
     return state.now - heard < state.config.election_seconds + state.sync_allowance
 
 
-def vote_asked(state: ReplicaState, candidate: ReplicaId, message: VoteAsked) -> None:
-    """Answer a candidate whose term is not above the own one, or a pre-vote."""
+def on_vote_asked(
+    state: ReplicaState, candidate: ReplicaId, message: VoteAsked
+) -> None:
+    """Grant or refuse a vote or pre-vote.
+
+    The caller has already adopted the term of a vote that is above its own.
+    """
     own = (state.log.last_term, state.log.last_index)
     up_to_date = (message.last_term, message.last_index) >= own
     if message.pre_vote:
@@ -107,15 +112,15 @@
     if granted:
         state.save_hard_state(voted_for=candidate)
         state.restart_election_timer()
-        state.await_vote_round()
+        state.extend_vote_round()
     answer_vote(state, candidate, message, granted)
 
 
 def answer_vote(
     state: ReplicaState, candidate: ReplicaId, message: VoteAsked, granted: bool
 ) -> None:
-    """Send the answer: a yes under the asked term, a no under the own one."""
-    state.send_at(
+    """Send the answer: granted in the requested term, refused in the own term."""
+    state.send_in_term(
         message.term if granted else state.term,
         candidate,
         VoteAnswered,
@@ -125,8 +130,10 @@
     )
 
 
-def vote_answered(state: ReplicaState, voter: ReplicaId, message: VoteAnswered) -> None:
-    """Count a vote for the campaign that is on."""
+def on_vote_answered(
+    state: ReplicaState, voter: ReplicaId, message: VoteAnswered
+) -> None:
+    """Count a granted vote for the current campaign."""
     running = state.campaign
     if running is None or not message.granted:
         return
--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -1,4 +1,4 @@
-"""Take part in the agreement on one log."""
+"""Dispatch events and messages to the parts of a replica."""
 
 from collections.abc import Iterable
 from random import Random
@@ -6,22 +6,22 @@
 
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.internal.agreement import (
+    bootstrap,
     elections,
     following,
-    founding,
     leading,
     membership,
-    reading,
+    read_index,
     replication,
     snapshots,
 )
 from cowslipshelf_core.internal.agreement.config import ReplicaConfig
 from cowslipshelf_core.internal.agreement.effects import Effect, Role
 from cowslipshelf_core.internal.agreement.events import (
+    BootstrapCluster,
     CommandProposed,
     DiskFailed,
     Event,
-    FoundCluster,
     MembershipProposed,
     PeerMessageArrived,
     ReadAsked,
@@ -55,7 +55,7 @@
 
 
 class ReplicaStatus(NamedTuple):
-    """Describe a replica to operators."""
+    """Describe the state of a replica to operators."""
 
     replica_id: ReplicaId
     role: Role
@@ -64,25 +64,26 @@
     commit_index: int
     last_index: int
     membership: Membership
-    behind: tuple[tuple[ReplicaId, int], ...]
-    """Entries that each follower has yet to confirm, as its leader sees it."""
+    follower_lag: tuple[tuple[ReplicaId, int], ...]
+    """Entries that each follower has not confirmed yet, if this replica leads."""
     failure: str
+    """Why the disk failed; empty if it did not."""
     sync_seconds: float
-    """Time that its disk is expected to take for a batch."""
+    """Expected time to make a batch durable."""
 
 
 class Replica:
-    """Decide, without input or output, what one replica does."""
+    """Turn events into effects for one replica, without input or output."""
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
 
     @classmethod
     def from_config(cls, config: ReplicaConfig, stored: StoredState) -> "Replica":
-        """Start a replica from its settings and what its folder holds.
+        """Create a replica from its configuration and the content of its data folder.
 
-        The caller puts the state of the stored snapshot in force by itself; the
-        first entry committed here is the one after it.
+        The caller restores the state machine from the stored snapshot; the first
+        `Committed` effect is for the entry after it.
         """
         log = ReplicaLog.from_stored(stored)
         return cls(
@@ -97,7 +98,7 @@
         )
 
     def status(self) -> ReplicaStatus:
-        """Return what operators may want to see."""
+        """Return the status of this replica."""
         state = self.state
         peers = state.leadership.peers if state.leadership else {}
         return ReplicaStatus(
@@ -108,7 +109,7 @@
             commit_index=state.commit_index,
             last_index=state.log.last_index,
             membership=state.membership,
-            behind=tuple(
+            follower_lag=tuple(
                 (peer, state.log.last_index - progress.match_index)
                 for peer, progress in peers.items()
             ),
@@ -123,7 +124,7 @@
     def handle_batch(
         self, events: Iterable[Event], now: float, random: Random
     ) -> list[Effect]:
-        """Handle the events that wait, with one message per follower for them all."""
+        """Handle a batch of events, and send followers messages once for all."""
         state = self.state
         state.advance_clock(now)
         state.random = random
@@ -135,23 +136,23 @@
         if state.leadership is not None:
             leading.finish_batch(state)
         if state.forwarded_reads:
-            reading.settle_forwarded_reads(state)
+            read_index.resolve_forwarded_reads(state)
         effects = state.effects
         state.effects = []
         return effects
 
     def sync_ended(self, seconds: float, with_vote: bool) -> None:
-        """Take in how long the effects of the last batch took to be durable."""
+        """Record how long the last batch took to become durable."""
         self.state.sync_ended(seconds, with_vote)
 
     def dispatch(self, event: Event) -> None:
-        """Handle one event; a replica whose disk has failed only refuses."""
+        """Handle one event; with a failed disk, only refuse proposals and reads."""
         state = self.state
         match event:
             case CommandProposed() | MembershipProposed():
                 self.propose(event)
             case ReadAsked():
-                reading.read_asked(state, event)
+                read_index.on_read_asked(state, event)
             case _ if state.failure:
                 return
             case TickElapsed():
@@ -159,69 +160,69 @@
             case PeerMessageArrived(sender, message):
                 self.receive(sender, message)
             case SnapshotTaken():
-                snapshots.snapshot_taken(state, event)
+                snapshots.on_snapshot_taken(state, event)
             case TransferLeadership():
                 if state.leadership is not None:
                     leading.transfer_leadership(state)
             case ReplicasSeen(replicas):
                 state.replica_instances = replicas
-            case FoundCluster():
-                founding.found_alone(state)
+            case BootstrapCluster():
+                bootstrap.bootstrap_alone(state)
             case DiskFailed(reason):
                 self.fail(reason)
 
     def propose(self, event: CommandProposed | MembershipProposed) -> None:
-        """Take a proposal as the leader, or refuse it."""
+        """Accept a proposal as the leader, or refuse it."""
         state = self.state
-        refusal = leading.refusal_of(state)
+        refusal = leading.refusal_reason(state)
         if refusal is not None:
             state.refuse(event.proposal_id, refusal)
         elif isinstance(event, CommandProposed):
-            leading.command_proposed(state, event)
+            leading.on_command_proposed(state, event)
         else:
-            membership.membership_proposed(state, event)
+            membership.on_membership_proposed(state, event)
 
     def tick(self) -> None:
-        """Do what the time demands."""
+        """Handle the timers that are due."""
         state = self.state
         if state.leadership is not None:
-            leading.lead_on(state)
-        elif elections.may_lead(state):
+            leading.on_tick(state)
+        elif elections.may_campaign(state):
             elections.campaign_when_due(state)
-            founding.ask_back_when_due(state)
-        elif not elections.follows_a_leader(state):
-            founding.ask_when_due(state)
+            bootstrap.request_rejoin_when_due(state)
+        elif not elections.follows_active_leader(state):
+            bootstrap.request_join_when_due(state)
 
     def fail(self, reason: str) -> None:
-        """Take no further part: what was handled since the last sync may be lost."""
+        """Stop taking part, since everything after the last sync may be lost."""
         state = self.state
         state.become_follower(state.term, None)
         state.failure = reason
-        state.become(Role.FAILED, None)
+        state.set_role(Role.FAILED, None)
 
     def receive(self, sender: InstanceId, message: object) -> None:
         """Handle a message from the replica on another instance."""
         match message:
             case JoinAsked():
-                founding.join_asked(self.state, sender, message)
+                bootstrap.on_join_asked(self.state, sender, message)
             case JoinAnswered():
-                founding.join_answered(self.state, sender, message)
+                bootstrap.on_join_answered(self.state, sender, message)
             case ReplicaMessage():
                 if self.accept(message):
                     peer = ReplicaId(sender, message.sender_folder)
                     self.receive_from_peer(peer, message)
 
     def accept(self, message: ReplicaMessage) -> bool:
-        """Tell whether a message is for this folder and from this cluster.
+        """Return whether a message is for this folder and from its cluster.
 
-        An empty folder joins the cluster that first asks something binding of it,
-        for good: a message of another cluster can then do no harm here. A pre-vote
-        binds nobody, and an empty folder answers it without a cluster.
+        An empty folder joins the cluster of the first message that would change its
+        state, permanently, so that messages of other clusters are rejected from then
+        on. A pre-vote changes no state and is answered without joining.
         """
         state = self.state
         if message.recipient_folder != state.replica_id.folder:
             return False
-        if not founding.is_empty(state):
+        if not bootstrap.is_empty(state):
             return message.cluster == state.hard_state.cluster or (
                 isinstance(message, VoteAnswered) and message.pre_vote
             )
@@ -234,50 +235,52 @@
         return False
 
     def receive_from_peer(self, peer: ReplicaId, message: ReplicaMessage) -> None:
-        """Bring the own term up to the message's, then handle it."""
+        """Adopt the term of a message if it is newer, then handle the message."""
         state = self.state
-        self.hear_sync_time(peer, message)
+        self.record_sync_time(peer, message)
         if isinstance(message, VoteAsked):
-            # A replica that lost touch must not depose a leader that the others
-            # still hear; its wish is ignored, term and all.
-            if elections.follows_a_leader(state) and not message.transfer:
+            # A replica that lost contact must not depose a leader that others still
+            # hear; its request is ignored, including its term.
+            if elections.follows_active_leader(state) and not message.transfer:
                 return
             if message.term > state.term and not message.pre_vote:
                 state.become_follower(message.term, None)
-            elections.vote_asked(state, peer, message)
+            elections.on_vote_asked(state, peer, message)
             return
         promised = isinstance(message, VoteAnswered) and message.granted
         if message.term > state.term and not promised:
             state.become_follower(message.term, None)
         match message:
             case VoteAnswered():
-                elections.vote_answered(state, peer, message)
+                elections.on_vote_answered(state, peer, message)
             case AppendEntries() | InstallSnapshot():
-                self.follow(peer, message)
+                self.on_leader_message(peer, message)
             case _ if message.term < state.term:
                 return
             case TimeoutNow():
-                if elections.may_lead(state):
+                if elections.may_campaign(state):
                     elections.campaign(state, pre_vote=False, transfer=True)
             case ReadIndexAsked(read_id=read_id):
                 if state.leadership is not None:
-                    reading.await_round(state, read_id, asked_by=peer)
+                    read_index.queue_read(state, read_id, asked_by=peer)
             case ReadIndexAnswered():
-                reading.read_index_answered(state, message)
+                read_index.on_read_index_answered(state, message)
             case EntriesAppended() | AppendRefused() | SnapshotReceived():
-                self.hear_follower(peer, message)
+                self.on_follower_answer(peer, message)
 
-    def hear_sync_time(self, peer: ReplicaId, message: ReplicaMessage) -> None:
-        """Note how slow another replica's disk is."""
+    def record_sync_time(self, peer: ReplicaId, message: ReplicaMessage) -> None:
+        """Record the sync time that another replica reports of its disk."""
         match message:
             case VoteAsked() | VoteAnswered() | AppendEntries() | EntriesAppended():
                 times = self.state.sync_times
-                if peer not in times.told:
-                    times.forget_others(self.state.membership.replicas)
-                times.hear(peer, message.sync_ms)
+                if peer not in times.peer_seconds:
+                    times.retain_only(self.state.membership.replicas)
+                times.record_peer(peer, message.sync_ms)
 
-    def follow(self, leader: ReplicaId, message: AppendEntries | InstallSnapshot):
-        """Follow the leader of this term; tell an older one that it is deposed."""
+    def on_leader_message(
+        self, leader: ReplicaId, message: AppendEntries | InstallSnapshot
+    ):
+        """Follow the leader of the message; refuse it if its term is outdated."""
         state = self.state
         if message.term < state.term:
             state.send(
@@ -293,16 +296,16 @@
         state.leader_heard_at = state.now
         state.restart_election_timer()
         if isinstance(message, AppendEntries):
-            following.append_entries(state, leader, message)
+            following.on_append_entries(state, leader, message)
         else:
-            snapshots.install_snapshot(state, leader, message)
+            snapshots.on_install_snapshot(state, leader, message)
 
-    def hear_follower(
+    def on_follower_answer(
         self,
         peer: ReplicaId,
         message: EntriesAppended | AppendRefused | SnapshotReceived,
     ) -> None:
-        """Take in a follower's answer, unless it is no member any more."""
+        """Handle the answer of a follower, unless it is no longer a member."""
         leadership = self.state.leadership
         if leadership is None or peer not in leadership.peers:
             return
@@ -312,12 +315,12 @@
         progress.read_round = max(progress.read_round, message.read_round)
         match message:
             case EntriesAppended():
-                replication.entries_appended(self.state, peer, message)
+                replication.on_entries_appended(self.state, peer, message)
             case AppendRefused():
-                replication.append_refused(self.state, peer, message)
+                replication.on_append_refused(self.state, peer, message)
             case SnapshotReceived():
-                snapshots.snapshot_received(self.state, peer, message)
-        # What was sent while the replica was away is lost; without this, it would
-        # wait for the next retry, which may have gone out just before its return.
+                snapshots.on_snapshot_received(self.state, peer, message)
+        # Messages sent while the replica was away are lost. Without this, it would
+        # wait for the next retry, though the last one may be just before its return.
         if returned:
             replication.resend(self.state, peer, progress)
--- a/packages/core/src/cowslipshelf_core/internal/control/planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/planning.py
@@ -1,4 +1,4 @@
-"""Tell what a change would do: fields, orders, whose requests, and what not."""
+"""Work out the effects of a change: fields, orders and affected requests."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 )
 from cowslipshelf_core.identifiers import ModelName, ServiceName, UpstreamId
 from cowslipshelf_core.internal.control.merging import merge
-from cowslipshelf_core.internal.control.names import Named, differences
+from cowslipshelf_core.internal.control.named_items import Named, diff_by_name
 from cowslipshelf_core.internal.control.plans import (
+    AffectedSubject,
     Change,
     FieldChange,
     NotDone,
     PlannedOrder,
     SubjectKind,
-    Touched,
     WantedState,
 )
 from cowslipshelf_core.internal.control.validation import configuration_problems
@@ -26,39 +26,39 @@
 SHOWN_HASH_DIGITS = 8
 
 
-class Draft(NamedTuple):
-    """Be a plan's content before it has an id, or the reasons against it."""
+class PlanDraft(NamedTuple):
+    """Hold the content of a plan that has no id yet, or the problems with it."""
 
     configuration: FleetConfiguration
     problems: tuple[str, ...]
     changes: tuple[FieldChange, ...] = ()
     orders: tuple[PlannedOrder, ...] = ()
-    touches: tuple[Touched, ...] = ()
+    touches: tuple[AffectedSubject, ...] = ()
     not_done: tuple[NotDone, ...] = ()
 
 
 def draft_plan(
-    present: FleetConfiguration,
+    current: FleetConfiguration,
     change: Change | WantedState,
     upstreams: tuple[UpstreamDescription, ...],
-) -> Draft:
-    """Work out what a change would do to the present configuration."""
-    merged = merge(present, change)
-    problems = merged.problems or configuration_problems(present, merged.configuration)
+) -> PlanDraft:
+    """Work out the effects of a change to the current configuration."""
+    merged = merge(current, change)
+    problems = merged.problems or configuration_problems(current, merged.configuration)
     if problems:
-        return Draft(present, problems)
+        return PlanDraft(current, problems)
     after = merged.configuration
-    changed_services = services_with_changed_models(present, after)
-    orders = tuple(load_orders(present, after, changed_services, upstreams))
-    return Draft(
+    changed_services = services_with_changed_models(current, after)
+    orders = tuple(load_orders(current, after, changed_services, upstreams))
+    return PlanDraft(
         configuration=after,
         problems=(),
-        changes=tuple(field_changes(present, after)),
+        changes=tuple(field_changes(current, after)),
         orders=orders,
-        touches=tuple(touched(present, after, orders, upstreams)),
+        touches=tuple(affected_subjects(current, after, orders, upstreams)),
         not_done=(
             *merged.not_done,
-            *left_undone(present, after, changed_services, upstreams),
+            *list_not_done(current, after, changed_services, upstreams),
         ),
     )
 
@@ -66,13 +66,14 @@
 def relevant_upstreams(
     change: Change | WantedState, upstreams: Iterable[UpstreamDescription]
 ) -> tuple[UpstreamDescription, ...]:
-    """Keep the upstreams that a plan for the change can speak of, in a fixed order.
+    """Select the upstreams that a plan for the change can mention, sorted.
 
-    Whatever the base, so that a fresh plan on a newer one can use them as well.
+    The selection does not depend on the base version, so that it also suits a new
+    plan that is based on a later one.
     """
     if isinstance(change, WantedState) or change.put_models:
         return tuple(sorted(upstreams))
-    services = {entry.name for entry in change.put_services}
+    services = {item.name for item in change.put_services}
     named = {*change.drain, *change.undrain}
     return tuple(
         sorted(
@@ -86,10 +87,10 @@
 def field_changes(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> Iterable[FieldChange]:
-    """List every field that differs."""
-    yield from part_changes("customer", before.customers, after.customers)
-    yield from part_changes("service", before.services, after.services)
-    yield from part_changes("model", before.models, after.models)
+    """List all fields that differ."""
+    yield from changes_by_name("customer", before.customers, after.customers)
+    yield from changes_by_name("service", before.services, after.services)
+    yield from changes_by_name("model", before.models, after.models)
     for upstream in sorted(set(before.draining) ^ set(after.draining)):
         was, becomes = ("no", "yes") if upstream in after.draining else ("yes", "no")
         yield FieldChange("upstream", upstream, "draining", was, becomes)
@@ -98,35 +99,39 @@
     )
 
 
-def part_changes(
+def changes_by_name(
     kind: SubjectKind, before: Iterable[Named], after: Iterable[Named]
 ) -> Iterable[FieldChange]:
-    """Compare entries by name."""
-    for name, old, new in differences(before, after):
+    """List the changed fields of items, matched by name."""
+    for name, old, new in diff_by_name(before, after):
         yield from document_changes(kind, name, old, new)
 
 
 def document_changes(
     kind: SubjectKind, name: str, before: Document | None, after: Document | None
 ) -> Iterable[FieldChange]:
-    """Compare two documents of one type, either of which may be absent."""
+    """List the changed fields of a document, which either side may lack."""
     if before == after:
         return
-    present = after if before is None else before
-    for field in present.__struct_fields__:
-        old = shown_field(before, field)
-        new = shown_field(after, field)
-        if old != new or field == "key_hash" and field_of(before) != field_of(after):
+    existing = after if before is None else before
+    for field in existing.__struct_fields__:
+        old = format_field(before, field)
+        new = format_field(after, field)
+        if (
+            old != new
+            or field == "key_hash"
+            and key_hash_of(before) != key_hash_of(after)
+        ):
             yield FieldChange(kind, name, field, old, new)
 
 
-def field_of(document: Document | None) -> str | None:
-    """Read a key hash in full, of which a plan shows only the beginning."""
+def key_hash_of(document: Document | None) -> str | None:
+    """Return the whole key hash, of which a plan shows only a prefix."""
     return getattr(document, "key_hash", None)
 
 
-def shown_field(document: Document | None, field: str) -> str | None:
-    """Write a field as text."""
+def format_field(document: Document | None, field: str) -> str | None:
+    """Format a field as text."""
     if document is None:
         return None
     value = getattr(document, field)
@@ -140,8 +145,8 @@
 def services_with_changed_models(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> tuple[Service, ...]:
-    """Find services that get a model, or another version of one."""
-    old = {entry.name: entry.models for entry in before.services}
+    """List services that get a new model, or another version of a model."""
+    old = {item.name: item.models for item in before.services}
     reloaded = reloaded_models(before, after)
     return tuple(
         service
@@ -154,21 +159,21 @@
 def reloaded_models(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ModelName]:
-    """Find models that had another version before."""
-    old = {entry.name: entry.version for entry in before.models}
+    """Return the models whose version changes."""
+    old = {item.name: item.version for item in before.models}
     return {
-        entry.name
-        for entry in after.models
-        if old.get(entry.name, entry.version) != entry.version
+        item.name
+        for item in after.models
+        if old.get(item.name, item.version) != item.version
     }
 
 
 def removed_services(
     before: FleetConfiguration, after: FleetConfiguration
 ) -> set[ServiceName]:
-    """Find services that go."""
-    return {entry.name for entry in before.services} - {
-        entry.name for entry in after.services
+    """Return the services that are removed."""
+    return {item.name for item in before.services} - {
+        item.name for item in after.services
     }
 
 
@@ -178,10 +183,10 @@
     services: Iterable[Service],
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[PlannedOrder]:
-    """List the orders that bring upstreams to the models of their services."""
-    versions = {entry.name: entry.version for entry in after.models}
+    """List the orders that make upstreams load the models of their services."""
+    versions = {item.name: item.version for item in after.models}
     reloaded = reloaded_models(before, after)
-    by_service = {entry.name: entry for entry in services}
+    by_service = {item.name: item for item in services}
     for upstream in sorted(upstreams):
         service = by_service.get(upstream.service)
         if service is None or upstream.upstream_id in after.draining:
@@ -194,66 +199,72 @@
                 yield PlannedOrder(upstream.upstream_id, "load_version", argument)
 
 
-def touched(
+def affected_subjects(
     before: FleetConfiguration,
     after: FleetConfiguration,
     orders: Iterable[PlannedOrder],
     upstreams: Iterable[UpstreamDescription],
-) -> Iterable[Touched]:
-    """List whose requests a plan touches."""
-    yield from touched_customers(before, after)
+) -> Iterable[AffectedSubject]:
+    """List the customers, services and upstreams whose requests a plan affects."""
+    yield from affected_customers(before, after)
     for name in sorted(removed_services(before, after)):
-        yield Touched("service", name, "new requests are refused, running ones finish")
+        yield AffectedSubject(
+            "service", name, "new requests are refused, running ones finish"
+        )
     for upstream in sorted(set(after.draining) - set(before.draining)):
-        yield Touched("upstream", upstream, "gets no new work, running work finishes")
+        yield AffectedSubject(
+            "upstream", upstream, "gets no new work, running work finishes"
+        )
     for upstream in sorted(set(before.draining) - set(after.draining)):
-        yield Touched("upstream", upstream, "gets work again")
-    services = {entry.upstream_id: entry.service for entry in upstreams}
+        yield AffectedSubject("upstream", upstream, "gets work again")
+    services = {item.upstream_id: item.service for item in upstreams}
     loading: dict[UpstreamId, int] = {}
     for order in orders:
         loading[order.upstream_id] = loading.get(order.upstream_id, 0) + 1
     for upstream, count in loading.items():
-        yield Touched(
+        yield AffectedSubject(
             "upstream",
             upstream,
             f"loads {count} for service {services[upstream]}; requests may wait",
         )
 
 
-def touched_customers(
+def affected_customers(
     before: FleetConfiguration, after: FleetConfiguration
-) -> Iterable[Touched]:
-    """List customers whose requests are let in, refused or served otherwise."""
-    for name, old, new in differences(before.customers, after.customers):
+) -> Iterable[AffectedSubject]:
+    """List the customers whose access, shares or limits change."""
+    for name, old, new in diff_by_name(before.customers, after.customers):
         match old, new:
             case None, _:
-                yield Touched("customer", name, "its requests are let in")
+                yield AffectedSubject("customer", name, "its requests are let in")
             case _, None:
-                yield Touched("customer", name, "its new requests are refused")
+                yield AffectedSubject("customer", name, "its new requests are refused")
             case was, becomes if was.key_hash != becomes.key_hash:
-                yield Touched("customer", name, "its old key is refused")
+                yield AffectedSubject("customer", name, "its old key is refused")
             case was, becomes if set(was.services) - set(becomes.services):
                 gone = ", ".join(sorted(set(was.services) - set(becomes.services)))
-                yield Touched("customer", name, f"new requests for {gone} are refused")
+                yield AffectedSubject(
+                    "customer", name, f"new requests for {gone} are refused"
+                )
             case _:
-                yield Touched("customer", name, "its share or limits change")
+                yield AffectedSubject("customer", name, "its share or limits change")
 
 
-def left_undone(
+def list_not_done(
     before: FleetConfiguration,
     after: FleetConfiguration,
     services: Iterable[Service],
     upstreams: tuple[UpstreamDescription, ...],
 ) -> Iterable[NotDone]:
-    """List what a plan can't do with the upstreams there are."""
-    announced = {entry.upstream_id for entry in upstreams}
+    """List the parts of a change that its plan does not carry out."""
+    announced = {item.upstream_id for item in upstreams}
     for service in services:
-        yield from undone_loads(service, after, upstreams)
+        yield from loads_not_done(service, after, upstreams)
     for upstream in sorted(set(after.draining) - set(before.draining) - announced):
         yield NotDone(
             f"drain {upstream} now", "it is not known here; it drains if it comes"
         )
-    old = {entry.name: entry for entry in before.services}
+    old = {item.name: item for item in before.services}
     for service in after.services:
         gone = set(old[service.name].models if service.name in old else ())
         for model in sorted(gone - set(service.models)):
@@ -263,13 +274,13 @@
             )
 
 
-def undone_loads(
+def loads_not_done(
     service: Service,
     after: FleetConfiguration,
     upstreams: Iterable[UpstreamDescription],
 ) -> Iterable[NotDone]:
-    """Tell why models of a service are not loaded."""
-    own = [entry for entry in upstreams if entry.service == service.name]
+    """List the loads of a service that are not carried out, and why."""
+    own = [item for item in upstreams if item.service == service.name]
     what = f"load {', '.join(service.models)} for service {service.name}"
     if not own:
         yield NotDone(what, "no upstream of the service has announced itself")
--- a/tests/common/requests_world.py
+++ b/tests/common/requests_world.py
@@ -137,7 +137,7 @@
 class ClaimStore(Protocol):
     """Define the part of the replicated state that requests use."""
 
-    def ask(self, asked: ClaimAsked, at: float):
+    def acquire(self, asked: ClaimAsked, at: float):
         """Grant the key to the first request, and return its claim to the others."""
 
     def look_up(self, asked: ClaimLookedUp, at: float):
@@ -158,7 +158,7 @@
     asked_at: float = 0.0
     finished: ClaimFinished | None = None
 
-    def ask(self, asked: ClaimAsked, at: float):
+    def acquire(self, asked: ClaimAsked, at: float):
         """Grant the key to the first request, and return its claim to the others."""
         if self.holder is None:
             self.holder = asked
