--- a/packages/core/src/cowslipshelf_core/internal/routing/cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/cost.py
@@ -1,4 +1,4 @@
-"""Predict what a request costs on an upstream, itself and others."""
+"""Predict the cost of a request on an upstream, to itself and to other requests."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,15 @@
 
 
 class Backlog(NamedTuple):
-    """Be the prefill work believed to be waiting at an upstream."""
+    """Hold the estimated prefill work waiting at an upstream."""
 
     seconds: float
     waiting: int
-    """Attempts before their first token."""
+    """Number of attempts without a first token."""
 
 
-class RequestCost(NamedTuple):
-    """Be what a request needs, apart from where it goes."""
+class RequestProfile(NamedTuple):
+    """Describe what a request needs, whichever upstream takes it."""
 
     facts: PlacementFacts
     prompt_class: PromptClass
@@ -25,12 +25,12 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return the tokens that have to be reserved."""
-        return self.facts.prompt_tokens + self.facts.most_output_tokens
+        """Return the tokens of engine memory to reserve."""
+        return self.facts.prompt_tokens + self.facts.max_output_tokens
 
     @property
-    def worth(self) -> float:
-        """Return the worth of answering in time."""
+    def value(self) -> float:
+        """Return the value of answering in time; 1 for all but long prompts."""
         if self.prompt_class is PromptClass.LONG:
             return self.long_prompt_weight
         return 1.0
@@ -39,7 +39,7 @@
 def prefill_seconds(
     config: RouterConfig, view: UpstreamView, facts: PlacementFacts
 ) -> float:
-    """Predict the prefill of a prompt alone on an upstream, in seconds."""
+    """Predict the prefill time of a prompt on an idle upstream, in seconds."""
     if view.description.kind == "plain":
         return config.cost.plain_call_seconds
     load = view.load
@@ -69,11 +69,11 @@
 
 
 def backlog(config: RouterConfig, view: UpstreamView, now: float) -> Backlog:
-    """Return the prefill work waiting now: the report, worked off since, plus ours."""
+    """Estimate the waiting prefill work from the last report and our later attempts."""
     load = view.load
     linear = load.prefill_seconds_per_token or config.cost.prefill_seconds_per_token
     reported = load.prefill_tokens * linear
-    since_report = now - view.load_at
+    since_report = now - view.load_received_at
     waiting = max(0, load.running - load.decoding)
     seconds = max(0.0, reported - since_report)
     if seconds == 0.0:
@@ -88,12 +88,12 @@
 def predict(
     config: RouterConfig,
     view: UpstreamView,
-    request: RequestCost,
+    profile: RequestProfile,
     takes_long_prompts: bool,
     now: float,
 ) -> Prediction:
-    """Predict times and harm of placing a request on an upstream now."""
-    own = prefill_seconds(config, view, request.facts)
+    """Predict the times and cost of placing a request on an upstream now."""
+    own = prefill_seconds(config, view, profile.facts)
     if view.description.kind == "plain":
         running = view.load.running + len(view.unreported(config.cost))
         ahead = running * own
@@ -103,27 +103,28 @@
     slowness = view.slowness.factor
     wait = ahead * slowness
     prefill = own * slowness
-    decode = decode_seconds(config, view, request.expected_output_tokens) * max(
+    decode = decode_seconds(config, view, profile.expected_output_tokens) * max(
         1.0, slowness
     )
-    delayed = behind + config.cost.decode_delay_share * view.load.decoding
-    to_others = prefill * delayed
-    harm = request.worth * (wait + prefill) + to_others
-    harm += spill_harm(config, request, takes_long_prompts, prefill)
+    delayed = behind + config.cost.decode_delay_weight * view.load.decoding
+    delay_to_others = prefill * delayed
+    cost = profile.value * (wait + prefill) + delay_to_others
+    cost += spillover_cost(config, profile, takes_long_prompts, prefill)
     if view.description.data_centre != config.data_centre:
-        harm += config.other_data_centre_seconds
-    harm /= view.ramp(config.outliers, now)
-    return Prediction(wait, prefill, decode, to_others, harm)
+        cost += config.other_data_centre_seconds
+    cost /= view.slow_start_share(config.outliers, now)
+    return Prediction(wait, prefill, decode, delay_to_others, cost)
 
 
 def split_backlog(
     config: RouterConfig, work: Backlog, own_seconds: float
 ) -> tuple[float, float]:
-    """Return the seconds ahead of a request and the number of attempts behind it.
+    """Estimate the seconds ahead of a request and the number of attempts behind it.
 
-    Reports give no list of what waits. Priorities let a request pass those with much
-    more prefill than its own, but for the chunk that runs: ahead of it is at most its
-    own prefill time for each that waits, and at most all there is.
+    Reports do not list the waiting attempts. Priorities let a request overtake
+    attempts with much more prefill than its own, except for the chunk that is
+    running. So the work ahead is at most its own prefill time per waiting attempt,
+    and at most the whole backlog.
     """
     if work.waiting == 0 or work.seconds <= 0.0:
         return 0.0, 0.0
@@ -133,20 +134,20 @@
     return ahead, behind
 
 
-def spill_harm(
+def spillover_cost(
     config: RouterConfig,
-    request: RequestCost,
+    profile: RequestProfile,
     takes_long_prompts: bool,
     prefill: float,
 ) -> float:
-    """Return the harm of using an upstream that another class is meant to have."""
-    is_long = request.prompt_class is PromptClass.LONG
+    """Return the cost of using an upstream from the pool of another class."""
+    is_long = profile.prompt_class is PromptClass.LONG
     if is_long == takes_long_prompts:
         return 0.0
-    match request.prompt_class:
+    match profile.prompt_class:
         case PromptClass.LONG:
-            return config.long_set.long_spill_share * prefill
+            return config.long_prompt_pool.long_spillover_share * prefill
         case PromptClass.MEDIUM:
-            return config.long_set.medium_spill_share * prefill
+            return config.long_prompt_pool.medium_spillover_share * prefill
         case PromptClass.SHORT:
-            return config.long_set.short_spill_seconds
+            return config.long_prompt_pool.short_spillover_seconds
