--- a/benchmarks/configuration_spreading.py
+++ b/benchmarks/configuration_spreading.py
@@ -15,7 +15,7 @@
 
 sys.path.append(str(Path(__file__).parents[1] / "tests"))
 
-from common.slow_links import SlowWorld, accepted, many_routes
+from common.slow_links import SlowLinkFleet, accepted, many_routes
 
 ROUTES = (250, 1600, 4450, 8000)
 GATEWAYS = (8, 32, 64)
@@ -28,7 +28,7 @@
     """Measure one size: seconds to the last gateway, and what each one receives."""
     with pytest.MonkeyPatch.context() as patch:
         rate = link_mbit * 1e6 / 8
-        world = SlowWorld(patch, REPLICAS, gateways - REPLICAS, rate)
+        world = SlowLinkFleet(patch, REPLICAS, gateways - REPLICAS, rate)
         world.run(3.0)
         world.commit(accepted(many_routes(3, routes - 1)))
         world.run(10.0)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -167,7 +167,7 @@
             "callers",
             RequestHandler(self.view, runner, dialect, self.metrics, self.suspects),
             self.limits,
-            max(64, (settings.most_descriptors - RESERVED_DESCRIPTORS) // 2),
+            max(64, (settings.max_descriptors - RESERVED_DESCRIPTORS) // 2),
         )
         self.control = HttpServer(
             "control",
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -52,7 +52,7 @@
         if not tickets:
             yield ReservedMemory(granted=True)
             return
-        config = MemoryLeaseConfig(self.view.settings.memory_free_seconds)
+        config = MemoryLeaseConfig(self.view.settings.memory_release_seconds)
         lease = MemoryLease.from_config(config, time.monotonic())
         renewing: asyncio.Task[None] | None = None
         try:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -337,5 +337,7 @@
 def budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
     """Return the allowance of repeats that the settings give."""
     return ServiceRetryBudgetConfig(
-        settings.repeat_window_seconds, settings.repeat_ratio, settings.repeat_slack
+        settings.retry_budget_window_seconds,
+        settings.retry_budget_ratio,
+        settings.retry_budget_slack,
     )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -125,7 +125,7 @@
             election_seconds=ELECTION_SECONDS,
             lease_seconds=ELECTION_SECONDS,
             open_membership=True,
-            max_failures=settings.most_lost,
+            max_failures=settings.max_failures,
         )
         state = ControlState()
         if stored.snapshot is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/settings.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/settings.py
@@ -21,23 +21,23 @@
     """Whether the whole system starts for the first time, with empty disks."""
     data_folder: str | None
     """Where data outlives the process; nothing on machines without a disk."""
-    most_lost: int
+    max_failures: int
     """Replicas that may be lost at once."""
     callers_address: str | None
     ready_address: str | None
     control_address: str | None
     metrics_address: str | None = None
-    most_descriptors: int = 1024
+    max_descriptors: int = 1024
     upstream_heartbeat_seconds: float = 1.0
     """Time between two heartbeats of an upstream."""
     shutdown_seconds: float = 8.0
     """Time from the signal to end until the process is killed."""
-    repeat_ratio: float = 0.2
+    retry_budget_ratio: float = 0.2
     """Repeats that all gateways together may send, for each request."""
-    repeat_slack: float = 10.0
+    retry_budget_slack: float = 10.0
     """Repeats allowed besides, in each window."""
-    repeat_window_seconds: float = 10.0
-    memory_free_seconds: float = 4.0
+    retry_budget_window_seconds: float = 10.0
+    memory_release_seconds: float = 4.0
     """Time after the end of a request within which its engine memory must be free."""
     replica_in_memory: bool = False
     """Whether a replica is held without a disk, from the start on."""
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -113,7 +113,7 @@
 class LinkPost:
     """Send a gateway's messages over its link."""
 
-    def __init__(self, world: "SlowWorld", instance: str) -> None:
+    def __init__(self, world: "SlowLinkFleet", instance: str) -> None:
         self.world = world
         self.instance = instance
         self.address = f"{instance}:{GATEWAY_SETTINGS.peer_port}"
@@ -130,7 +130,7 @@
             self.world.carry(self, address.partition(":")[0], message, size)
 
 
-class SlowWorld:
+class SlowLinkFleet:
     """Hold gateways, some with a replica, and what is under way between them."""
 
     def __init__(self, monkeypatch, replicas: int, others: int, rate: float) -> None:
--- a/tests/cover/adapter/test_machine_settings.py
+++ b/tests/cover/adapter/test_machine_settings.py
@@ -45,9 +45,9 @@
     assert settings.seeds == ("10.1.0.40", "10.2.0.29")
     assert settings.first_start
     assert settings.data_folder == "/data/my-front"
-    assert settings.most_lost == 1
+    assert settings.max_failures == 1
     assert settings.upstream_heartbeat_seconds == pytest.approx(1.2)
-    assert settings.repeat_slack == 106
+    assert settings.retry_budget_slack == 106
 
 
 def test_a_machine_without_a_disk_holds_no_replica_unless_its_loss_counts(source):
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -22,7 +22,7 @@
 from common.gateway_samples import GATEWAY_SETTINGS
 from common.slow_links import (
     LinkPost,
-    SlowWorld,
+    SlowLinkFleet,
     accepted,
     answer_of,
     many_routes,
@@ -49,9 +49,9 @@
 REPLICA = "10.0.0.2"
 
 
-def played(monkeypatch, rate: float, seconds: float) -> tuple[SlowWorld, float]:
+def played(monkeypatch, rate: float, seconds: float) -> tuple[SlowLinkFleet, float]:
     """Commit two large versions, one 0.1 s after the other; return the moment."""
-    world = SlowWorld(monkeypatch, replicas=6, others=18, rate=rate)
+    world = SlowLinkFleet(monkeypatch, replicas=6, others=18, rate=rate)
     world.run(3.0)
     world.commit(accepted(many_routes(3, FIRST_ROUTES)))
     world.run(5.0)
