--- a/tests/common/ending_upstreams.py
+++ b/tests/common/crashing_upstreams.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class EndingUpstream(ScriptedUpstream):
+class CrashingUpstream(ScriptedUpstream):
     """Be one start of an upstream; its connections end with it."""
 
     connections: list[socket.socket] = field(default_factory=list)
@@ -49,7 +49,7 @@
                 continue
 
 
-class EndingUpstreams:
+class CrashingUpstreams:
     """Own the upstreams of a service, and judge what reaches them."""
 
     def __init__(
@@ -60,7 +60,7 @@
         self.lock = threading.Lock()
         self.arrivals: list[Arrival] = []
         self.ended_at: list[float] = []
-        self.running: list[EndingUpstream] = []
+        self.running: list[CrashingUpstream] = []
         self.stopping = threading.Event()
         self.starts = 0
         for _ in range(count):
@@ -71,16 +71,16 @@
         with self.lock:
             self.starts += 1
             name = f"u-{self.starts}"
-        upstream = EndingUpstream(name, "plain", self.serve)
+        upstream = CrashingUpstream(name, "plain", self.serve)
         with self.lock:
             self.running.append(upstream)
-        self.tell_all(upstream)
+        self.send_heartbeats(upstream)
 
-    def tell_all(self, *upstreams: EndingUpstream) -> None:
+    def send_heartbeats(self, *upstreams: CrashingUpstream) -> None:
         """Let some upstreams be heard of by each gateway, or all that run."""
         for upstream in upstreams or tuple(self.running):
             for gateway in self.fleet.gateways:
-                upstream.tell(gateway.control)
+                upstream.send_heartbeat(gateway.control)
 
     def serve(self, exchange: Exchange) -> None:
         """Answer, or end under a fatal request."""
@@ -107,7 +107,7 @@
         else:
             exchange.answer(200, b"hello")
 
-    def end(self, upstream: EndingUpstream) -> None:
+    def end(self, upstream: CrashingUpstream) -> None:
         """End an upstream once, and start it again after a while."""
         with self.lock:
             if upstream.stopped.is_set():
--- a/tests/common/gateway_fleet.py
+++ b/tests/common/gateway_fleet.py
@@ -272,8 +272,8 @@
                 gateway.kill()
 
 
-def tell_all(fleet: Fleet, *upstreams: ScriptedUpstream) -> None:
+def send_heartbeats(fleet: Fleet, *upstreams: ScriptedUpstream) -> None:
     """Let upstreams send a heartbeat to each gateway."""
     for gateway in fleet.gateways:
         for upstream in upstreams:
-            wait_for(lambda g=gateway, u=upstream: u.tell(g.control) == 200)
+            wait_for(lambda g=gateway, u=upstream: u.send_heartbeat(g.control) == 200)
--- a/tests/common/scripted_upstream.py
+++ b/tests/common/scripted_upstream.py
@@ -127,16 +127,16 @@
         self.stopped.set()
         self.listener.close()
 
-    def tell(self, control: str, state: str = "ready") -> int:
+    def send_heartbeat(self, control: str, state: str = "ready") -> int:
         """Send a heartbeat to a gateway; return the answer's status."""
         self.sequence += 1
-        return self.write(control, self.word(state))
+        return self.put_heartbeat(control, self.heartbeat(state))
 
-    def write(self, control: str, body: object) -> int:
+    def put_heartbeat(self, control: str, body: object) -> int:
         """Send anything in place of a heartbeat; return the answer's status."""
         return call(control, "PUT", f"/api/runners/{self.upstream_id}", body)[0]
 
-    def word(self, state: str = "ready") -> dict:
+    def heartbeat(self, state: str = "ready") -> dict:
         """Say of itself what a heartbeat holds."""
         started = {} if self.born is None else {"born": self.born}
         return started | {
--- a/tests/nocover/gateway/test_gateway_processes.py
+++ b/tests/nocover/gateway/test_gateway_processes.py
@@ -14,7 +14,7 @@
     document,
     route,
     running_fleet,
-    tell_all,
+    send_heartbeats,
 )
 from common.polling import wait_for
 from common.scripted_upstream import Exchange, ScriptedUpstream, call
@@ -43,7 +43,7 @@
 
 def test_a_request_is_passed_on_and_its_answer_comes_back_as_it_was(fleet):
     plain = upstream(say_hello)
-    tell_all(fleet, plain)
+    send_heartbeats(fleet, plain)
     for gateway in fleet.gateways:
         answer = ask(gateway, "/safe/a?q=1", "POST", b"body", X_Other="kept")
         assert (answer.status, answer.read()) == (200, b"hello")
@@ -181,7 +181,7 @@
     """
     first = upstream(lambda exchange: exchange.cut(), "u-1")
     second = upstream(lambda exchange: exchange.cut(), "u-2")
-    tell_all(fleet, first, second)
+    send_heartbeats(fleet, first, second)
     answer = ask(fleet.gateways[0], "/once/x", "POST", b"pay")
     assert answer.status == 502
     ran = [each for each in first.seen + second.seen if each.target == "/once/x"]
@@ -191,7 +191,7 @@
 def test_a_request_that_may_be_repeated_goes_to_another_upstream(fleet):
     first = upstream(lambda exchange: exchange.cut(), "u-1")
     second = upstream(say_hello, "u-2")
-    tell_all(fleet, first, second)
+    send_heartbeats(fleet, first, second)
     for _ in range(5):
         assert ask(fleet.gateways[0], "/safe/x").status == 200
 
@@ -200,7 +200,7 @@
     def shed(exchange: Exchange) -> None:
         exchange.answer(503, X_Not_Run="1")
 
-    tell_all(fleet, upstream(shed))
+    send_heartbeats(fleet, upstream(shed))
     answer = ask(fleet.gateways[0], "/once/x", "POST")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
@@ -229,7 +229,7 @@
             exchange.chunk(b"id: %d\ndata: rest\n\n" % number)
         exchange.end_stream()
 
-    tell_all(fleet, upstream(begin, "u-1"), upstream(begin, "u-2"))
+    send_heartbeats(fleet, upstream(begin, "u-1"), upstream(begin, "u-2"))
     answer = ask(fleet.gateways[0], "/stream/x", "POST", b"prompt")
     assert answer.status == 200
     assert answer.read() == (
@@ -247,7 +247,7 @@
         if exchange.wait_until_caller_left(20):
             left.set()
 
-    tell_all(fleet, upstream(write_on))
+    send_heartbeats(fleet, upstream(write_on))
     gateway = fleet.gateways[0]
     caller = socket.create_connection((gateway.host, gateway.ports.callers))
     caller.sendall(
@@ -261,8 +261,8 @@
 
 def test_an_upstream_that_leaves_gets_nothing_new(fleet):
     leaving, staying = upstream(say_hello, "u-1"), upstream(say_hello, "u-2")
-    tell_all(fleet, leaving, staying)
-    assert leaving.tell(fleet.gateways[0].control, state="draining") == 200
+    send_heartbeats(fleet, leaving, staying)
+    assert leaving.send_heartbeat(fleet.gateways[0].control, state="draining") == 200
     wait_for(lambda: serves_only(fleet, staying, leaving))
 
 
@@ -284,7 +284,7 @@
         go_on.wait(20)
         exchange.answer(200, b"late but whole")
 
-    tell_all(fleet, upstream(wait_and_answer))
+    send_heartbeats(fleet, upstream(wait_and_answer))
     gateway = fleet.gateways[0]
     answers = []
     caller = threading.Thread(
@@ -335,7 +335,7 @@
 
 
 def test_metrics_are_shown_at_their_address(fleet):
-    tell_all(fleet, upstream(say_hello))
+    send_heartbeats(fleet, upstream(say_hello))
     gateway = fleet.gateways[0]
     assert ask(gateway, "/safe/x").status == 200
     status, text = call(gateway.metrics, "GET", "/metrics")
@@ -354,7 +354,7 @@
         else:
             exchange.answer(status, b"why")
 
-    tell_all(fleet, upstream(answer))
+    send_heartbeats(fleet, upstream(answer))
     assert ask(fleet.gateways[0], "/safe/x").status == status
 
 
@@ -367,6 +367,6 @@
             exchange.cut()
         exchange.end_stream()
 
-    tell_all(fleet, upstream(move, "u-1"), upstream(move, "u-2"))
+    send_heartbeats(fleet, upstream(move, "u-1"), upstream(move, "u-2"))
     answer = ask(fleet.gateways[0], "/stream/x", "POST", b"prompt")
     assert answer.read() == b"id: 1\ndata: x\n\nid: 2\ndata: x\n\n"
--- a/tests/nocover/gateway/test_requests_that_end_upstreams.py
+++ b/tests/nocover/gateway/test_requests_that_end_upstreams.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from common.ending_upstreams import FATAL, EndingUpstreams
+from common.crashing_upstreams import FATAL, CrashingUpstreams
 from common.gateway_fleet import (
     Fleet,
     GatewayProcess,
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def upstreams(fleet):
-    upstreams = EndingUpstreams(
+    upstreams = CrashingUpstreams(
         fleet, UPSTREAMS, lambda exchange: exchange.request.body == FATAL
     )
     yield upstreams
@@ -63,7 +63,7 @@
     return answer.status
 
 
-def send_until_known(fleet: Fleet, upstreams: EndingUpstreams, path: str) -> float:
+def send_until_known(fleet: Fleet, upstreams: CrashingUpstreams, path: str) -> float:
     """Send it to each gateway in turn; return when each of them must know."""
     numbers, began = count(), time.monotonic()
     while time.monotonic() < began + THIRD_END_SECONDS:
@@ -109,7 +109,7 @@
     """Guards against a request that ends three more upstreams after each restart."""
     known_at = send_until_known(fleet, upstreams, "/safe/x")
     restart_all(fleet)
-    upstreams.tell_all()
+    upstreams.send_heartbeats()
     keep_sending(fleet, "/safe/x")
     assert upstreams.arrived_after(known_at) <= MOST_RETRIES
 
--- a/tests/nocover/gateway/test_words_of_upstreams.py
+++ b/tests/nocover/gateway/test_upstream_heartbeats.py
@@ -14,7 +14,7 @@
     document,
     route,
     running_fleet,
-    tell_all,
+    send_heartbeats,
 )
 from common.polling import wait_for
 from common.scripted_upstream import Exchange, ScriptedUpstream, call
@@ -82,13 +82,13 @@
     """
     former = started(say_hello, now_ms())
     former.sequence = 500
-    tell_all(fleet, former)
+    send_heartbeats(fleet, former)
     later = started(say_hello, now_ms() + 1)
-    assert later.tell(fleet.gateways[0].control) == 200
+    assert later.send_heartbeat(fleet.gateways[0].control) == 200
     for gateway in fleet.gateways:
         wait_for(lambda g=gateway: heard_again(g, later))
-    assert former.tell(fleet.gateways[1].control) == 200
-    assert former.tell(fleet.gateways[1].control, state="draining") == 200
+    assert former.send_heartbeat(fleet.gateways[1].control) == 200
+    assert former.send_heartbeat(fleet.gateways[1].control, state="draining") == 200
     seen = len(former.seen)
     for gateway in fleet.gateways:
         assert heard_again(gateway, later)
@@ -97,12 +97,12 @@
 
 def test_one_that_left_is_used_again_once_it_has_started_again(fleet):
     former = started(say_hello, now_ms())
-    tell_all(fleet, former)
+    send_heartbeats(fleet, former)
     control = fleet.gateways[0].control
     assert call(control, "DELETE", "/api/runners/u-1")[0] == 200
     wait_for(lambda: ask(fleet.gateways[2], "/safe/x").status == 503)
     later = started(say_hello, now_ms() + 60_000)
-    assert later.tell(control) == 200
+    assert later.send_heartbeat(control) == 200
     wait_for(lambda: heard_again(fleet.gateways[2], later))
 
 
@@ -127,10 +127,10 @@
         exchange.end_stream()
 
     gateway = fleet.gateways[0]
-    started(begin_and_hang, now_ms()).tell(gateway.control)
+    started(begin_and_hang, now_ms()).send_heartbeat(gateway.control)
     caller, bodies = ask_meanwhile(gateway, "/stream/x")
     assert begun.wait(30)
-    started(go_on, now_ms() + 1).tell(gateway.control)
+    started(go_on, now_ms() + 1).send_heartbeat(gateway.control)
     caller.join(30)
     end.set()
     assert bodies == [b"id: 1\ndata: one\n\nid: 2\ndata: two\n\n"]
@@ -150,11 +150,11 @@
         exchange.answer(200, b"recorded")
 
     gateway = fleet.gateways[0]
-    started(wait_and_answer, now_ms()).tell(gateway.control)
+    started(wait_and_answer, now_ms()).send_heartbeat(gateway.control)
     caller, bodies = ask_meanwhile(gateway, "/once/x")
     assert begun.wait(30)
     later = started(say_hello, now_ms() + 1)
-    later.tell(gateway.control)
+    later.send_heartbeat(gateway.control)
     wait_for(lambda: heard_again(gateway, later))
     go_on.set()
     caller.join(30)
@@ -185,14 +185,14 @@
     another one could not be told on, and ended the process that had taken it in.
     """
     sound = started(say_hello, now_ms())
-    tell_all(fleet, sound)
+    send_heartbeats(fleet, sound)
     for gateway in fleet.gateways:
         for changes in FOREIGN:
-            foreign = sound.word() | {"seq": sound.sequence + 1} | changes
-            assert sound.write(gateway.control, foreign) == 400, changes
-        without_start = sound.word() | {"seq": sound.sequence + 1}
+            foreign = sound.heartbeat() | {"seq": sound.sequence + 1} | changes
+            assert sound.put_heartbeat(gateway.control, foreign) == 400, changes
+        without_start = sound.heartbeat() | {"seq": sound.sequence + 1}
         del without_start["born"]
-        assert sound.write(gateway.control, without_start) == 400
+        assert sound.put_heartbeat(gateway.control, without_start) == 400
     for gateway in fleet.gateways:
         assert heard_again(gateway, sound)
         assert gateway.process.poll() is None
@@ -229,7 +229,7 @@
         fleet.accept(document(1, *ROUTES))
         sound = started(say_hello, now_ms())
         sound.sequence = 2**40
-        tell_all(fleet, sound)
+        send_heartbeats(fleet, sound)
         write_junk(fleet, sound)
         assert heard_again(fleet.gateways[0], sound)
         assert fleet.gateways[0].process.poll() is None
@@ -250,9 +250,9 @@
         st.sampled_from([("PUT", "/api/config"), ("DELETE", "/api/runners/u-9")]),
     )
     def write(junk, call_made):
-        body = junk if isinstance(junk, bytes) else sound.word() | junk
-        if body != sound.word():
-            status = sound.write(control, body)
+        body = junk if isinstance(junk, bytes) else sound.heartbeat() | junk
+        if body != sound.heartbeat():
+            status = sound.put_heartbeat(control, body)
             same_start = isinstance(body, dict) and body.get("born") == sound.born
             assert status == 400 or (status == 200 and same_start)
         assert call(control, *call_made, body)[0] in (200, 400)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -121,7 +121,10 @@
         while not self.ending.is_set():
             for upstream in self.upstreams:
                 gateways = random.sample(self.fleet.gateways, len(self.fleet.gateways))
-                any(upstream.tell(gateway.control) == 200 for gateway in gateways)
+                any(
+                    upstream.send_heartbeat(gateway.control) == 200
+                    for gateway in gateways
+                )
             time.sleep(HEARTBEAT_SECONDS)
 
     # What callers and the operator do.
