--- a/packages/core/src/cowslipshelf_core/internal/sidecar/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Decide what an upstream is handed, and answer for what never was."""
+"""Admit, start, cancel and account for the attempts of one upstream."""
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/admission.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/admission.py
@@ -1,4 +1,4 @@
-"""Judge hand-overs by the configuration that is in force at the sidecar."""
+"""Check hand-overs against the configuration in force at the sidecar."""
 
 from typing import NamedTuple, Self
 
@@ -15,7 +15,7 @@
 
 
 class AdmissionRules(NamedTuple):
-    """Be what a configuration says about hand-overs, made ready for looking up."""
+    """Hold the parts of a configuration that decide on hand-overs, as lookup tables."""
 
     version: ConfigurationVersion
     draining: frozenset[UpstreamId]
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_configuration(cls, configuration: FleetConfiguration) -> Self:
-        """Take from a configuration what hand-overs are judged by."""
+        """Build the lookup tables from a configuration."""
         models = {model.name for model in configuration.models}
         services = configuration.services
         return cls(
@@ -39,12 +39,12 @@
             frozenset(each.name for each in services if each.kind == "plain"),
         )
 
-    def objection(self, hand_over: HandOver) -> RefusalReason | None:
-        """Return why a hand-over may not run under the configuration, if so.
+    def refusal_reason(self, hand_over: HandOver) -> RefusalReason | None:
+        """Return why the configuration forbids a hand-over, or None if it allows it.
 
-        Only what matters to this request counts. A version that is older in some other
-        respect is served, and one that is newer than the sidecar's own was decided by
-        an entry that knows more.
+        A hand-over that was decided under an older version is accepted unless the
+        changes since then affect it. One decided under a version newer than the
+        sidecar's own is accepted: its entry knows more.
         """
         if hand_over.configuration_version > self.version:
             return None
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
@@ -1,4 +1,4 @@
-"""Carry accepted attempts from their arrival to their end."""
+"""Manage accepted attempts from their arrival to their end."""
 
 from bisect import insort
 from collections.abc import Collection
@@ -23,8 +23,11 @@
     SidecarEffect,
     StartAttempt,
 )
-from cowslipshelf_core.internal.sidecar.memory import MemoryLedger
-from cowslipshelf_core.internal.sidecar.spent import Fate, SpentAttempts
+from cowslipshelf_core.internal.sidecar.ended_attempts import (
+    EndedAttempts,
+    ExecutionStatus,
+)
+from cowslipshelf_core.internal.sidecar.memory import MemoryTracker
 from cowslipshelf_core.prompt_parts import KvReference
 from cowslipshelf_core.upstream import HandOver
 
@@ -34,44 +37,45 @@
 
 @dataclass
 class AttemptTable:
-    """Hold the attempts that are alive at one upstream.
+    """Hold the attempts of one upstream that have not ended.
 
-    An attempt leaves WAITING once: it is either started or becomes a tombstone. Both
-    happen here and nowhere else, so a promise that it never ran can't cross its start.
+    An attempt that is not yet handed to the upstream is either handed over or
+    tombstoned, never both. Both happen only in this class, so an attempt can't start
+    while a promise is made that it never will.
     """
 
     config: SidecarConfig
-    spent: SpentAttempts
-    memory: MemoryLedger
+    ended: EndedAttempts
+    memory: MemoryTracker
     costs: CostEstimator = field(default_factory=CostEstimator)
     hot_prefixes: HotPrefixes = field(default_factory=HotPrefixes)
     alive: dict[AttemptId, Attempt] = field(default_factory=dict)
     waiting: list[Attempt] = field(default_factory=list)
-    """Attempts in the phase WAITING, in the order in which they want to start."""
+    """Attempts in phase WAITING, ordered by `start_rank`."""
     prefilling: set[AttemptId] = field(default_factory=set)
     finished: dict[AttemptId, float] = field(default_factory=dict)
-    """Attempts whose frames can be read, with the time until when."""
+    """Ended attempts whose frames can still be read, with the time until which."""
 
     @classmethod
     def from_config(cls, config: SidecarConfig) -> Self:
-        """Start with no memory of any earlier start."""
+        """Create an empty table; nothing is kept over a restart."""
         return cls(
-            config, SpentAttempts(config.max_ended_attempts), MemoryLedger(config)
+            config, EndedAttempts(config.max_ended_attempts), MemoryTracker(config)
         )
 
     @property
     def started_count(self) -> int:
-        """Return the number of attempts that the upstream was given and still has."""
+        """Return the number of attempts that are started or reserved."""
         return len(self.alive) - len(self.waiting)
 
     @property
     def waiting_tokens(self) -> int:
-        """Return the memory that waiting attempts will ask for."""
+        """Return the tokens of KV cache that the waiting attempts need."""
         return sum(tokens_needed(attempt.hand_over) for attempt in self.waiting)
 
     @property
     def prefill_tokens(self) -> int:
-        """Return the prompt tokens accepted and not yet prefilled."""
+        """Return the prompt tokens that are accepted but not yet prefilled."""
         return sum(
             attempt.hand_over.prefill_tokens
             for attempt in self.alive.values()
@@ -80,25 +84,25 @@
 
     @property
     def decoding_count(self) -> int:
-        """Return the number of attempts past their first token."""
+        """Return the number of attempts that generate output tokens."""
         return sum(
             attempt.phase is AttemptPhase.DECODING and not attempt.hand_over.is_part
             for attempt in self.alive.values()
         )
 
     def accept(self, hand_over: HandOver, now: float) -> None:
-        """Take an attempt that was not refused."""
-        longest = self.config.max_deadline_seconds
-        attempt = Attempt.from_hand_over(hand_over, now, longest)
+        """Add an accepted attempt to the waiting ones."""
+        max_deadline = self.config.max_deadline_seconds
+        attempt = Attempt.from_hand_over(hand_over, now, max_deadline)
         self.alive[attempt.attempt_id] = attempt
-        insort(self.waiting, attempt, key=lambda each: each.waiting_rank)
+        insort(self.waiting, attempt, key=lambda each: each.start_rank)
 
     def start_ready(self, now: float) -> list[SidecarEffect]:
-        """Start what fits, in rank order.
+        """Start the waiting attempts that fit, in rank order.
 
-        Small attempts may pass a large one that does not fit yet, but not for long:
-        under a steady stream of small ones the memory for the large one would never
-        come free, and it would wait until its deadline.
+        Smaller attempts may overtake a large one that does not fit yet, but only for
+        `bypass_seconds`: under a steady stream of small attempts, memory for the large
+        one would never become free, and it would wait until its deadline.
         """
         effects: list[SidecarEffect] = []
         for attempt in tuple(self.waiting):
@@ -119,40 +123,40 @@
         if attempt.hand_over.is_spread:
             attempt.phase = AttemptPhase.RESERVED
             return ReportReserved(attempt.attempt_id)
-        return self._give(attempt, (), now)
+        return self._hand_to_upstream(attempt, (), now)
 
-    def begin(
+    def start_reserved(
         self, attempt_id: AttemptId, parts: tuple[KvReference, ...], now: float
     ) -> list[SidecarEffect]:
-        """Start a reserved attempt; a repeated or late word for it does nothing."""
+        """Start a reserved attempt; ignore repeated or late messages."""
         attempt = self.alive.get(attempt_id)
         if attempt is None or attempt.phase is not AttemptPhase.RESERVED:
             return []
-        return [self._give(attempt, parts, now)]
+        return [self._hand_to_upstream(attempt, parts, now)]
 
-    def _give(
+    def _hand_to_upstream(
         self, attempt: Attempt, parts: tuple[KvReference, ...], now: float
     ) -> StartAttempt:
         attempt.phase = AttemptPhase.HANDED_OVER
         attempt.started_at = now
-        attempt.found_prefix = attempt.hand_over.prefix_hash in self.hot_prefixes
-        self._note_overlap(attempt)
+        attempt.prefix_was_hot = attempt.hand_over.prefix_hash in self.hot_prefixes
+        self._mark_overlap(attempt)
         return StartAttempt(attempt.hand_over, parts)
 
-    def _note_overlap(self, attempt: Attempt) -> None:
+    def _mark_overlap(self, attempt: Attempt) -> None:
         attempt.overlapped = bool(self.prefilling)
         for other_id in self.prefilling:
             self.alive[other_id].overlapped = True
         self.prefilling.add(attempt.attempt_id)
 
-    def note_accepted(self, attempt_id: AttemptId) -> None:
-        """Note that the upstream took an attempt."""
+    def record_accepted(self, attempt_id: AttemptId) -> None:
+        """Record that the upstream accepted an attempt."""
         attempt = self.alive.get(attempt_id)
         if attempt is not None and attempt.phase is AttemptPhase.HANDED_OVER:
             attempt.phase = AttemptPhase.ACCEPTED
 
-    def note_first_token(self, attempt_id: AttemptId, now: float) -> None:
-        """Note that a prompt is prefilled."""
+    def record_first_token(self, attempt_id: AttemptId, now: float) -> None:
+        """Record that a prompt is prefilled, and learn its cost."""
         attempt = self.alive.get(attempt_id)
         if attempt is None or attempt_id not in self.prefilling:
             return
@@ -160,21 +164,22 @@
         attempt.phase = AttemptPhase.DECODING
         attempt.first_token_at = now
         if attempt.hand_over.is_spread:
-            # A part costs more than a prompt of its length: it attends to all tokens
-            # before it. Learnt from, it would make whole prompts look slow.
+            # A part costs more than a whole prompt of the same length, because it
+            # attends to all tokens before it. As a sample it would make whole prompts
+            # look too expensive.
             return
-        self.costs.note_first_token(attempt, now)
-        self.hot_prefixes.note(attempt.hand_over.prefix_hash)
+        self.costs.record_first_token(attempt, now)
+        self.hot_prefixes.record(attempt.hand_over.prefix_hash)
 
     def finish(
         self, attempt_id: AttemptId, whole: bool, output_tokens: int, now: float
     ) -> list[SidecarEffect]:
-        """End an attempt that the upstream has ended."""
+        """End an attempt whose answer at the upstream has ended."""
         attempt = self.alive.get(attempt_id)
-        if attempt is None or not attempt.was_given:
+        if attempt is None or not attempt.was_handed_over:
             return []
         if whole and attempt.phase is AttemptPhase.DECODING:
-            self.costs.note_decode(now - attempt.first_token_at, output_tokens)
+            self.costs.record_decode(now - attempt.first_token_at, output_tokens)
         return self._end_started(attempt, now)
 
     def _end_started(self, attempt: Attempt, now: float) -> list[SidecarEffect]:
@@ -183,7 +188,7 @@
         self.prefilling.discard(attempt_id)
         self.memory.free(attempt_id)
         sequence = attempt.hand_over.load_sequence
-        self.spent.remember(attempt_id, Fate.MAY_HAVE_RUN, sequence)
+        self.ended.record(attempt_id, ExecutionStatus.MAY_HAVE_RUN, sequence)
         kept_until = now + self.config.answer_retention_seconds
         if attempt.hand_over.non_idempotent:
             kept_until = max(kept_until, attempt.deadline_at)
@@ -195,19 +200,19 @@
         return [DropFrames(oldest)]
 
     def tombstone(self, attempt: Attempt) -> None:
-        """Make sure that an attempt which was not given never starts."""
-        if attempt.waits:
+        """Drop an attempt that was not handed over, so that it never starts."""
+        if attempt.is_waiting:
             self.waiting.remove(attempt)
         self.memory.free(attempt.attempt_id)
         del self.alive[attempt.attempt_id]
         sequence = attempt.hand_over.load_sequence
-        self.spent.remember(attempt.attempt_id, Fate.NEVER_RAN, sequence)
+        self.ended.record(attempt.attempt_id, ExecutionStatus.NEVER_RAN, sequence)
 
-    def give_up(
+    def abort(
         self, attempt: Attempt, reason: RefusalReason, now: float
     ) -> list[SidecarEffect]:
-        """End an attempt whose answer is wanted no more or can't come in time."""
-        if not attempt.was_given:
+        """Refuse or cancel an attempt that is cancelled or past its deadline."""
+        if not attempt.was_handed_over:
             self.tombstone(attempt)
             refusal = self._refusal(RefusalCode.NOT_RUN, reason, WAIT_STEP)
             return [EndAttempt(attempt.attempt_id, refusal)]
@@ -226,13 +231,14 @@
     def _refusal(self, code: RefusalCode, reason: RefusalReason, step: str) -> Refusal:
         return Refusal(code, reason, step, self.config.description.upstream_id)
 
-    def settle_cancelled(
+    def end_confirmed_cancels(
         self, held: Collection[AttemptId], now: float
     ) -> list[SidecarEffect]:
         """End cancelled attempts that the engine no longer holds.
 
-        An inventory read before the engine knew of the attempt does not show it either;
-        so one that comes right after the cancel proves nothing.
+        An inventory right after the cancel proves nothing: it may have been read before
+        the engine knew of the attempt. So only cancels that are at least
+        `cancel_settle_seconds` old are considered.
         """
         oldest = now - self.config.cancel_settle_seconds
         gone = [
@@ -243,11 +249,11 @@
         return self._end_all(gone, now)
 
     def tick(self, now: float) -> list[SidecarEffect]:
-        """Enforce deadlines, repeat cancels and forget what nobody can ask for."""
+        """Enforce deadlines, repeat cancels and drop expired frames."""
         effects: list[SidecarEffect] = []
         for attempt in tuple(self.alive.values()):
             if now >= attempt.deadline_at:
-                effects += self.give_up(attempt, RefusalReason.DEADLINE_PASSED, now)
+                effects += self.abort(attempt, RefusalReason.DEADLINE_PASSED, now)
         effects += self._repeat_cancels(now)
         effects += self._forget_finished(now)
         return effects
@@ -260,7 +266,7 @@
         ]
 
     def _repeat_cancels(self, now: float) -> list[SidecarEffect]:
-        """Send cancels again, and stop counting on an upstream that never answers."""
+        """Repeat cancels; end the attempt when the upstream does not react in time."""
         limit = now - self.config.cancel_timeout_seconds
         effects: list[SidecarEffect] = []
         for attempt in self._cancelling():
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/config.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/config.py
@@ -1,4 +1,4 @@
-"""Set the limits and times by which a sidecar decides."""
+"""Define the configuration of a sidecar."""
 
 from typing import NamedTuple
 
@@ -7,47 +7,47 @@
 
 
 class SidecarConfig(NamedTuple):
-    """Set what a sidecar runs for, and its limits; times are in seconds."""
+    """Configure the upstream, the timing and the limits of a sidecar."""
 
     description: UpstreamDescription
     epoch: Epoch
-    """Start of this sidecar."""
+    """Identifies this start of the sidecar."""
     owner_lease_seconds: float = 10.0
-    """Silence after which an owner's attempts are given up."""
+    """Silence of an owning entry after which its attempts are aborted."""
     max_deadline_seconds: float = 3600.0
-    """A longer deadline is cut down to this."""
+    """Upper bound on the deadline of an attempt."""
     max_running: int = 256
     max_waiting: int = 16
     waiting_memory_share: float = 0.5
-    """Part of the memory; nothing joins attempts that already wait for more."""
+    """Share of the memory; new attempts are refused while waiting ones need more."""
     bypass_seconds: float = 2.0
-    """Wait after which smaller attempts no longer pass the first one waiting."""
+    """Waiting time after which smaller attempts no longer overtake an attempt."""
     cancel_repeat_seconds: float = 2.0
     cancel_settle_seconds: float = 1.0
-    """Age of a cancel from which an inventory without the attempt is believed."""
+    """Age of a cancel from which an inventory without the attempt confirms it."""
     cancel_timeout_seconds: float = 10.0
-    """Time after a cancel at which its reservation ends without any word of it.
+    """Time after which the reservation of an unconfirmed cancel ends.
 
-    If the engine holds the memory even then, it counts as unclaimed and is released.
+    If the engine still holds the memory then, it counts as unclaimed and is released.
     """
     unclaimed_grace_seconds: float = 3.0
-    """Time for which the engine may hold memory that no attempt here claims."""
+    """Time for which the engine may hold memory without a reservation."""
     inventory_max_age_seconds: float = 10.0
-    """Age at which an inventory no longer tells anything."""
+    """Age from which an inventory is ignored."""
     answer_retention_seconds: float = 30.0
-    """Time for which a finished attempt's frames can be read."""
+    """Time for which the frames of a finished attempt can be read."""
     max_ended_attempts: int = 32_768
-    """Ended and revoked attempts that are known by their ids."""
+    """Ended and revoked attempts that are remembered by id."""
     max_finished: int = 512
-    """Finished attempts whose frames are kept."""
+    """Finished attempts whose frames are kept at a time."""
     fencing_retry_seconds: float = 2.0
 
     def max_reservation_seconds(self, deadline_seconds: float) -> float:
-        """Return the longest time for which a lost attempt's reservation lasts.
+        """Return how long the reservation of an attempt can outlive its owner.
 
-        It counts from the owner's last sign of life, and allows a second for the tick.
-        Only an attempt that may not be repeated needs the whole deadline; any other
-        ends with its owner's lease. Memory that the engine alone knows of is asked back
-        `unclaimed_grace_seconds` after the inventory that first shows it.
+        It counts from the owner's last message, and allows one second for the tick.
+        Only a non-idempotent attempt runs until its deadline; any other ends with its
+        owner's lease. Memory that only the engine knows of is released
+        `unclaimed_grace_seconds` after the first inventory that shows it.
         """
         return deadline_seconds + self.cancel_timeout_seconds + 1.0
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/costs.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/costs.py
@@ -1,4 +1,4 @@
-"""Learn what prompts and tokens cost an upstream, and which prefixes are cached."""
+"""Estimate the cost of prompts and tokens, and which prefixes are cached."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
@@ -11,75 +11,79 @@
 SAMPLES_PER_LENGTH = 3
 """Recent prefills kept for each doubling of the prompt length.
 
-Long prompts are rare: in one common window they would be gone before the next one, and
-the quadratic part with them.
+Long prompts are rare. In one window for all lengths, short prompts would displace them
+before the next long one arrives, and the quadratic term would be lost.
 """
 
-DECODE_SAMPLES = 32
-MOST_PREFILLS_WITHOUT_CLEAN = 32
-HOT_PREFIXES = 16
+MAX_DECODE_SAMPLES = 32
+MAX_PREFILLS_SINCE_ISOLATED = 32
+MAX_HOT_PREFIXES = 16
 
 
 class PrefillSample(NamedTuple):
-    """Be one observed prefill."""
+    """Hold the length and the speed of one observed prefill."""
 
     tokens: int
     seconds_per_token: float
 
 
 class PrefillSlopes(NamedTuple):
-    """Be the cost of a prefill: seconds per token, and per token squared."""
+    """Hold the cost of a prefill: seconds per token, and per token squared."""
 
     linear: float = 0.0
     quadratic: float = 0.0
 
 
 def fit_prefill(samples: list[PrefillSample]) -> PrefillSlopes:
-    """Fit slopes to samples by medians (Theil and Sen), so that outliers don't count.
+    """Fit slopes with the Theil-Sen estimator, whose medians resist outliers.
 
-    Seconds per token grow linearly with the length if seconds grow quadratically.
+    The fit is linear, because seconds per token grow linearly with the length if
+    seconds grow quadratically.
     """
     if not samples:
         return PrefillSlopes()
-    rises = [
+    pair_slopes = [
         (other.seconds_per_token - one.seconds_per_token) / (other.tokens - one.tokens)
         for one, other in combinations(samples, 2)
-        # Close lengths tell of noise only.
+        # Between samples of similar length, noise dominates the slope.
         if max(one.tokens, other.tokens) >= 2 * min(one.tokens, other.tokens)
     ]
-    quadratic = max(0.0, median(rises)) if rises else 0.0
-    remainders = [
+    quadratic = max(0.0, median(pair_slopes)) if pair_slopes else 0.0
+    intercepts = [
         sample.seconds_per_token - quadratic * sample.tokens for sample in samples
     ]
-    return PrefillSlopes(max(0.0, median(remainders)), quadratic)
+    return PrefillSlopes(max(0.0, median(intercepts)), quadratic)
 
 
 @dataclass
 class CostEstimator:
-    """Learn slopes from the attempts that an upstream ran."""
+    """Estimate costs from the attempts that an upstream has run."""
 
     prefills: dict[int, deque[PrefillSample]] = field(default_factory=dict)
-    decodes: deque[float] = field(default_factory=lambda: deque(maxlen=DECODE_SAMPLES))
-    since_clean: int = MOST_PREFILLS_WITHOUT_CLEAN
+    decodes: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_DECODE_SAMPLES)
+    )
+    prefills_since_isolated: int = MAX_PREFILLS_SINCE_ISOLATED
     first_token_at: float = float("-inf")
     slopes: PrefillSlopes | None = None
-    """None where samples came in since the last fit."""
+    """Result of the last fit; None if there are newer samples."""
 
-    def note_first_token(self, attempt: Attempt, now: float) -> None:
-        """Learn from a finished prefill.
+    def record_first_token(self, attempt: Attempt, now: float) -> None:
+        """Add a finished prefill to the samples if its duration shows its cost.
 
-        A prefill beside others took part of their time; only one alone tells its cost.
-        On an upstream that is never so idle, the time since the last first token is the
-        next best. A cached prefix hides how much was computed.
+        Concurrent prefills slow each other down, so only an isolated one is a clean
+        sample. On an upstream without isolated prefills, the time since the previous
+        first token is the next best measure. A prefill with a cached prefix is skipped,
+        because it is unknown how many tokens were computed.
         """
         began_at = max(attempt.started_at, self.first_token_at)
         self.first_token_at = now
-        self.since_clean += 1
-        if attempt.found_prefix or attempt.hand_over.prompt_tokens <= 0:
+        self.prefills_since_isolated += 1
+        if attempt.prefix_was_hot or attempt.hand_over.prompt_tokens <= 0:
             return
         if not attempt.overlapped:
-            self.since_clean = 0
-        elif self.since_clean < MOST_PREFILLS_WITHOUT_CLEAN:
+            self.prefills_since_isolated = 0
+        elif self.prefills_since_isolated < MAX_PREFILLS_SINCE_ISOLATED:
             return
         self._add_prefill(attempt.hand_over.prompt_tokens, now - began_at)
 
@@ -89,13 +93,13 @@
         samples.append(PrefillSample(tokens, seconds / tokens))
         self.slopes = None
 
-    def note_decode(self, seconds: float, tokens: int) -> None:
-        """Learn from a whole answer: the time after its first token."""
+    def record_decode(self, seconds: float, tokens: int) -> None:
+        """Add a complete answer: the time after its first token, and its tokens."""
         if tokens > 1:
             self.decodes.append(seconds / (tokens - 1))
 
     def prefill_slopes(self) -> PrefillSlopes:
-        """Return the slopes that fit the latest samples."""
+        """Return the slopes fitted to the current samples."""
         if self.slopes is None:
             self.slopes = fit_prefill(
                 [sample for samples in self.prefills.values() for sample in samples]
@@ -103,23 +107,23 @@
         return self.slopes
 
     def decode_seconds_per_token(self) -> float:
-        """Return the median time between tokens; zero before the first answer."""
+        """Return the median time between tokens; zero without samples."""
         return median(self.decodes) if self.decodes else 0.0
 
 
 @dataclass
 class HotPrefixes:
-    """Keep the prefixes that were prefilled last, which the engine may have cached."""
+    """Hold the most recently prefilled prefixes, which the engine may have cached."""
 
     hashes: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
-    def note(self, prefix_hash: int) -> None:
-        """Count a prefix as the one used last; zero stands for none."""
+    def record(self, prefix_hash: int) -> None:
+        """Mark a prefix as most recently used; zero means no prefix."""
         if prefix_hash == 0:
             return
         self.hashes[prefix_hash] = None
         self.hashes.move_to_end(prefix_hash)
-        if len(self.hashes) > HOT_PREFIXES:
+        if len(self.hashes) > MAX_HOT_PREFIXES:
             self.hashes.popitem(last=False)
 
     def __contains__(self, prefix_hash: int) -> bool:
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/effects.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/effects.py
@@ -1,4 +1,4 @@
-"""Define what the sidecar's state wants done."""
+"""Define the effects that the sidecar's state machine requests from its caller."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,25 +13,29 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Hand an attempt to the upstream; sent once at most for an attempt id."""
+    """Hand an attempt to the upstream; requested at most once per attempt id."""
 
     hand_over: HandOver
     parts: tuple[KvReference, ...] = ()
-    """What other engines hold of the prompt."""
+    """KV cache that other engines hold of the prompt's earlier parts."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportReserved:
-    """Tell the owner that memory is reserved for a part of a spread prompt."""
+    """Tell the owner that memory is reserved for a part of a spread prompt.
+
+    A spread prompt is prefilled on several engines.
+    """
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseAttempt:
-    """Answer the hand-over being handled with a refusal.
+    """Answer the hand-over that is being handled with a refusal.
 
-    It ends no frames: of a doubled hand-over, the first copy may still run.
+    It does not end the frames of the attempt id: if the hand-over is a duplicate, the
+    first copy may still run.
     """
 
     attempt_id: AttemptId
@@ -48,56 +52,56 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAtUpstream:
-    """Ask the upstream to stop an attempt."""
+    """Cancel an attempt at the upstream."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAtUpstream:
-    """Ask the upstream to free memory that no attempt here claims."""
+    """Release memory at the upstream that has no reservation here."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class DropFrames:
-    """Drop the frames of a finished attempt: nobody may read them any more."""
+    """Drop the frames of a finished attempt; they can no longer be read."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRevoke:
-    """Answer the revocation being handled."""
+    """Answer the revocation that is being handled."""
 
     answer: NeverRan | MayHaveRun
 
 
 class OrderRefusalReason(StrEnum):
-    """Name why an order is not given to the upstream."""
+    """Define why an order is not passed to the upstream."""
 
     OLD_NUMBER = "old_number"
-    """A newer order is known; the giver may have lost its place."""
+    """A newer order is known; the sender may no longer be the leader."""
     REPEATED = "repeated"
-    """This very order was given before."""
+    """This order was already passed on."""
     IN_PROGRESS = "in_progress"
-    """Another order runs; send this one again later."""
+    """Another order is running; the sender retries later."""
     NOT_CONFIRMED = "not_confirmed"
-    """No quorum has told the newest number since the start; send it again later."""
+    """No quorum has confirmed the newest number since the start; retry later."""
     LEAVING = "leaving"
 
 
 @dataclass(frozen=True, slots=True)
 class RunOrder:
-    """Give the upstream an order; `OrderFinished` must follow."""
+    """Run an order at the upstream; `OrderFinished` must follow."""
 
     order: FencedOrder
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseOrder:
-    """Refuse an order, with the newest number known."""
+    """Refuse an order, and report the newest known fencing number."""
 
     order: FencedOrder
     reason: OrderRefusalReason
@@ -106,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFencing:
-    """Ask a quorum for the upstream's newest fencing number."""
+    """Request the upstream's newest fencing number from a quorum."""
 
     upstream_id: UpstreamId
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingFinished:
-    """Say that nothing runs here any more and nothing ever will."""
+    """Report that the sidecar has left: nothing runs and nothing will be accepted."""
 
 
 SidecarEffect = (
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
@@ -1,4 +1,4 @@
-"""Define what the sidecar's state is told."""
+"""Define the events that the sidecar's state machine handles."""
 
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
@@ -10,15 +10,15 @@
 
 
 class FencedOrder(Protocol):
-    """Be an order to the upstream, with its place among all orders."""
+    """Define an order to the upstream with its fencing number."""
 
     @property
     def fencing(self) -> FencingNumber:
-        """Return the index in the replicated log of the order."""
+        """Return the index of the order in the replicated log."""
 
 
 class HeldMemory(NamedTuple):
-    """Be memory that the engine says it holds for an attempt."""
+    """Hold the memory that the engine reports for an attempt."""
 
     attempt_id: AttemptId
     tokens: int
@@ -26,33 +26,33 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverArrived:
-    """Ask to run an attempt; it is accepted unless `RefuseAttempt` follows."""
+    """Submit an attempt; it is accepted unless `RefuseAttempt` is returned."""
 
     hand_over: HandOver
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAccepted:
-    """Say that the upstream took an attempt."""
+    """Report that the upstream accepted an attempt."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class FirstTokenArrived:
-    """Say that an attempt's prompt is prefilled."""
+    """Report that the prompt of an attempt is prefilled."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamUnreachable:
-    """Say that nothing takes connections at the upstream's address."""
+    """Report that the upstream's address accepts no connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFinished:
-    """Say that the upstream's answer ended, whole or not, or can't be had."""
+    """Report that the upstream's answer has ended, completely or not, or failed."""
 
     attempt_id: AttemptId
     whole: bool
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartsArrived:
-    """Say that the parts before a reserved attempt's own are prefilled."""
+    """Report that the earlier prompt parts of a reserved attempt are prefilled."""
 
     attempt_id: AttemptId
     parts: tuple[KvReference, ...]
@@ -69,59 +69,59 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeArrived:
-    """Ask for the promise that an attempt never ran and never will."""
+    """Request the promise that an attempt never ran and never will."""
 
     attempt_id: AttemptId
     epoch: Epoch
     load_sequence: int = 0
-    """`HandOver.load_sequence` of the attempt, where the asker knows it."""
+    """`HandOver.load_sequence` of the attempt; zero if the sender does not know it."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelArrived:
-    """Say that nobody wants an attempt's answer any more."""
+    """Cancel an attempt whose answer is no longer wanted."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerSeen:
-    """Renew an owner's lease: it sent a message or reads a stream."""
+    """Renew an owner's lease, because it sent a message or reads a stream."""
 
     owner: InstanceId
 
 
 @dataclass(frozen=True, slots=True)
 class InventoryRead:
-    """Tell all the memory that the engine holds for attempts."""
+    """Report all memory that the engine holds for attempts."""
 
     held: tuple[HeldMemory, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """Say that a configuration is now in force in this process."""
+    """Report that a configuration is now in force in this process."""
 
     configuration: FleetConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingStarted:
-    """Begin to leave for good: no new work, running work finishes."""
+    """Start to leave: refuse new work, and let accepted work finish."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderArrived:
-    """Ask to give the upstream an order."""
+    """Submit an order for the upstream."""
 
     order: FencedOrder
 
 
 @dataclass(frozen=True, slots=True)
 class FencingConfirmed:
-    """Tell the upstream's newest fencing number, as a quorum has it.
+    """Report the upstream's newest fencing number, confirmed by a quorum.
 
-    The question must have been asked after this sidecar started.
+    It must be the answer to a request from this start of the sidecar.
     """
 
     number: FencingNumber
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderFinished:
-    """Say that the upstream carried an order out, or that it can't."""
+    """Report that the upstream has run an order, or can't."""
 
     number: FencingNumber
     succeeded: bool
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TickElapsed:
-    """Say that time has passed; sent at least once a second."""
+    """Report that time has passed; sent at least once a second."""
 
 
 SidecarEvent = (
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/memory.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/memory.py
@@ -1,4 +1,4 @@
-"""Account for the memory of the engine."""
+"""Track the memory of the engine."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class UnclaimedMemory:
-    """Be memory that the engine holds and no attempt here claims."""
+    """Hold memory that the engine reports and that has no reservation here."""
 
     tokens: int
     since: float
@@ -17,11 +17,11 @@
 
 
 @dataclass
-class MemoryLedger:
-    """Hold the reservations, and what the engine holds besides them.
+class MemoryTracker:
+    """Track reservations, and memory that the engine holds without one.
 
-    A reservation is found by its attempt id alone, so a completion that comes late, for
-    an attempt that was cancelled and freed before, finds nothing to free.
+    Reservations are keyed by attempt id, so a late completion of an attempt that was
+    cancelled and freed before does not free another attempt's memory.
     """
 
     config: SidecarConfig
@@ -32,16 +32,16 @@
 
     @property
     def is_bounded(self) -> bool:
-        """Return whether the upstream has a memory to account for."""
+        """Return whether the upstream has limited memory; a plain service has none."""
         return self.config.description.memory_tokens > 0
 
     @property
     def unclaimed_tokens(self) -> int:
-        """Return the tokens that the engine holds for nobody here."""
+        """Return the tokens that the engine holds without a reservation."""
         return sum(memory.tokens for memory in self.unclaimed.values())
 
     def fits(self, tokens: int) -> bool:
-        """Tell whether that many more tokens fit now."""
+        """Return whether that many more tokens fit now."""
         taken = self.reserved_tokens + self.unclaimed_tokens
         return taken + tokens <= self.config.description.memory_tokens
 
@@ -54,23 +54,24 @@
         """End the reservation of an attempt, if it has one."""
         self.reserved_tokens -= self.reservations.pop(attempt_id, 0)
 
-    def compare(self, held: tuple[HeldMemory, ...], now: float) -> list[AttemptId]:
-        """Return the attempts whose memory the engine is to release now.
+    def reconcile(self, held: tuple[HeldMemory, ...], now: float) -> list[AttemptId]:
+        """Compare an inventory with the reservations; return what to release now.
 
-        A cancel can be lost, and a sidecar can die while its attempts run: the engine
-        then holds memory that nobody will free, and each such loss shrinks it for good.
-        What is held and not claimed for longer than the grace is released, again and
-        again until the engine holds it no more. The grace covers an inventory that was
-        read just before an attempt ended; a claim is always older than its memory.
+        If a cancel is lost, or a sidecar crashes while its attempts run, the engine
+        keeps memory that nobody frees, and each such leak reduces its capacity for
+        good. Memory without a reservation for longer than the grace time is released,
+        repeatedly until the engine no longer reports it. The grace time covers an
+        inventory that was read just before an attempt ended; a reservation is always
+        made before the engine allocates its memory.
         """
         self.inventory_at = now
-        known = self.unclaimed
+        previous = self.unclaimed
         self.unclaimed = {}
         due = []
         for attempt_id, tokens in held:
             if attempt_id in self.reservations:
                 continue
-            memory = known.get(attempt_id) or UnclaimedMemory(tokens, now)
+            memory = previous.get(attempt_id) or UnclaimedMemory(tokens, now)
             memory.tokens = tokens
             self.unclaimed[attempt_id] = memory
             if self._is_release_due(memory, now):
@@ -80,10 +81,10 @@
 
     def _is_release_due(self, memory: UnclaimedMemory, now: float) -> bool:
         held_for = now - memory.since
-        rested = now - memory.released_at >= self.config.cancel_repeat_seconds
-        return held_for >= self.config.unclaimed_grace_seconds and rested
+        repeat_due = now - memory.released_at >= self.config.cancel_repeat_seconds
+        return held_for >= self.config.unclaimed_grace_seconds and repeat_due
 
-    def drop_old_inventory(self, now: float) -> None:
-        """Stop counting unclaimed memory that no recent inventory shows."""
+    def expire_inventory(self, now: float) -> None:
+        """Stop counting unclaimed memory when the last inventory is too old."""
         if now - self.inventory_at > self.config.inventory_max_age_seconds:
             self.unclaimed.clear()
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/orders.py
@@ -1,4 +1,4 @@
-"""Let orders to the upstream through one at a time, and never backwards."""
+"""Pass orders to the upstream one at a time, in the order of fencing numbers."""
 
 from dataclasses import dataclass
 
@@ -18,38 +18,38 @@
 
 @dataclass
 class OrderGate:
-    """Protect an upstream that does not look at fencing numbers itself.
+    """Check fencing numbers for an upstream that does not check them itself.
 
     A control instance that was isolated may send an order long after a newer one was
-    carried out; an engine that does not check would go back to the older state. This
-    gate checks in its place. It has no disk, so after a start it knows no number, and
-    gives nothing until a quorum has told the newest one.
+    run; an engine that does not check would go back to the older state. The gate keeps
+    nothing on disk, so after a start it knows no number, and passes no order until a
+    quorum has confirmed the newest one.
     """
 
     config: SidecarConfig
     newest: FencingNumber = NO_FENCING
-    given: FencingNumber = NO_FENCING
+    last_run: FencingNumber = NO_FENCING
     confirmed: bool = False
     running: FencedOrder | None = None
     pending: FencedOrder | None = None
-    """The newest order that waits for the quorum's word."""
-    asked_at: float = float("-inf")
+    """The newest order that waits for the quorum's confirmation."""
+    requested_at: float = float("-inf")
 
-    def take(
+    def submit(
         self, order: FencedOrder, leaving: bool, now: float
     ) -> list[SidecarEffect]:
-        """Give an order, keep it for the quorum's word, or refuse it."""
+        """Run an order, hold it until the quorum confirms, or refuse it."""
         reason = self._refusal_reason(order, leaving)
         self.newest = max(self.newest, order.fencing)
         if reason is not None:
             return [RefuseOrder(order, reason, self.newest)]
         if self.confirmed:
-            return [self._give(order)]
+            return [self._run(order)]
         replaced = self.pending
         self.pending = order
         if replaced is None or replaced.fencing == order.fencing:
-            return self.ask_if_due(now)
-        return [self._refuse_old(replaced), *self.ask_if_due(now)]
+            return self.request_fencing_if_due(now)
+        return [self._refuse_old(replaced), *self.request_fencing_if_due(now)]
 
     def _refusal_reason(
         self, order: FencedOrder, leaving: bool
@@ -58,14 +58,14 @@
             return OrderRefusalReason.LEAVING
         if order.fencing < self.newest:
             return OrderRefusalReason.OLD_NUMBER
-        if order.fencing <= self.given:
+        if order.fencing <= self.last_run:
             return OrderRefusalReason.REPEATED
         if self.running is not None:
             return OrderRefusalReason.IN_PROGRESS
         return None
 
     def confirm(self, number: FencingNumber) -> list[SidecarEffect]:
-        """Take the quorum's word on the newest number."""
+        """Accept the newest number from the quorum; run or refuse the held order."""
         self.newest = max(self.newest, number)
         self.confirmed = True
         order = self.pending
@@ -74,32 +74,32 @@
             return []
         if order.fencing < self.newest:
             return [self._refuse_old(order)]
-        return [self._give(order)]
+        return [self._run(order)]
 
     def finish(self, number: FencingNumber) -> None:
-        """Make room for the next order."""
+        """Mark the running order as finished."""
         if self.running is not None and self.running.fencing == number:
             self.running = None
 
-    def ask_if_due(self, now: float) -> list[SidecarEffect]:
-        """Ask for the quorum's word while an order waits for it."""
-        rested = now - self.asked_at >= self.config.fencing_retry_seconds
-        if self.pending is None or not rested:
+    def request_fencing_if_due(self, now: float) -> list[SidecarEffect]:
+        """Request the quorum's confirmation if an order waits for it."""
+        repeat_due = now - self.requested_at >= self.config.fencing_retry_seconds
+        if self.pending is None or not repeat_due:
             return []
-        self.asked_at = now
+        self.requested_at = now
         return [RequestFencing(self.config.description.upstream_id)]
 
     def refuse_pending(self) -> list[SidecarEffect]:
-        """Refuse what waits, because the upstream leaves."""
+        """Refuse the held order, because the upstream leaves."""
         order = self.pending
         self.pending = None
         if order is None:
             return []
         return [RefuseOrder(order, OrderRefusalReason.LEAVING, self.newest)]
 
-    def _give(self, order: FencedOrder) -> RunOrder:
+    def _run(self, order: FencedOrder) -> RunOrder:
         self.running = order
-        self.given = order.fencing
+        self.last_run = order.fencing
         return RunOrder(order)
 
     def _refuse_old(self, order: FencedOrder) -> RefuseOrder:
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/owners.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/owners.py
@@ -1,4 +1,4 @@
-"""Keep the leases of the entries that own attempts."""
+"""Track the leases of the entries that own attempts."""
 
 from dataclasses import dataclass, field
 from typing import Self
@@ -10,30 +10,32 @@
 
 @dataclass
 class OwnerLeases:
-    """Know which owners were heard of lately."""
+    """Hold when each owner was last seen."""
 
     config: SidecarConfig
-    watch: PauseDetector
-    seen: dict[InstanceId, float] = field(default_factory=dict)
+    pause_detector: PauseDetector
+    last_seen: dict[InstanceId, float] = field(default_factory=dict)
 
     @classmethod
     def from_config(cls, config: SidecarConfig) -> Self:
-        """Start knowing no owner."""
+        """Create an empty table of owners."""
         return cls(config, PauseDetector())
 
     def renew(self, owner: InstanceId, now: float) -> None:
-        """Prolong an owner's lease."""
-        self.seen[owner] = now
+        """Renew an owner's lease."""
+        self.last_seen[owner] = now
 
     def tick(self, now: float) -> list[InstanceId]:
         """Return the owners whose leases have ended since the last tick."""
-        standstill = self.watch.tick(now)
-        # See PauseDetector: live owners' messages may still wait to be read.
-        if standstill:
-            for owner, seen_at in self.seen.items():
-                self.seen[owner] = min(now, seen_at + standstill)
+        pause = self.pause_detector.tick(now)
+        # See PauseDetector: messages of live owners may still be waiting to be read.
+        if pause:
+            for owner, seen_at in self.last_seen.items():
+                self.last_seen[owner] = min(now, seen_at + pause)
         oldest = now - self.config.owner_lease_seconds
-        ended = [owner for owner, seen_at in self.seen.items() if seen_at <= oldest]
+        ended = [
+            owner for owner, seen_at in self.last_seen.items() if seen_at <= oldest
+        ]
         for owner in ended:
-            del self.seen[owner]
+            del self.last_seen[owner]
         return ended
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
@@ -1,4 +1,4 @@
-"""Decide what is handed to an upstream, and answer for what never was."""
+"""Implement the sidecar as a state machine from events to effects."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -17,6 +17,10 @@
     ReleaseAtUpstream,
     SidecarEffect,
 )
+from cowslipshelf_core.internal.sidecar.ended_attempts import (
+    UNKNOWN_SEQUENCE,
+    ExecutionStatus,
+)
 from cowslipshelf_core.internal.sidecar.events import (
     CancelArrived,
     ConfigurationApplied,
@@ -39,7 +43,6 @@
 )
 from cowslipshelf_core.internal.sidecar.orders import OrderGate
 from cowslipshelf_core.internal.sidecar.owners import OwnerLeases
-from cowslipshelf_core.internal.sidecar.spent import NOT_KNOWN, Fate
 from cowslipshelf_core.messages import AttemptRefused, MayHaveRun, NeverRan
 from cowslipshelf_core.upstream import HandOver, LoadReport
 
@@ -48,23 +51,23 @@
 
 @dataclass
 class SidecarState:
-    """Be the authority on what one upstream was given."""
+    """Hold the state of a sidecar, the only authority on what its upstream ran."""
 
     config: SidecarConfig
     table: AttemptTable
     owners: OwnerLeases
     orders: OrderGate
     rules: AdmissionRules | None = None
-    """What the configuration in force says; None before the first one."""
+    """Rules of the configuration in force; None before the first one."""
     sequence: int = 0
     leaving: bool = False
     left: bool = False
     unreachable: bool = False
-    """Whether the upstream took no connection, and gave no inventory since."""
+    """Whether a connection failed and no inventory has been read since."""
 
     @classmethod
     def from_config(cls, config: SidecarConfig) -> Self:
-        """Start with no memory of any earlier start."""
+        """Create an empty state; nothing is kept over a restart."""
         return cls(
             config,
             AttemptTable.from_config(config),
@@ -73,7 +76,7 @@
         )
 
     def handle(self, event: SidecarEvent, now: float) -> list[SidecarEffect]:
-        """Take in one event at `now` (monotonic seconds)."""
+        """Handle one event at `now` (monotonic seconds); return its effects."""
         effects = self._dispatch(event, now)
         if self.table.waiting:
             effects += self.table.start_ready(now)
@@ -82,7 +85,7 @@
         return effects
 
     def load_report(self) -> LoadReport:
-        """Return a new report of how full the upstream is."""
+        """Return a load report with the next sequence number."""
         self.sequence += 1
         table = self.table
         slopes = table.costs.prefill_slopes()
@@ -103,29 +106,30 @@
 
     @property
     def takes_work(self) -> bool:
-        """Return whether entries may choose this upstream for new work."""
-        return not (self.leaving or self.is_cut_off)
+        """Return whether entries may route new requests to this upstream."""
+        return not (self.leaving or self.is_engine_unreachable)
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_engine_unreachable(self) -> bool:
         """Return whether the engine can't be reached.
 
-        A plain service gives no inventory, by which its return would be known.
+        It is always false for a plain service, which has no inventory to show that it
+        is back.
         """
         return self.unreachable and self.config.description.kind == "model"
 
     def _dispatch(self, event: SidecarEvent, now: float) -> list[SidecarEffect]:
         match event:
             case HandOverArrived(hand_over):
-                return self._take_hand_over(hand_over, now)
+                return self._handle_hand_over(hand_over, now)
             case UpstreamAccepted(attempt_id):
-                self.table.note_accepted(attempt_id)
+                self.table.record_accepted(attempt_id)
             case FirstTokenArrived(attempt_id):
-                self.table.note_first_token(attempt_id, now)
+                self.table.record_first_token(attempt_id, now)
             case UpstreamFinished(attempt_id, whole, output_tokens):
                 return self.table.finish(attempt_id, whole, output_tokens, now)
             case PartsArrived(attempt_id, parts):
-                return self.table.begin(attempt_id, parts, now)
+                return self.table.start_reserved(attempt_id, parts, now)
             case RevokeArrived():
                 return [AnswerRevoke(self._revoke(event))]
             case CancelArrived(attempt_id):
@@ -136,14 +140,14 @@
                 self.unreachable = True
             case InventoryRead(held):
                 self.unreachable = False
-                return self._compare(held, now)
+                return self._reconcile(held, now)
             case ConfigurationApplied(configuration):
                 self._apply(configuration)
             case LeavingStarted():
                 self.leaving = True
                 return self.orders.refuse_pending()
             case OrderArrived(order):
-                return self.orders.take(order, self.leaving, now)
+                return self.orders.submit(order, self.leaving, now)
             case FencingConfirmed(number):
                 return self.orders.confirm(number)
             case OrderFinished(number):
@@ -152,17 +156,18 @@
                 return self._tick(now)
         return []
 
-    def _take_hand_over(self, hand_over: HandOver, now: float) -> list[SidecarEffect]:
+    def _handle_hand_over(self, hand_over: HandOver, now: float) -> list[SidecarEffect]:
         self.owners.renew(hand_over.owner, now)
-        refusal = self._standing_refusal(hand_over)
+        refusal = self._permanent_refusal(hand_over)
         if refusal is None:
-            refusal = self._passing_refusal(hand_over)
+            refusal = self._temporary_refusal(hand_over)
             if refusal is not None and not hand_over.is_spread:
-                # What stands against it now may have passed when another copy of it
-                # comes; that one must not run after this one was answered "not run".
-                # A part of a spread prompt only reserves memory when it is accepted
-                # and runs on a later word alone. Its id stays usable, so that the
-                # last part, whose id a claim may name, can be handed over again.
+                # The reason may no longer hold when a duplicate of this hand-over
+                # arrives, but the duplicate must not run after this copy was answered
+                # with "not run". A part of a spread prompt is exempt: accepting it only
+                # reserves memory, and it runs only after `PartsArrived`. Its id stays
+                # usable, so that the last part, whose id a claim may name, can be
+                # handed over again.
                 self._tombstone(hand_over.attempt_id, hand_over.load_sequence)
         if refusal is not None:
             refused = AttemptRefused(refusal, self.load_report())
@@ -170,18 +175,18 @@
         self.table.accept(hand_over, now)
         return []
 
-    def _standing_refusal(self, hand_over: HandOver) -> Refusal | None:
-        """Refuse for what holds for every copy of this hand-over, at any later time."""
+    def _permanent_refusal(self, hand_over: HandOver) -> Refusal | None:
+        """Refuse for reasons that also hold for every later copy of the hand-over."""
         description = self.config.description
         addressee = (description.upstream_id, self.config.epoch)
         if (hand_over.upstream_id, hand_over.sidecar_epoch) != addressee:
             return self._not_run(RefusalReason.WRONG_EPOCH)
-        fate = self._fate_of(hand_over.attempt_id, hand_over.load_sequence)
-        if fate is Fate.NEVER_RAN:
+        status = self._status_of(hand_over.attempt_id, hand_over.load_sequence)
+        if status is ExecutionStatus.NEVER_RAN:
             return self._not_run(RefusalReason.TOMBSTONED)
-        if fate is Fate.MAY_HAVE_RUN:
-            # Another copy runs, will run or has run: "not run" would be a lie, and
-            # whoever believed it would run the request a second time.
+        if status is ExecutionStatus.MAY_HAVE_RUN:
+            # A copy is running, will run or may have run. If this one were answered
+            # with "not run", the entry would run the request a second time.
             return self._refusal(
                 RefusalCode.OUTCOME_UNKNOWN, RefusalReason.DUPLICATE_ATTEMPT
             )
@@ -194,25 +199,26 @@
             return self._not_run(RefusalReason.TOO_LARGE)
         return None
 
-    def _passing_refusal(self, hand_over: HandOver) -> Refusal | None:
-        """Refuse for what may be otherwise a moment later."""
+    def _temporary_refusal(self, hand_over: HandOver) -> Refusal | None:
+        """Refuse for reasons that may not hold a moment later."""
         if self.rules is None:
             return self._not_run(RefusalReason.NOT_READY)
-        objection = self.rules.objection(hand_over)
-        if objection is not None:
-            return self._not_run(objection)
-        # A dead engine fails each attempt at once, so it has the least load of all and
-        # would draw the whole fleet's requests to itself. It gets none until it answers
-        # an inventory again.
-        if self.is_cut_off:
+        reason = self.rules.refusal_reason(hand_over)
+        if reason is not None:
+            return self._not_run(reason)
+        # A dead engine fails each attempt at once, so it has the lowest load of all and
+        # would attract the requests of the whole fleet. It gets none until it answers
+        # an inventory request again.
+        if self.is_engine_unreachable:
             return self._not_run(RefusalReason.UPSTREAM_FAILED)
         table = self.table
         if len(table.waiting) >= self.config.max_waiting:
             return self._not_run(RefusalReason.OVERLOADED)
-        # What waits counts, not what comes: under a steady stream of small attempts a
-        # large one would otherwise never find room to wait in, while they always do.
-        most = self.config.waiting_memory_share * self.config.description.memory_tokens
-        if table.memory.is_bounded and table.waiting_tokens > most:
+        # Counts the waiting attempts without the new one. Otherwise, under a steady
+        # stream of small attempts, the small ones would always be accepted and a large
+        # one never.
+        limit = self.config.waiting_memory_share * self.config.description.memory_tokens
+        if table.memory.is_bounded and table.waiting_tokens > limit:
             return self._not_run(RefusalReason.BUSY)
         return None
 
@@ -223,49 +229,53 @@
         peer = self.config.description.upstream_id
         return Refusal(code, reason, HAND_OVER_STEP, peer)
 
-    def _fate_of(self, attempt_id: AttemptId, load_sequence: int) -> Fate:
+    def _status_of(self, attempt_id: AttemptId, load_sequence: int) -> ExecutionStatus:
         if attempt_id in self.table.alive:
-            return Fate.MAY_HAVE_RUN
-        return self.table.spent.fate_of(attempt_id, load_sequence)
+            return ExecutionStatus.MAY_HAVE_RUN
+        return self.table.ended.status_of(attempt_id, load_sequence)
 
     def _tombstone(self, attempt_id: AttemptId, load_sequence: int) -> None:
-        self.table.spent.remember(attempt_id, Fate.NEVER_RAN, load_sequence)
+        self.table.ended.record(attempt_id, ExecutionStatus.NEVER_RAN, load_sequence)
 
     def _revoke(self, event: RevokeArrived) -> NeverRan | MayHaveRun:
         attempt_id = event.attempt_id
-        # A sidecar has no memory of earlier starts: the attempt may have run then.
+        # Nothing is known of earlier starts: the attempt may have run then.
         if event.epoch != self.config.epoch:
             return MayHaveRun(attempt_id, known=False)
         attempt = self.table.alive.get(attempt_id)
-        if attempt is not None and not attempt.was_given:
+        if attempt is not None and not attempt.was_handed_over:
             self.table.tombstone(attempt)
             return NeverRan(attempt_id)
         if attempt is not None or attempt_id in self.table.finished:
             return MayHaveRun(attempt_id, known=True)
-        fate = self.table.spent.fate_of(attempt_id, event.load_sequence)
-        if fate is Fate.MAY_HAVE_RUN:
+        status = self.table.ended.status_of(attempt_id, event.load_sequence)
+        if status is ExecutionStatus.MAY_HAVE_RUN:
             return MayHaveRun(attempt_id, known=False)
-        if not self.table.spent.keeps_out(attempt_id, event.load_sequence):
+        if not self.table.ended.rejects_copies(attempt_id, event.load_sequence):
             self._tombstone(attempt_id, self.sequence)
         return NeverRan(attempt_id)
 
     def _cancel(self, attempt_id: AttemptId, now: float) -> list[SidecarEffect]:
         attempt = self.table.alive.get(attempt_id)
         if attempt is not None:
-            return self.table.give_up(attempt, RefusalReason.CANCELLED, now)
-        # A cancel can overtake its hand-over, which nobody would wait for any more; or
-        # come for one that ran and was forgotten, of which nothing may be promised.
-        spent = self.table.spent
-        if not spent.keeps_out(attempt_id, NOT_KNOWN):
-            known = spent.fate_of(attempt_id, NOT_KNOWN)
-            fate = Fate.NEVER_RAN if known is Fate.UNKNOWN else known
-            spent.remember(attempt_id, fate, self.sequence)
+            return self.table.abort(attempt, RefusalReason.CANCELLED, now)
+        # The cancel may have overtaken its hand-over, which then must not run. Or the
+        # attempt ran and was evicted; then it must not be marked as never run.
+        ended = self.table.ended
+        if not ended.rejects_copies(attempt_id, UNKNOWN_SEQUENCE):
+            known = ended.status_of(attempt_id, UNKNOWN_SEQUENCE)
+            status = (
+                ExecutionStatus.NEVER_RAN if known is ExecutionStatus.UNKNOWN else known
+            )
+            ended.record(attempt_id, status, self.sequence)
         return []
 
-    def _compare(self, held: tuple[HeldMemory, ...], now: float) -> list[SidecarEffect]:
+    def _reconcile(
+        self, held: tuple[HeldMemory, ...], now: float
+    ) -> list[SidecarEffect]:
         names = {memory.attempt_id for memory in held}
-        effects = self.table.settle_cancelled(names, now)
-        due = self.table.memory.compare(held, now)
+        effects = self.table.end_confirmed_cancels(names, now)
+        due = self.table.memory.reconcile(held, now)
         return effects + [ReleaseAtUpstream(attempt_id) for attempt_id in due]
 
     def _apply(self, configuration: FleetConfiguration) -> None:
@@ -273,26 +283,26 @@
             self.rules = AdmissionRules.from_configuration(configuration)
 
     def _tick(self, now: float) -> list[SidecarEffect]:
-        self.table.memory.drop_old_inventory(now)
+        self.table.memory.expire_inventory(now)
         effects = self.table.tick(now)
         for owner in self.owners.tick(now):
-            effects += self._give_up_owner(owner, now)
-        effects += self.orders.ask_if_due(now)
+            effects += self._abort_attempts_of(owner, now)
+        effects += self.orders.request_fencing_if_due(now)
         return effects
 
-    def _give_up_owner(self, owner: InstanceId, now: float) -> list[SidecarEffect]:
-        """End the attempts of an entry that is gone.
+    def _abort_attempts_of(self, owner: InstanceId, now: float) -> list[SidecarEffect]:
+        """Abort the attempts of an entry whose lease has ended.
 
-        An attempt that may not be repeated, and was handed over, goes on until its
-        deadline: cancelled half way its outcome could never be known, while a whole
-        answer can still be read by the entry that meets the caller's resend.
+        A non-idempotent attempt that was handed over runs on until its deadline. If it
+        were cancelled half-way, its outcome would never be known, while a complete
+        answer can still be read by the entry that receives the caller's retry.
         """
         effects: list[SidecarEffect] = []
         for attempt in tuple(self.table.alive.values()):
             if attempt.hand_over.owner != owner:
                 continue
-            if not attempt.was_given or not attempt.hand_over.non_idempotent:
-                effects += self.table.give_up(attempt, RefusalReason.CANCELLED, now)
+            if not attempt.was_handed_over or not attempt.hand_over.non_idempotent:
+                effects += self.table.abort(attempt, RefusalReason.CANCELLED, now)
         return effects
 
     def _leave_when_idle(self) -> list[SidecarEffect]:
