--- a/packages/core/src/cowslipshelf_core/__init__.py
+++ b/packages/core/src/cowslipshelf_core/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the decisions and the shared state, without input or output."""
+"""Provide the state machines and the replicated state, without any I/O."""
--- a/packages/core/src/cowslipshelf_core/chosen_upstream.py
+++ b/packages/core/src/cowslipshelf_core/chosen_upstream.py
@@ -1,4 +1,4 @@
-"""Name the upstream that a router chose for one attempt."""
+"""Define the upstream that the router chose for one attempt."""
 
 from typing import NamedTuple
 
@@ -7,23 +7,23 @@
 
 
 class ChosenUpstream(NamedTuple):
-    """Tell where one attempt of a request is to be handed over."""
+    """Describe where one attempt of a request is to be handed over."""
 
     attempt_id: AttemptId
-    """The fresh id that the asker passed in; it names this attempt for good."""
+    """Id of this attempt, created by the caller of the router."""
     upstream_id: UpstreamId
     epoch: Epoch
-    """Start of the sidecar that was meant; another start refuses the attempt."""
+    """Start of the sidecar that was chosen; any other start refuses the attempt."""
     attempts_address: str
-    """IP:port where the sidecar takes attempts over HTTP."""
+    """IP:port where the sidecar accepts attempts over HTTP."""
     priority: int
-    """Lower is served first."""
+    """Lower values start first."""
     load_sequence: int = 0
     """`LoadReport.sequence` on which the choice was based; see `HandOver`."""
     helpers: tuple[PartAssignment, ...] = ()
-    """Who prefills the prompt before `from_token`, in token order.
+    """Upstreams that prefill the prompt before `from_token`, in token order.
 
-    That is also the order of their upstream ids, and this upstream's comes last.
+    That is also the order of their upstream ids; this upstream's id comes last.
     """
     from_token: int = 0
-    """First token of the prompt that this upstream prefills itself."""
+    """First prompt token that this upstream prefills itself."""
--- a/packages/core/src/cowslipshelf_core/configuration.py
+++ b/packages/core/src/cowslipshelf_core/configuration.py
@@ -1,4 +1,4 @@
-"""Describe the accepted configuration of a fleet."""
+"""Define the accepted configuration of a fleet."""
 
 from typing import Literal
 
@@ -19,7 +19,7 @@
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Be a record that operators write as a JSON object; unknown fields are refused."""
+    """Define a record that is written as a JSON object; unknown fields are refused."""
 
 
 class Customer(Document, frozen=True):
@@ -27,12 +27,12 @@
 
     name: CustomerName
     key_hash: str
-    """Hex SHA-256 of the key; the key itself is never stored."""
+    """SHA-256 of the key in hex; the key itself is never stored."""
     services: tuple[ServiceName, ...]
     weight: int = 1
-    """Share of a contended engine second, against other customers' weights."""
+    """Share of engine time relative to other customers when they compete for it."""
     most_concurrent: int = 256
-    """Requests that one entry instance runs for the customer at a time."""
+    """Concurrent requests of the customer per entry instance."""
 
 
 class Model(Document, frozen=True):
@@ -44,34 +44,34 @@
 
 
 class Service(Document, frozen=True):
-    """Describe a service: a fleet of engines or a plain service."""
+    """Describe a service: a fleet of inference engines, or a plain HTTP service."""
 
     name: ServiceName
     kind: ServiceKind
     models: tuple[ModelName, ...] = ()
     idempotent: bool = True
-    """False where no call may run twice, whatever its headers say."""
+    """If false, no request may run twice, whatever its headers say."""
     default_deadline_seconds: float = DEFAULT_DEADLINE_SECONDS
     long_prompt_weight: float = 1.0
-    """Worth of a second saved for long prompts against one saved for short ones."""
+    """Value of a second saved for long prompts, relative to short prompts."""
 
 
 class WeightStoreLimits(Document, frozen=True):
     """Limit how fast the whole fleet loads weights from the weight store."""
 
     tokens_per_second: float = 1.0
-    """Tokens are the unit of the store's own rate limit; a load costs one or more."""
+    """Refill rate in tokens of the store's own rate limit; a load costs one or more."""
     burst_tokens: int = 4
     most_open_grants: int = 8
 
 
 class FleetConfiguration(Document, frozen=True):
-    """Be everything that operators have put in force, under one version."""
+    """Hold the whole configuration that operators put in force, with its version."""
 
     version: ConfigurationVersion = NO_CONFIGURATION
     customers: tuple[Customer, ...] = ()
     services: tuple[Service, ...] = ()
     models: tuple[Model, ...] = ()
     draining: tuple[UpstreamId, ...] = ()
-    """Upstreams that leave: no new work, running work finishes."""
+    """Upstreams that receive no new requests; running requests finish."""
     weight_store: WeightStoreLimits = WeightStoreLimits()
--- a/packages/core/src/cowslipshelf_core/dialect.py
+++ b/packages/core/src/cowslipshelf_core/dialect.py
@@ -1,4 +1,4 @@
-"""Offer the types between a gateway and the adapter of its machines' protocol."""
+"""Export the types between a gateway and the adapter for its machines' protocol."""
 
 from cowslipshelf_core.internal.gateway.dialect import (
     AnswerFacts,
--- a/packages/core/src/cowslipshelf_core/directory.py
+++ b/packages/core/src/cowslipshelf_core/directory.py
@@ -1,4 +1,4 @@
-"""Decide which announced upstreams may be given work."""
+"""Export the directory of announced upstreams."""
 
 from cowslipshelf_core.directory_events import (
     LoadUpdated,
--- a/packages/core/src/cowslipshelf_core/directory_events.py
+++ b/packages/core/src/cowslipshelf_core/directory_events.py
@@ -1,4 +1,4 @@
-"""Define what the directory tells the router about upstreams."""
+"""Define the events that the directory sends to the router."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,18 +8,18 @@
 
 
 class UnavailableReason(StrEnum):
-    """Name why an upstream gets no new work."""
+    """Define why an upstream receives no new requests."""
 
     SUSPECTED = "suspected"
-    """Silent here; it is back in use with its next announcement."""
+    """Silent at this entry; its next announcement brings it back."""
     REMOVED = "removed"
-    """Silent for good, or withdrawn."""
+    """Silent for too long, or withdrawn."""
     RESTARTED = "restarted"
-    """Its sidecar started anew: attempts at the earlier start are lost."""
+    """Its sidecar restarted; attempts of the earlier start are lost."""
     LEAVING = "leaving"
     DRAINING = "draining"
     HELD_BACK = "held_back"
-    """Back again, but it comes and goes too often, or many come back at once."""
+    """Heard again, but it flaps, or many upstreams come back at once."""
 
 
 RETURNING_REASONS = frozenset(
@@ -29,23 +29,23 @@
         UnavailableReason.HELD_BACK,
     }
 )
-"""Reasons after which the same upstream is expected to take work again."""
+"""Reasons after which the same upstream is expected to come back."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAvailable:
-    """Say that an upstream may be given work, under this start of its sidecar."""
+    """Report that an upstream may receive requests, with its sidecar's epoch."""
 
     description: UpstreamDescription
     epoch: Epoch
     load: LoadReport
     doubtful: bool = False
-    """Silent, and kept only because most upstreams fell silent together."""
+    """Whether it is silent, but kept because most upstreams fell silent together."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamUnavailable:
-    """Say that an upstream must not be given new work."""
+    """Report that an upstream must not receive new requests."""
 
     upstream_id: UpstreamId
     reason: UnavailableReason
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadUpdated:
-    """Carry a newer load report of an available upstream."""
+    """Report a newer load report of an available upstream."""
 
     upstream_id: UpstreamId
     epoch: Epoch
--- a/packages/core/src/cowslipshelf_core/errors.py
+++ b/packages/core/src/cowslipshelf_core/errors.py
@@ -1,22 +1,22 @@
-"""Define the errors and refusals that the system's parts hand to each other."""
+"""Define the refusals that the parts of the system return to each other."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class RefusalCode(StrEnum):
-    """Say what a refusal claims about the request."""
+    """Define what a refusal states about the execution of the request."""
 
     NOT_RUN = "not_run"
     """It never ran and never will."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It may have run; nobody can say."""
+    """It may have run; whether it did is unknown."""
     FAILED = "failed"
-    """It ran, and did not finish whole."""
+    """It ran, but did not complete."""
 
 
 class RefusalReason(StrEnum):
-    """Name why a request was refused or given up."""
+    """Define why a request was refused or aborted."""
 
     BUSY = "busy"
     OVERLOADED = "overloaded"
@@ -45,7 +45,7 @@
 
 
 class Refusal(NamedTuple):
-    """Tell why a request gets no (further) answer, from which step and peer."""
+    """Describe why a request gets no (further) answer, and at which step and peer."""
 
     code: RefusalCode
     reason: RefusalReason
--- a/packages/core/src/cowslipshelf_core/identifiers.py
+++ b/packages/core/src/cowslipshelf_core/identifiers.py
@@ -1,9 +1,9 @@
-"""Name the identifiers that cross module and process boundaries."""
+"""Define the types of identifiers that cross module and process boundaries."""
 
 from typing import NewType
 
 InstanceId = NewType("InstanceId", str)
-"""One process of the system, as its settings name it."""
+"""One process of the system, as named in its settings."""
 
 DataCentre = NewType("DataCentre", str)
 CustomerName = NewType("CustomerName", str)
@@ -11,14 +11,14 @@
 ModelName = NewType("ModelName", str)
 
 UpstreamId = NewType("UpstreamId", str)
-"""One upstream instance; on machines whose upstreams tell of their starts, one start
-of it, see `UpstreamStart`."""
+"""One upstream instance. With a machine protocol that reports starts, one start of an
+upstream; see `UpstreamStart`."""
 
 UpstreamName = NewType("UpstreamName", str)
-"""What an upstream calls itself, the same over its restarts."""
+"""Name that an upstream keeps over its restarts."""
 
 Epoch = NewType("Epoch", str)
-"""One start of one process: random, new after every restart."""
+"""Random identifier of one start of a process; new after every restart."""
 
 RequestId = NewType("RequestId", str)
 AttemptId = NewType("AttemptId", str)
@@ -29,9 +29,9 @@
 OperatorName = NewType("OperatorName", str)
 
 ConfigurationVersion = NewType("ConfigurationVersion", int)
-"""Counts accepted configurations; zero is the empty one nobody accepted."""
+"""Counts accepted configurations; zero is the initial empty one."""
 
 FencingNumber = NewType("FencingNumber", int)
-"""Index in the replicated log of the order that carries it."""
+"""Index of an order in the replicated log."""
 
 NO_CONFIGURATION = ConfigurationVersion(0)
--- a/packages/core/src/cowslipshelf_core/internal/directory/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which announced upstreams may be given work."""
+"""Track announced upstreams, and decide which may receive requests."""
--- a/packages/core/src/cowslipshelf_core/internal/directory/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/events.py
@@ -1,4 +1,4 @@
-"""Define what the directory is told, and what it tells."""
+"""Define the events that the directory handles, and its effects."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceArrived:
-    """Hand in an announcement."""
+    """Report a received announcement."""
 
     announce: Announce
     sender: InstanceId
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawArrived:
-    """Hand in a farewell."""
+    """Report a received withdrawal."""
 
     withdraw: Withdraw
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectArrived:
-    """Hand in another observer's suspicion."""
+    """Report a suspicion received from another entry."""
 
     sender: InstanceId
     suspect: Suspect
@@ -37,21 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ObserversChanged:
-    """Tell which other entry instances are there."""
+    """Report which other entry instances are alive."""
 
-    others: frozenset[InstanceId]
+    other_entries: frozenset[InstanceId]
 
 
 @dataclass(frozen=True, slots=True)
 class DrainingChanged:
-    """Tell which upstreams the configuration drains."""
+    """Report which upstreams the configuration drains."""
 
     draining: frozenset[UpstreamId]
 
 
 @dataclass(frozen=True, slots=True)
 class TickElapsed:
-    """Say that time has passed; sent at least once a second."""
+    """Report that time has passed; sent at least once a second."""
 
 
 DirectoryEvent = (
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MassLossBegan:
-    """Report that most upstreams fell silent together: a cut on this side."""
+    """Report that most upstreams fell silent together: probably a fault here."""
 
     silent: int
     known: int
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MassLossEnded:
-    """Report that silence is again a matter of single upstreams."""
+    """Report that most upstreams are heard again."""
 
     silent: int
     known: int
--- a/packages/core/src/cowslipshelf_core/internal/directory/mass_loss.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/mass_loss.py
@@ -1,4 +1,4 @@
-"""Tell a cut on our side from the deaths of single upstreams."""
+"""Distinguish a network fault at this entry from failures of single upstreams."""
 
 from dataclasses import dataclass
 
@@ -12,42 +12,42 @@
 
 
 @dataclass
-class MassLossJudge:
-    """Know whether most of the fleet is silent together.
+class MassLossDetector:
+    """Detect whether most of the fleet is silent at the same time.
 
-    When the network cuts an entry off from most upstreams, or stops only their
-    announcements, dropping the silent ones would refuse callers whom the upstreams
-    could still serve, or heap all load on the few that are heard.
+    When an entry is partitioned from most upstreams, or only their announcements are
+    lost, dropping the silent ones would refuse requests that they could still serve, or
+    overload the few that are heard.
     """
 
     config: DirectoryConfig
     ongoing: bool = False
-    anyone_heard: bool = False
+    any_heard: bool = False
 
-    def judge(
+    def update(
         self, silent: list[UpstreamRecord], known: int, now: float
     ) -> list[DirectoryEffect]:
-        """Look at the silent ones of a fleet of `known` upstreams."""
-        self.anyone_heard = len(silent) < known
+        """Update the state from the silent upstreams among `known` ones."""
+        self.any_heard = len(silent) < known
         window = self.config.mass_loss_window_seconds
-        together = sum(record.silent_seconds(now) <= window for record in silent)
-        most = self.config.mass_loss_share * known
+        recent_count = sum(record.silent_seconds(now) <= window for record in silent)
+        limit = self.config.mass_loss_share * known
         effects: list[DirectoryEffect] = []
-        if self.ongoing and len(silent) <= most:
+        if self.ongoing and len(silent) <= limit:
             self.ongoing = False
             effects.append(MassLossEnded(len(silent), known))
-        elif not self.ongoing and together > most:
-            self.ongoing = together >= self.config.mass_loss_min_upstreams
+        elif not self.ongoing and recent_count > limit:
+            self.ongoing = recent_count >= self.config.mass_loss_min_upstreams
             if self.ongoing:
                 effects.append(MassLossBegan(len(silent), known))
         if self.ongoing:
             for record in silent:
-                record.lost_in_mass = True
+                record.part_of_mass_loss = True
         return effects
 
     def is_doubtful(self, record: UpstreamRecord, now: float) -> bool:
-        """Tell whether a silent upstream stays in use, as one of very many."""
+        """Return whether a silent upstream stays in use because of a mass loss."""
         if not self.ongoing or record.silent_since is None:
             return False
         recent = record.silent_seconds(now) < self.config.doubtful_seconds
-        return recent or not self.anyone_heard
+        return recent or not self.any_heard
--- a/packages/core/src/cowslipshelf_core/internal/directory/record.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/record.py
@@ -1,4 +1,4 @@
-"""Keep what one entry knows of one upstream."""
+"""Define what one entry knows about one upstream."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -14,15 +14,18 @@
 
 
 class Freshness(Enum):
-    """Say what an announcement is worth against what is known already."""
+    """Define how new an announcement is compared with the known state."""
 
     LATE = auto()
+    """Older than what is known; it is ignored."""
     CURRENT = auto()
+    """From the current start of the sidecar."""
     RESTARTED = auto()
+    """From another start of the sidecar, which replaces the current one."""
 
 
-class Shown(NamedTuple):
-    """Be what the router was last told of an available upstream."""
+class PublishedState(NamedTuple):
+    """Hold what was last published to the router of an available upstream."""
 
     epoch: Epoch
     description: UpstreamDescription
@@ -30,7 +33,7 @@
 
 
 class Departure(Enum):
-    """Say how an upstream left the directory."""
+    """Define how an upstream left the directory."""
 
     SILENT = auto()
     WITHDRAWN = auto()
@@ -38,7 +41,7 @@
 
 @dataclass(slots=True)
 class UpstreamRecord:
-    """Be an upstream as this entry sees it."""
+    """Hold the state of one upstream as seen by this entry."""
 
     announce: Announce
     heard_at: float
@@ -46,36 +49,36 @@
     silent_since: float | None = None
     departure: Departure | None = None
     departed_at: float = NEVER
-    retired: dict[Epoch, int] = field(default_factory=dict)
-    """Earlier epochs, each with the last load sequence heard from it."""
+    retired_epochs: dict[Epoch, int] = field(default_factory=dict)
+    """Earlier epochs, each with the last load sequence received from it."""
     suspicions: dict[InstanceId, float] = field(default_factory=dict)
-    """Other observers that suspect this epoch, with when they last said so."""
-    told_at: float = NEVER
-    flaps: int = 0
-    flapped_at: float = NEVER
+    """Other entries that suspect this epoch, with the time of their last message."""
+    suspicion_sent_at: float = NEVER
+    flap_count: int = 0
+    last_flap_at: float = NEVER
     held_until: float = NEVER
-    lost_in_mass: bool = False
-    shown: Shown | None = None
-    shown_reason: UnavailableReason | None = None
+    part_of_mass_loss: bool = False
+    published: PublishedState | None = None
+    published_reason: UnavailableReason | None = None
 
     @classmethod
     def from_announce(cls, announce: Announce, now: float) -> Self:
-        """Begin with the first announcement of an upstream."""
+        """Create the record from the first announcement of an upstream."""
         return cls(announce, now, announce.leaving)
 
     @property
     def epoch(self) -> Epoch:
-        """Return the start of the sidecar that is taken for the present one."""
+        """Return the epoch that is considered the current start of the sidecar."""
         return self.announce.epoch
 
     @property
     def is_absent(self) -> bool:
-        """Return whether the upstream is silent or gone."""
+        """Return whether the upstream is silent or removed."""
         return self.silent_since is not None or self.departure is not None
 
     @property
-    def is_uncounted(self) -> bool:
-        """Return whether the upstream is no part of the fleet any more, or soon."""
+    def is_excluded(self) -> bool:
+        """Return whether the upstream is removed or leaving, so not counted."""
         return self.departure is not None or self.leaving
 
     def lease_end(self, config: DirectoryConfig) -> float:
@@ -83,40 +86,40 @@
         return self.heard_at + config.max_silence_seconds(self.announce.lease_seconds)
 
     def silent_seconds(self, now: float) -> float:
-        """Return the time since the lease ended."""
+        """Return the time since the lease ended; zero while it lasts."""
         return 0.0 if self.silent_since is None else now - self.silent_since
 
     def freshness(self, announce: Announce) -> Freshness:
-        """Tell whether an announcement is newer than what is known.
+        """Return how new an announcement is compared with the known state.
 
-        Epochs are random, so only their first sight orders them. Two late copies could
-        mislead: one of a retired epoch, which is ignored, or one of an epoch that was
-        never seen here, which then displaces the living start. The living one is then
-        retired, but goes on announcing with growing sequence numbers, so it gets its
-        place back as soon as the displacing epoch has fallen silent.
+        Epochs are random, so they are ordered only by when they were first seen. A late
+        message can mislead in two ways. From a retired epoch it is ignored. From an
+        epoch that was never seen here, it displaces the live start. The live start is
+        then retired, but continues to announce with rising sequence numbers, so it is
+        accepted again as soon as the displacing epoch has fallen silent.
         """
         sequence = announce.load.sequence
         if announce.epoch == self.epoch:
             withdrawn = self.departure is Departure.WITHDRAWN
             late = sequence < self.announce.load.sequence
             return Freshness.LATE if withdrawn or late else Freshness.CURRENT
-        if announce.epoch not in self.retired:
+        if announce.epoch not in self.retired_epochs:
             return Freshness.RESTARTED
-        still_alive = sequence > self.retired[announce.epoch]
+        still_alive = sequence > self.retired_epochs[announce.epoch]
         if self.is_absent and still_alive:
             return Freshness.RESTARTED
         return Freshness.LATE
 
     def retire_epoch(self, kept: int) -> None:
-        """Remember the present epoch as an earlier one."""
-        self.retired[self.epoch] = self.announce.load.sequence
-        while len(self.retired) > kept:
-            del self.retired[next(iter(self.retired))]
+        """Move the current epoch to the earlier ones; remember `kept` of them."""
+        self.retired_epochs[self.epoch] = self.announce.load.sequence
+        while len(self.retired_epochs) > kept:
+            del self.retired_epochs[next(iter(self.retired_epochs))]
 
-    def take(self, announce: Announce, now: float) -> None:
-        """Take in an announcement that is not late."""
+    def update(self, announce: Announce, now: float) -> None:
+        """Apply an announcement that is not late."""
         if announce.epoch != self.epoch:
-            self.retired.pop(announce.epoch, None)
+            self.retired_epochs.pop(announce.epoch, None)
             self.suspicions.clear()
         self.announce = announce
         self.heard_at = now
@@ -125,26 +128,26 @@
         self.departure = None
 
     def depart(self, departure: Departure, now: float) -> None:
-        """Remove the upstream; the record stays for a while to know it by."""
+        """Mark the upstream as removed; the record is kept to recognise its return."""
         self.departure = departure
         self.departed_at = now
         self.silent_since = None
 
-    def note_flap(self, config: DirectoryConfig, now: float) -> None:
-        """Count a return, and hold the upstream back longer each time.
+    def record_flap(self, config: DirectoryConfig, now: float) -> None:
+        """Count a return of the upstream, and delay its use longer each time.
 
-        Without the pauses an upstream that dies under its first requests would get
-        fresh ones with every return, and each round would fail some of them.
+        Without the delays, an upstream that crashes on its first requests would get new
+        requests with every return, and some of them would fail each time.
         """
-        if now - self.flapped_at > config.flap_reset_seconds:
-            self.flaps = 0
-        self.flaps += 1
-        self.flapped_at = now
-        if self.flaps > 1:
-            pause = config.flap_pause_seconds * 2.0 ** min(self.flaps - 2, 16)
+        if now - self.last_flap_at > config.flap_reset_seconds:
+            self.flap_count = 0
+        self.flap_count += 1
+        self.last_flap_at = now
+        if self.flap_count > 1:
+            pause = config.flap_pause_seconds * 2.0 ** min(self.flap_count - 2, 16)
             self.held_until = now + min(pause, config.max_flap_pause_seconds)
 
     def is_confirmed(self, config: DirectoryConfig, now: float) -> bool:
-        """Return whether another observer suspects the upstream too."""
+        """Return whether another entry suspects the upstream too."""
         oldest = now - config.suspicion_max_age_seconds
-        return any(said_at >= oldest for said_at in self.suspicions.values())
+        return any(suspected_at >= oldest for suspected_at in self.suspicions.values())
--- a/packages/core/src/cowslipshelf_core/messages.py
+++ b/packages/core/src/cowslipshelf_core/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between the system's own processes."""
+"""Define the messages between the processes of the system."""
 
 import msgspec
 
@@ -24,66 +24,66 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Be a typed message; the class name is its tag on the wire."""
+    """Define the base of typed messages; the class name is the tag on the wire."""
 
 
-# Announcing and leaving, between sidecars and entries.
+# Announcements and withdrawals, between sidecars and entries.
 
 
 class Announce(Message, frozen=True):
-    """Say that an upstream is there, and renew its lease."""
+    """Announce an upstream, and renew its lease."""
 
     description: UpstreamDescription
     epoch: Epoch
     lease_seconds: float
     load: LoadReport
     leaving: bool = False
-    """Whether it takes no new work, for good or until its upstream answers again."""
+    """Whether it accepts no new attempts, for good or until the upstream recovers."""
     entries_digest: str = ""
-    """Digest of the entries that the sidecar knows."""
+    """Digest of the entries that the sidecar knows; see `digest_entries`."""
 
 
 class AnnounceAnswer(Message, frozen=True):
-    """Answer an announcement with the entries that the sidecar may use."""
+    """Answer an announcement with the entries that the sidecar may announce to."""
 
     upstream_id: UpstreamId
     entries: tuple[tuple[InstanceId, str], ...]
-    """Entries known to the answering one, with their mailbox addresses.
+    """Entries that the answering one knows, with their mailbox addresses.
 
-    Empty where the sidecar knows just these.
+    Empty if the sidecar knows exactly these.
     """
 
 
 class Withdraw(Message, frozen=True):
-    """Say that an upstream has left for good; its lease ends now."""
+    """Withdraw an upstream for good; its lease ends now."""
 
     upstream_id: UpstreamId
     epoch: Epoch
 
 
 class Suspect(Message, frozen=True):
-    """Tell other entries that an upstream has been silent towards the sender."""
+    """Tell other entries that the sender no longer hears an upstream."""
 
     upstream_id: UpstreamId
     epoch: Epoch
     silent_seconds: float
 
 
-# Which processes there are, among entries.
+# Liveness of entries and of gateways.
 
 
 class EntryAlive(Message, frozen=True):
-    """Say that an entry instance is there, and whether it holds a replica."""
+    """Report that an entry instance is alive, and whether it holds a replica."""
 
     data_centre: DataCentre
     holds_replica: bool
     configuration_version: ConfigurationVersion
     in_force_since: float
-    """Seconds since 1970 at which the sender put that version in force."""
+    """Unix time in seconds at which the sender put that version in force."""
 
 
 class PeerAlive(Message, frozen=True):
-    """Say that a gateway is there, and now and then which others it knows."""
+    """Report that a gateway is alive, and in some messages which peers it knows."""
 
     epoch: Epoch
     data_centre: DataCentre
@@ -91,37 +91,39 @@
     routes_version: ConfigurationVersion
     peers: tuple[InstanceId, ...]
     work_number: int = 0
-    """Number of the last change of work that it has told."""
+    """Number of the last `WorkChanged` message that it has sent."""
     routes_bytes: int = 0
-    """Size of its configuration, as it would send it."""
+    """Size of its configuration as it is sent, in bytes."""
     replica_in_memory: bool = False
-    """Whether the replica that it holds ends with its process."""
+    """Whether its replica is kept only in memory, and lost when its process ends."""
 
 
-# Spreading the configuration.
+# Distribution of the configuration.
 
 
 class RoutesDocument(Message, frozen=True):
-    """Be one routed configuration."""
+    """Hold one version of a gateway's configuration."""
 
     version: ConfigurationVersion
     digest: str
-    """Equal for equal contents, whatever their order and white space."""
+    """Equal for equal contents, regardless of their order and white space."""
     body: bytes
-    """What the operator sent, packed; see `compress_configuration`."""
+    """The operator's document, compressed; see `compress_configuration`."""
 
 
 class FetchRoutes(Message, frozen=True):
-    """Ask for the routed configuration by somebody who has an older one."""
+    """Request the gateway configuration if it is newer than the sender's."""
 
     have_version: ConfigurationVersion
     query_id: str = ""
-    """Names a question for a quorum's word; the answer repeats it, and has no body
-    where the version is the one that the asker has."""
+    """If not empty, requests an answer that a quorum confirms, and identifies it.
+
+    Then the answer has no body if its version is the one that the sender has.
+    """
 
 
 class RoutesSnapshot(Message, frozen=True):
-    """Carry the routed configuration that the sender holds."""
+    """Answer with the gateway configuration that the sender holds."""
 
     document: RoutesDocument
     confirmed_by_quorum: bool
@@ -130,19 +132,19 @@
 
 
 class FetchConfiguration(Message, frozen=True):
-    """Ask for the configuration in force by somebody who has an older one."""
+    """Request the configuration in force if it is newer than the sender's."""
 
     have_version: ConfigurationVersion
     query_id: str = ""
-    """Names a question for a quorum's word; the answer repeats it."""
+    """If not empty, requests an answer that a quorum confirms, and identifies it."""
 
 
 class ConfigurationSnapshot(Message, frozen=True):
-    """Carry the whole configuration in force at the sender."""
+    """Answer with the whole configuration in force at the sender."""
 
     configuration: FleetConfiguration
     confirmed_by_quorum: bool
-    """Whether a quorum confirmed it after the question that it answers."""
+    """Whether a quorum confirmed it after the request that it answers."""
     query_id: str = ""
     """Repeats `FetchConfiguration.query_id`."""
 
@@ -151,7 +153,7 @@
 
 
 class OrderSent(Message, frozen=True):
-    """Bring an open order to the sidecar of its upstream; sent until it is closed."""
+    """Send an open order to its upstream's sidecar; repeated until it is closed."""
 
     order_id: OrderId
     upstream_id: UpstreamId
@@ -161,7 +163,7 @@
 
 
 class FencingAsked(Message, frozen=True):
-    """Ask a replica for an upstream's newest fencing number, as a quorum has it."""
+    """Request an upstream's newest fencing number, confirmed by a quorum."""
 
     upstream_id: UpstreamId
     query_id: str
@@ -175,11 +177,11 @@
     fencing: FencingNumber
 
 
-# Requests that must run at most once; commands to the replicated state.
+# Claims of requests that must run at most once: commands to the replicated state.
 
 
 class ClaimAsked(Message, frozen=True):
-    """Claim the right to run the request under a customer's idempotency key."""
+    """Claim the right to run the request with a customer's idempotency key."""
 
     customer: CustomerName
     key: str
@@ -193,9 +195,9 @@
 
 
 class ClaimMoved(Message, frozen=True):
-    """Move a claim to a new attempt after the old one was promised never to run.
+    """Move a claim to a new attempt after a promise that the old one never runs.
 
-    Another request with the same key and body may take the claim over this way.
+    Another request with the same key and body can take over the claim this way.
     """
 
     customer: CustomerName
@@ -207,17 +209,17 @@
     sidecar_epoch: Epoch
     owner: InstanceId
     deadline_seconds: float = DEFAULT_DEADLINE_SECONDS
-    """Time left of the new holder's deadline, where the claim is taken over."""
+    """Remaining time until the deadline of the new holder, if it takes over."""
 
 
 class StoredAnswer(Message, frozen=True):
-    """Be an answer that later resends of the same key get."""
+    """Hold the answer that retries with the same key receive."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
     whole: bool
-    """False where the body was too large to store; the run itself was whole."""
+    """False if the body was too large to store; the run itself was complete."""
 
 
 class ClaimFinished(Message, frozen=True):
@@ -232,7 +234,7 @@
 
 
 class ClaimLookedUp(Message, frozen=True):
-    """Ask who holds a key, without claiming it; grants nothing."""
+    """Look up who holds a key, without claiming it."""
 
     customer: CustomerName
     key: str
@@ -241,13 +243,13 @@
 
 
 class ClaimGranted(Message, frozen=True):
-    """Answer that the asker alone may run the request, under this attempt."""
+    """Answer that only the claimant may run the request, with this attempt."""
 
     attempt_id: AttemptId
 
 
 class ClaimHeld(Message, frozen=True):
-    """Answer that another request holds the key, and what is known of it."""
+    """Answer that another request holds the key, with what is known of it."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -260,16 +262,16 @@
 
 
 class ClaimAbsent(Message, frozen=True):
-    """Answer that nobody holds the key: nothing is known to have run under it."""
+    """Answer that no request holds the key: none is known to have run with it."""
 
 
 class ClaimRefused(Message, frozen=True):
-    """Answer that the key belongs to another body, or that the attempt is not open."""
+    """Answer that the key was used with another body, or the attempt is not open."""
 
     reason: str
 
 
-# Frames of an answer, from a sidecar to an entry, over one HTTP response.
+# Frames of an answer, from a sidecar to an entry, in one HTTP response.
 
 
 class StreamHead(Message, frozen=True):
@@ -280,7 +282,7 @@
 
 
 class StreamChunk(Message, frozen=True):
-    """Carry the next piece of an answer; sequence numbers count from one."""
+    """Carry the next chunk of an answer; sequence numbers start at one."""
 
     sequence: int
     data: bytes
@@ -288,24 +290,24 @@
 
 
 class StreamHeartbeat(Message, frozen=True):
-    """Show that the connection lives while there is nothing to say."""
+    """Show that the connection is alive while there is no other frame to send."""
 
 
 class StreamEnd(Message, frozen=True):
-    """End an answer; without this frame an answer is not whole."""
+    """End an answer; without this frame an answer is incomplete."""
 
     last_sequence: int
     refusal: Refusal | None = None
     upstream_ended: bool = False
-    """Whether the upstream's process was gone as the answer broke off."""
+    """Whether the upstream's process had ended when the answer was cut off."""
 
 
 class AttemptReserved(Message, frozen=True):
-    """Say that memory is reserved for an attempt that waits for `PartsReady`."""
+    """Report that memory is reserved for an attempt that waits for `PartsReady`."""
 
 
 class PartPrefilled(Message, frozen=True):
-    """Say that an engine holds the KV cache of its part of a prompt."""
+    """Report that an engine holds the KV cache of its part of a prompt."""
 
     part: KvReference
 
@@ -321,16 +323,16 @@
 
 
 class PartsReady(Message, frozen=True):
-    """Let a reserved attempt begin, with what other engines hold of its prompt."""
+    """Start a reserved attempt, with the KV cache that other engines hold for it."""
 
     parts: tuple[KvReference, ...]
 
 
-# What a sidecar answers about attempts, as bodies of HTTP responses.
+# Answers of a sidecar about attempts, as bodies of HTTP responses.
 
 
 class AttemptRefused(Message, frozen=True):
-    """Refuse a hand-over, with the sidecar's present load as the last word."""
+    """Refuse a hand-over, with the current load of the sidecar."""
 
     refusal: Refusal
     load: LoadReport
@@ -343,8 +345,8 @@
 
 
 class MayHaveRun(Message, frozen=True):
-    """Say that an attempt was handed over, or that this sidecar can't know."""
+    """Answer that an attempt was handed over, or that this sidecar does not know."""
 
     attempt_id: AttemptId
     known: bool
-    """True where this sidecar holds the attempt and its frames can be read."""
+    """Whether this sidecar holds the attempt, so that its frames can be read."""
--- a/packages/core/src/cowslipshelf_core/placement_feedback.py
+++ b/packages/core/src/cowslipshelf_core/placement_feedback.py
@@ -1,4 +1,4 @@
-"""Define what a request tells the router about its choice."""
+"""Define the feedback of requests to the router about their placement."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class AttemptOutcome(StrEnum):
-    """Say how an attempt ended, as its entry instance saw it."""
+    """Define how an attempt ended, as seen by its entry instance."""
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverAccepted:
-    """Report that the sidecar took the attempt."""
+    """Report that the sidecar accepted the attempt."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class HandOverRefused:
-    """Report that the sidecar refused the attempt, with its present load."""
+    """Report that the sidecar refused the attempt, with its current load."""
 
     attempt_id: AttemptId
     load: LoadReport
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Report the end of an attempt; exactly once for each one placed."""
+    """Report the end of an attempt, exactly once for each placed attempt."""
 
     attempt_id: AttemptId
     outcome: AttemptOutcome
--- a/packages/core/src/cowslipshelf_core/prompt_parts.py
+++ b/packages/core/src/cowslipshelf_core/prompt_parts.py
@@ -1,4 +1,4 @@
-"""Describe the parts of a prompt that is placed over several engines."""
+"""Define the parts of a prompt that is prefilled on several engines."""
 
 from typing import NamedTuple
 
@@ -6,23 +6,23 @@
 
 
 class KvReference(NamedTuple):
-    """Refer to the KV cache that an engine holds of some tokens of one prompt."""
+    """Refer to the KV cache that an engine holds for a token range of one prompt."""
 
     handle: str
     prompt_seed: int
-    """Tells the engines' prompts apart; an engine refuses another prompt's part."""
+    """Identifies the prompt; an engine refuses a part of another prompt."""
     from_token: int
     to_token: int
 
 
 class PartAssignment(NamedTuple):
-    """Tell which engine prefills a part of a prompt for another engine."""
+    """Describe which engine prefills a part of a prompt for another engine."""
 
     upstream_id: UpstreamId
     epoch: Epoch
-    """Start of the sidecar that was meant; another start refuses the part."""
+    """Start of the sidecar that was chosen; any other start refuses the part."""
     attempts_address: str
-    """IP:port where the sidecar takes attempts over HTTP."""
+    """IP:port where the sidecar accepts attempts over HTTP."""
     load_sequence: int
     """`LoadReport.sequence` on which the choice was based; see `HandOver`."""
     from_token: int
--- a/packages/core/src/cowslipshelf_core/sidecar.py
+++ b/packages/core/src/cowslipshelf_core/sidecar.py
@@ -1,4 +1,4 @@
-"""Decide what is handed to an upstream, and answer for what never was."""
+"""Export the sidecar's state machine with its events and effects."""
 
 from cowslipshelf_core.internal.sidecar.config import SidecarConfig
 from cowslipshelf_core.internal.sidecar.effects import (
