--- a/tests/common/gateway_samples.py
+++ b/tests/common/gateway_samples.py
@@ -1,4 +1,4 @@
-"""Make routes, engines and upstreams for tests of requests that are served by route."""
+"""Create routes, engines and upstreams for tests of gateways."""
 
 from cowslipshelf_core.gateway import (
     Route,
@@ -17,11 +17,11 @@
 GATEWAY_SETTINGS = GatewaySettings(
     "10.0.0.1", "g", "here", 7000, (), False, None, 1, None, None, None
 )
-"""A gateway alone, without a disk and without an address to listen at."""
+"""Settings of a single gateway without a disk and without an address to listen on."""
 
 
 def route(**changes) -> Route:
-    """Make a route, with what a test says of it."""
+    """Create a route, with changed fields."""
     usual = Route(
         name="r",
         host="host.example",
@@ -35,7 +35,7 @@
 
 
 def configuration(*routes: Route, **changes) -> RouteConfiguration:
-    """Make a configuration with one service."""
+    """Create a configuration with one service."""
     services = (ServiceConfiguration("s", 100),)
     return RouteConfiguration(1, routes, services)._replace(**changes)
 
@@ -47,5 +47,5 @@
     address: str = "10.0.0.1:80",
     service: str = "s",
 ) -> UpstreamHeartbeat:
-    """Make an upstream's heartbeat."""
+    """Create an upstream's heartbeat."""
     return UpstreamHeartbeat(upstream_id, service, address, "here", 6, phase, sequence)
--- a/tests/cover/gateway_core/test_gateway_retry_budget.py
+++ b/tests/cover/gateway_core/test_gateway_retry_budget.py
@@ -1,4 +1,4 @@
-"""Check that repeats stay within the allowance, whatever fails."""
+"""Check that the retries of all gateways stay within the budget, whatever fails."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,29 +14,29 @@
         max_size=200,
     )
 )
-def test_no_window_has_more_repeats_than_all_gateways_may_send(steps):
-    """A service fails and is buried under repeats of everybody's requests.
+def test_no_window_has_more_retries_than_the_budget_of_all_gateways(steps):
+    """Guards against a failing service that is overloaded by retries.
 
-    Several gateways send repeats at the same time; each spends its own part only.
+    Several gateways retry at the same time; each may spend its own share only.
     """
     gateways = 4
     budgets = [ServiceRetryBudget.from_config(CONFIG) for _ in range(gateways)]
-    now, requests, repeats = 0.0, [], []
-    for pause, asked, gateway in steps:
+    now, requests, retries = 0.0, [], []
+    for pause, is_request, gateway in steps:
         now += pause
         budget = budgets[gateway - 1]
-        if asked:
+        if is_request:
             budget.count_request("s", now)
             requests.append(now)
         elif budget.allow_retry("s", gateways, now):
-            repeats.append(now)
+            retries.append(now)
             window = now - CONFIG.window_seconds
-            sent = sum(time >= window for time in repeats)
+            sent = sum(time >= window for time in retries)
             served = sum(time >= window for time in requests)
             assert sent <= CONFIG.ratio * served + CONFIG.slack
 
 
-def test_repeats_are_allowed_again_when_the_window_has_passed():
+def test_retries_are_allowed_again_after_the_window():
     budget = ServiceRetryBudget.from_config(CONFIG)
     while budget.allow_retry("s", 1, 0.0):
         pass
@@ -44,7 +44,7 @@
     assert budget.allow_retry("s", 1, 10.5)
 
 
-def test_services_do_not_spend_each_others_repeats():
+def test_services_do_not_spend_each_others_retries():
     budget = ServiceRetryBudget.from_config(CONFIG)
     while budget.allow_retry("s", 1, 0.0):
         pass
--- a/tests/cover/gateway_core/test_registry.py
+++ b/tests/cover/gateway_core/test_registry.py
@@ -1,4 +1,4 @@
-"""Check what is believed of upstreams whose heartbeats come late or not at all."""
+"""Check the state of upstreams whose heartbeats arrive late or not at all."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -23,10 +23,10 @@
 
 
 def test_an_upstream_that_left_is_not_brought_back_by_a_late_heartbeat():
-    """Requests go to an upstream that is gone.
+    """Guards against requests to an upstream that is gone.
 
-    It says that it leaves, and exits. A heartbeat from before, held up by a cut,
-    arrives seconds later at another gateway and is passed on.
+    It announces that it leaves, and exits. An earlier heartbeat, delayed by a
+    partition, arrives seconds later at another gateway and is forwarded.
     """
     known = registry()
     known.record(heartbeat(sequence=4), 0.0)
@@ -35,14 +35,14 @@
     assert ids(known, 2.0) == []
 
 
-def test_one_that_leaves_before_it_was_heard_of_stays_away():
+def test_an_upstream_that_leaves_before_its_first_heartbeat_is_not_used():
     known = registry()
     known.leave(UpstreamStart("u-1"), 1.0)
     known.record(heartbeat(sequence=5), 2.0)
     assert ids(known, 2.0) == []
 
 
-def test_one_that_drains_takes_nothing_new_whatever_it_says_later():
+def test_a_leaving_upstream_gets_no_requests_whatever_it_sends_later():
     known = registry()
     known.record(heartbeat(sequence=1), 0.0)
     assert known.record(heartbeat(sequence=2, phase=UpstreamPhase.LEAVING), 1.0)
@@ -50,11 +50,11 @@
     assert ids(known, 2.0) == []
 
 
-def test_a_dead_start_gives_way_to_the_next_one_at_its_address():
-    """Half of the requests to one address are refused as meant for somebody else.
+def test_a_dead_upstream_is_replaced_by_the_next_one_at_its_address():
+    """Guards against requests that an address refuses as meant for another upstream.
 
-    An upstream crashed and started again at its address under another id. The old
-    id's last heartbeat still counts for some seconds.
+    An upstream crashed and restarted at its address under another id. The last
+    heartbeat of the old id still counts for some seconds.
     """
     known = registry()
     known.record(heartbeat("old", sequence=9), 0.0)
@@ -62,7 +62,7 @@
     assert ids(known, 1.0) == ["new"]
 
 
-def test_silence_takes_an_upstream_out_of_use():
+def test_a_silent_upstream_is_not_used():
     known = registry()
     known.record(heartbeat(), 0.0)
     assert ids(known, SILENCE) == ["u-1"]
@@ -83,11 +83,11 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 3)), max_size=12))
-def test_telling_everything_brings_another_gateway_to_the_same_beliefs(taken):
+def test_all_heartbeats_bring_another_gateway_to_the_same_state(heartbeats):
     first, second = registry(), registry()
-    for now, (upstream_id, sequence) in enumerate(taken):
+    for now, (upstream_id, sequence) in enumerate(heartbeats):
         first.record(heartbeat(upstream_id, sequence, address=upstream_id), float(now))
-    now = float(len(taken))
+    now = float(len(heartbeats))
     for seen in first.all_heartbeats(now):
         second.record(seen.heartbeat, now - seen.age_seconds)
     assert sorted(ids(first, now)) == sorted(ids(second, now))
--- a/tests/cover/gateway_core/test_request_digest.py
+++ b/tests/cover/gateway_core/test_request_digest.py
@@ -1,4 +1,4 @@
-"""Check when two requests count as the same."""
+"""Check when two requests have the same digest."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -20,8 +20,8 @@
     assert same_digest == (one == other)
 
 
-def test_a_field_can_not_borrow_from_the_next_one():
-    """Guards against requests of one customer that count as another customer's."""
+def test_bytes_can_not_move_from_one_field_to_the_next():
+    """Guards against a request that counts as that of another customer."""
     assert request_digest("ab", "GET", "c", "/", b"") != request_digest(
         "a", "GET", "bc", "/", b""
     )
--- a/tests/cover/gateway_core/test_route_table.py
+++ b/tests/cover/gateway_core/test_route_table.py
@@ -1,4 +1,4 @@
-"""Check which route a request gets, and which configurations are refused."""
+"""Check which route a request matches, and which configurations are invalid."""
 
 from random import Random
 
@@ -23,24 +23,24 @@
 
 
 @given(st.lists(SEGMENTS, max_size=8), SEGMENTS, st.sampled_from(["", "x", "x?q=/a/"]))
-def test_the_longest_prefix_that_begins_the_path_wins(prefixes, path, rest):
+def test_the_route_with_the_longest_matching_prefix_wins(prefixes, path, rest):
     routes = {prefix_of(segments) for segments in prefixes}
     table = RouteTable.from_configuration(
         configuration(*(route(name=prefix, prefix=prefix) for prefix in routes))
     )
-    asked = prefix_of(path) + rest.partition("?")[0]
-    fitting = [prefix for prefix in routes if asked.startswith(prefix)]
-    found = table.route_of("Host.Example", asked)
-    assert (found and found.prefix) == max(fitting, key=len, default=None)
+    requested = prefix_of(path) + rest.partition("?")[0]
+    matching = [prefix for prefix in routes if requested.startswith(prefix)]
+    found = table.route_of("Host.Example", requested)
+    assert (found and found.prefix) == max(matching, key=len, default=None)
 
 
-def test_a_path_is_not_matched_on_another_host():
+def test_a_path_does_not_match_on_another_host():
     table = RouteTable.from_configuration(configuration(route(prefix="/a/")))
     assert table.route_of("other.example", "/a/x") is None
 
 
 @pytest.mark.parametrize(
-    ("broken", "says"),
+    ("invalid", "expected"),
     [
         (configuration(route(services=(WeightedService("nobody", 1),))), "unknown"),
         (configuration(route(name="a"), route(name="b")), "taken"),
@@ -57,15 +57,15 @@
         ),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_the_reason(broken, says):
-    assert says in configuration_problem(broken)
+def test_an_invalid_configuration_is_refused_with_the_reason(invalid, expected):
+    assert expected in configuration_problem(invalid)
 
 
-def test_the_reason_does_not_show_the_key_that_is_shared():
-    broken = configuration(
+def test_the_reason_does_not_contain_the_shared_key():
+    invalid = configuration(
         customers=(GatewayCustomer("a", ("secret",)), GatewayCustomer("b", ("secret",)))
     )
-    assert "secret" not in configuration_problem(broken)
+    assert "secret" not in configuration_problem(invalid)
 
 
 def test_a_customer_may_list_a_key_twice():
--- a/tests/cover/gateway_core/test_upstream_health.py
+++ b/tests/cover/gateway_core/test_upstream_health.py
@@ -1,4 +1,4 @@
-"""Check what is learnt of upstreams that fail while they say that they are well."""
+"""Check the estimates for upstreams that fail while they report to be healthy."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 
 
 def test_an_upstream_that_fails_half_of_its_requests_is_used_last():
-    """Every third booking fails although two of three upstreams are well."""
+    """Guards against requests that fail although other upstreams are healthy."""
     health = UpstreamHealth()
     for number in range(8):
         health.record_answer("bad", bool(number % 2), None, number * 0.2)
@@ -32,7 +32,7 @@
     assert set(chosen) == {"good"}
 
 
-def test_an_upstream_that_failed_once_is_believed_again():
+def test_an_upstream_that_failed_once_recovers():
     health = UpstreamHealth()
     health.record_lost("u", 0.0)
     assert health.estimate("u", 0.1).avoided
@@ -40,14 +40,14 @@
     assert health.estimate("u", 40.0).failure_rate < 0.01
 
 
-def test_repeated_losses_keep_an_upstream_away_for_longer():
+def test_consecutive_losses_keep_an_upstream_avoided_for_longer():
     health = UpstreamHealth()
     for number in range(4):
         health.record_lost("u", float(number))
     assert health.estimate("u", 5.0).avoided
 
 
-def test_the_only_upstream_is_used_whatever_is_believed_of_it():
+def test_the_only_upstream_is_used_whatever_its_estimate():
     only = candidate(heartbeat().upstream_id, failure_rate=1.0, avoided=True)
     assert choose_upstream([only], Random(0)) == only.upstream_id
     assert choose_upstream([], Random(0)) is None
--- a/tests/cover/gateway_core/test_upstream_starts.py
+++ b/tests/cover/gateway_core/test_upstream_starts.py
@@ -1,4 +1,4 @@
-"""Check what is believed of upstreams that start again under the name they had."""
+"""Check the state of upstreams that restart under the same name."""
 
 import msgspec
 import pytest
@@ -24,109 +24,114 @@
     return UpstreamRegistry.from_config(RegistryConfig(SILENCE))
 
 
-def word(began_ms: int, sequence: int, **changes) -> UpstreamHeartbeat:
-    """Make a heartbeat of one start of the upstream u-1."""
+def start_heartbeat(began_ms: int, sequence: int, **changes) -> UpstreamHeartbeat:
+    """Create a heartbeat of one start of the upstream u-1."""
     start = UpstreamStart("u-1", began_ms)
     return heartbeat(start.upstream_id, sequence, **changes)
 
 
-def in_use(known: UpstreamRegistry, now: float) -> list[str]:
+def used_ids(known: UpstreamRegistry, now: float) -> list[str]:
     return [each.upstream_id for each in known.ready_upstreams("s", now)]
 
 
-def test_the_id_of_a_start_holds_its_name_and_time():
+def test_the_id_of_a_start_contains_its_name_and_time():
     start = UpstreamStart("u-1", FIRST)
     assert UpstreamStart.of(start.upstream_id) == start
-    untold = UpstreamStart("u-1")
-    assert untold.upstream_id == "u-1"
-    assert UpstreamStart.of("u-1") == untold
+    unknown = UpstreamStart("u-1")
+    assert unknown.upstream_id == "u-1"
+    assert UpstreamStart.of("u-1") == unknown
 
 
 @pytest.mark.parametrize("last", [50, 500])
 def test_a_new_start_is_used_at_its_first_heartbeat(last):
-    """A sound upstream gets no work for minutes.
+    """Guards against a healthy upstream that gets no requests for minutes.
 
-    It crashed and started again under its name. It counts its heartbeats anew, and
-    all below the last number of its former start were taken for late ones.
+    It crashed and restarted under its name. It numbers its heartbeats from one again,
+    and all up to the last number of its former start were taken for late ones.
     """
     known = registry()
-    known.record(word(FIRST, last), 0.0)
-    assert known.record(word(SECOND, 1), 60.0)
-    assert in_use(known, 60.0) == [f"u-1#{SECOND}"]
+    known.record(start_heartbeat(FIRST, last), 0.0)
+    assert known.record(start_heartbeat(SECOND, 1), 60.0)
+    assert used_ids(known, 60.0) == [f"u-1#{SECOND}"]
     assert len(known.known) == 1
 
 
 @pytest.mark.parametrize("phase", [UpstreamPhase.LEAVING, UpstreamPhase.LEFT])
-def test_one_that_was_leaving_returns_with_its_next_start(phase):
+def test_a_leaving_upstream_returns_with_its_next_start(phase):
     known = registry()
-    known.record(word(FIRST, 7, phase=phase), 0.0)
-    assert known.record(word(SECOND, 1), 1.0)
-    assert in_use(known, 1.0) == [f"u-1#{SECOND}"]
+    known.record(start_heartbeat(FIRST, 7, phase=phase), 0.0)
+    assert known.record(start_heartbeat(SECOND, 1), 1.0)
+    assert used_ids(known, 1.0) == [f"u-1#{SECOND}"]
 
 
 @pytest.mark.parametrize("phase", list(UpstreamPhase))
-def test_late_word_of_a_former_start_changes_nothing(phase):
-    """A sound upstream is taken out of use, or one that is gone gets requests.
+def test_late_heartbeats_of_a_former_start_change_nothing(phase):
+    """Guards against requests to a dead upstream, or none to a healthy one.
 
-    Heartbeats of the former start, held up by a cut, arrive after the new start's.
+    Heartbeats of the former start, delayed by a partition, arrive after those of the
+    new start.
     """
     known = registry()
-    known.record(word(SECOND, 1), 1.0)
-    assert not known.record(word(FIRST, 99, phase=phase, address="10.0.0.2:80"), 2.0)
+    known.record(start_heartbeat(SECOND, 1), 1.0)
+    assert not known.record(
+        start_heartbeat(FIRST, 99, phase=phase, address="10.0.0.2:80"), 2.0
+    )
     known.leave(UpstreamStart("u-1", FIRST), 2.0)
     [left] = known.ready_upstreams("s", 2.0)
-    assert left == word(SECOND, 1)
+    assert left == start_heartbeat(SECOND, 1)
 
 
-def test_word_of_an_entry_that_knows_no_starts_counts_for_the_latest_one():
-    """An upstream is lost while the entries are updated one by one.
+def test_heartbeats_without_a_start_count_for_the_latest_one():
+    """Guards against an upstream that is lost during a rolling update of the gateways.
 
-    Entries of the version before pass its heartbeats on without its start.
+    Gateways of the previous version forward its heartbeats without the start time.
     """
     known = registry()
-    known.record(word(SECOND, 3), 0.0)
+    known.record(start_heartbeat(SECOND, 3), 0.0)
     known.record(heartbeat("u-1", 4), SILENCE)
-    assert in_use(known, SILENCE + 1.0) == [f"u-1#{SECOND}"]
+    assert used_ids(known, SILENCE + 1.0) == [f"u-1#{SECOND}"]
     known.record(heartbeat("u-1", 5, UpstreamPhase.LEAVING), SILENCE)
-    assert in_use(known, SILENCE + 1.0) == []
+    assert used_ids(known, SILENCE + 1.0) == []
 
 
-def test_an_upstream_that_never_tells_its_start_is_known_by_its_name():
+def test_an_upstream_without_a_start_time_is_identified_by_its_name():
     known = registry()
     assert known.record(heartbeat("u-1", 4), 0.0)
     assert not known.record(heartbeat("u-1", 5), 1.0)
-    assert in_use(known, 1.0) == ["u-1"]
+    assert used_ids(known, 1.0) == ["u-1"]
 
 
-def test_late_word_does_not_hide_the_upstream_that_began_later_at_its_address():
-    """Requests are refused as meant for somebody else, until the next heartbeat.
+def test_a_late_heartbeat_does_not_hide_a_later_upstream_at_its_address():
+    """Guards against requests that an address refuses as meant for another upstream.
 
-    An upstream crashed behind a cut, another one began at its address, and a
-    heartbeat of the former one arrives after the cut.
+    An upstream crashed behind a partition, another one started at its address, and a
+    heartbeat of the former one arrives after the partition.
     """
     known = registry()
     gone = heartbeat(UpstreamStart("gone", FIRST).upstream_id)
     there = heartbeat(UpstreamStart("there", SECOND).upstream_id)
     known.record(there, 1.0)
     known.record(gone, 2.0)
-    assert in_use(known, 2.0) == [there.upstream_id]
+    assert used_ids(known, 2.0) == [there.upstream_id]
 
 
-def test_entries_of_both_versions_read_each_others_word():
-    class SeenBefore(msgspec.Struct, frozen=True, array_like=True):
+def test_gateways_of_both_versions_read_each_others_heartbeats():
+    class PreviousHeartbeatSeen(msgspec.Struct, frozen=True, array_like=True):
         heartbeat: UpstreamHeartbeat
         age_seconds: float
 
-    told = HeartbeatSeen.from_heartbeat(word(SECOND, 3), 0.5)
-    read = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=SeenBefore)
-    assert read == SeenBefore(heartbeat("u-1", 3), 0.5)
+    sent = HeartbeatSeen.from_heartbeat(start_heartbeat(SECOND, 3), 0.5)
+    read = msgspec.msgpack.decode(
+        msgspec.msgpack.encode(sent), type=PreviousHeartbeatSeen
+    )
+    assert read == PreviousHeartbeatSeen(heartbeat("u-1", 3), 0.5)
     back = msgspec.msgpack.decode(msgspec.msgpack.encode(read), type=HeartbeatSeen)
     assert back.with_start_id == heartbeat("u-1", 3)
-    same = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=HeartbeatSeen)
-    assert same.with_start_id == word(SECOND, 3)
+    same = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=HeartbeatSeen)
+    assert same.with_start_id == start_heartbeat(SECOND, 3)
 
 
-SAID = st.builds(
+HEARTBEATS = st.builds(
     lambda name, began, number, phase: heartbeat(
         UpstreamStart(name, began).upstream_id, number, phase, address=f"{name}:1"
     ),
@@ -135,10 +140,10 @@
     st.integers(1, 4),
     st.sampled_from(UpstreamPhase),
 )
-"""Heartbeats in any phase, also phases that come back, as foreign word has them."""
+"""Heartbeats in any order of phases, as they may come if another sender uses the id."""
 
 
-def beliefs(known: UpstreamRegistry) -> dict:
+def state(known: UpstreamRegistry) -> dict:
     return {
         upstream_id: (each.heartbeat, each.heard_at)
         for upstream_id, each in known.known.items()
@@ -146,50 +151,50 @@
 
 
 @given(
-    st.lists(SAID, max_size=8).flatmap(
+    st.lists(HEARTBEATS, max_size=8).flatmap(
         lambda s: st.tuples(st.just(s), st.permutations(s))
     )
 )
-def test_what_is_believed_depends_on_what_was_said_and_not_on_its_order(both):
-    said, turned = both
+def test_the_state_depends_on_the_heartbeats_and_not_on_their_order(both):
+    heartbeats, reordered = both
     first, second = registry(), registry()
-    for each in said:
+    for each in heartbeats:
         first.record(each, 1.0)
-    for each in turned:
+    for each in reordered:
         second.record(each, 1.0)
-    assert beliefs(first) == beliefs(second)
+    assert state(first) == state(second)
 
 
 @given(
-    st.lists(st.tuples(st.integers(0, 2), SAID), max_size=12),
+    st.lists(st.tuples(st.integers(0, 2), HEARTBEATS), max_size=12),
     st.data(),
 )
-def test_entries_that_tell_each_other_everything_believe_the_same(said, data):
-    """Each word reaches one of three; passed on, it is lost, late or doubled."""
-    entries = [registry() for _ in range(3)]
-    passed_on = []
-    for at, each in said:
-        entries[at].record(each, 1.0)
-        passed_on += [(to, each) for to in range(3) if to != at]
-    arriving = data.draw(st.lists(st.sampled_from(passed_on))) if passed_on else []
+def test_gateways_that_exchange_all_heartbeats_reach_the_same_state(heartbeats, data):
+    """Each heartbeat reaches one of three; forwarding may lose, delay or repeat it."""
+    gateways = [registry() for _ in range(3)]
+    forwarded = []
+    for at, each in heartbeats:
+        gateways[at].record(each, 1.0)
+        forwarded += [(to, each) for to in range(3) if to != at]
+    arriving = data.draw(st.lists(st.sampled_from(forwarded))) if forwarded else []
     for to, each in arriving:
-        entries[to].record(each, 1.0)
-    for teller in entries:
-        for listener in entries:
-            for seen in teller.all_heartbeats(1.0):
-                listener.record(seen.with_start_id, 1.0)
-    assert beliefs(entries[0]) == beliefs(entries[1]) == beliefs(entries[2])
+        gateways[to].record(each, 1.0)
+    for sender in gateways:
+        for receiver in gateways:
+            for seen in sender.all_heartbeats(1.0):
+                receiver.record(seen.with_start_id, 1.0)
+    assert state(gateways[0]) == state(gateways[1]) == state(gateways[2])
 
 
-def test_a_start_with_an_earlier_time_is_taken_up_once_the_former_is_forgotten():
-    """An upstream whose clock was put back starts again, and seems older than before.
+def test_a_start_with_an_earlier_time_counts_once_the_former_is_forgotten():
+    """Covers an upstream that restarts after its clock was set back.
 
-    Its word can't be told from late word of a dead process, so it stays out; but not
-    for good.
+    Its heartbeats look like late ones of a dead process, so it is not used, but not for
+    ever.
     """
     known = registry()
-    known.record(word(SECOND, 5), 0.0)
-    assert not known.record(word(FIRST, 1), 1.0)
+    known.record(start_heartbeat(SECOND, 5), 0.0)
+    assert not known.record(start_heartbeat(FIRST, 1), 1.0)
     known.forget_old(121.0)
-    assert known.record(word(FIRST, 100), 121.0)
-    assert in_use(known, 121.0) == [f"u-1#{FIRST}"]
+    assert known.record(start_heartbeat(FIRST, 100), 121.0)
+    assert used_ids(known, 121.0) == [f"u-1#{FIRST}"]
