--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
@@ -19,10 +19,10 @@
 BEHIND_RETRY_SECONDS = 0.5
 """Pause told to callers of a gateway that waits for a later configuration: one of 4,450
 routes is at the last of 64 gateways after 0.39 s, on simulated links of 10 Mbit/s."""
-START_SECONDS = 1.5
+STARTUP_WAIT_SECONDS = 1.5
 """Time for which a request waits for what its gateway has yet to learn: after all
 processes were killed at once, an election and a heartbeat of the upstreams."""
-MOST_WAITED_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 """Share of the caller's time that is spent so; the rest must do for the answer."""
 
 
@@ -45,8 +45,8 @@
     view: FleetView, request: HttpRequest, facts: CallerFacts
 ) -> Admitted | Denied:
     """Decide by the configuration in force, or by the one that is on its way."""
-    patience = patience_to_learn(facts)
-    known = await view.wait_to_learn(lambda: view.table is not None, patience)
+    patience = max_wait_seconds(facts)
+    known = await view.wait_until(lambda: view.table is not None, patience)
     if not known:
         LOG.info("No configuration.", request=facts.attempt_id, waited=patience)
         return Denied(NOT_RUN, NOT_READY_RETRY_SECONDS)
@@ -64,11 +64,11 @@
     return decided
 
 
-def patience_to_learn(facts: CallerFacts) -> float:
+def max_wait_seconds(facts: CallerFacts) -> float:
     """Return how long a request may wait for its gateway to learn, in seconds."""
     if facts.deadline_seconds is None:
-        return START_SECONDS
-    return min(START_SECONDS, facts.deadline_seconds * MOST_WAITED_SHARE)
+        return STARTUP_WAIT_SECONDS
+    return min(STARTUP_WAIT_SECONDS, facts.deadline_seconds * MAX_WAIT_SHARE)
 
 
 async def decide_once_caught_up(
@@ -83,7 +83,7 @@
     """
     began = time.monotonic()
     before = view.document.version
-    caught_up = await view.wait_to_learn(lambda: not view.is_behind(), patience)
+    caught_up = await view.wait_until(lambda: not view.is_behind(), patience)
     LOG.info(
         "Configuration awaited.",
         request=facts.attempt_id,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -36,8 +36,8 @@
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.gossip import (
-    ALIVE_SECONDS,
-    FULL_SECONDS,
+    ALIVE_INTERVAL_SECONDS,
+    FULL_SYNC_SECONDS,
     Gossip,
 )
 from cowslipshelf_daemon.internal.gateway.http_server import (
@@ -45,8 +45,8 @@
     HttpServer,
     Responder,
 )
-from cowslipshelf_daemon.internal.gateway.loop_post import LoopInbox
-from cowslipshelf_daemon.internal.gateway.replica_keeper import ReplicaKeeper
+from cowslipshelf_daemon.internal.gateway.loop_inbox import LoopInbox
+from cowslipshelf_daemon.internal.gateway.replica_supervisor import ReplicaSupervisor
 from cowslipshelf_daemon.internal.gateway.request_handler import RequestHandler
 from cowslipshelf_daemon.internal.gateway.settings import (
     GatewaySettings,
@@ -76,14 +76,14 @@
 region. A peer that has not answered by then is gone, and whoever missed the last word
 of this gateway learns of its end by its silence."""
 TICK_SECONDS = 0.05
-FORGET_SECONDS = 5.0
-RECALL_SECONDS = 1.0
+FORGET_INTERVAL_SECONDS = 5.0
+UPSTREAMS_WRITE_SECONDS = 1.0
 """Age of what a restart recalls of the upstreams: those that left since are tried in
 vain, each for the time of a lost connection."""
-SUSPECTS_SECONDS = 0.2
+SUSPECTS_WRITE_SECONDS = 0.2
 """Pause between two looks at whether the suspects have changed since they were written
 down: each that is forgotten by all gateways at once ends three more upstreams."""
-RELOAD_SECONDS = 1.0
+RELOAD_INTERVAL_SECONDS = 1.0
 """Pause between looks at the settings' file, which may change without a signal."""
 RESERVED_DESCRIPTORS = 600
 """Descriptors kept for upstreams, peers, files and logs."""
@@ -91,7 +91,7 @@
 LEAVE_ROTATION_SECONDS = 2.5
 """Time after the signal for which new connections are still taken: the balancer asks
 each second, and takes a gateway out after two answers that it is not ready."""
-END_MARGIN_SECONDS = 0.7
+SHUTDOWN_MARGIN_SECONDS = 0.7
 """Time kept at the end of the shutdown to close what is left, before the kill."""
 DRAIN_CHECK_SECONDS = 0.05
 METRICS_PATH = "/metrics"
@@ -101,14 +101,14 @@
 
 
 @dataclass(slots=True)
-class RegularDuty:
+class PeriodicTask:
     """Be something to be done again after a pause, in seconds."""
 
     pause: float
     act: Callable[[], None]
     due: float = 0.0
 
-    def do_when_due(self, now: float, metrics: Metrics) -> None:
+    def run_when_due(self, now: float, metrics: Metrics) -> None:
         """Do it, unless the pause has yet to pass.
 
         One that fails is done again at its next time: what made it fail, such as word
@@ -145,9 +145,9 @@
         self.control_actor: ActorRef = GatewayActor.start(proposals, self.post)
         self.client = ControlClient(self.control_actor, self.post)
         self.gossip = Gossip(self.view, self.post, self.client, dialect, self.metrics)
-        self.view.tell_work = self.gossip.tell_work
+        self.view.on_work_changed = self.gossip.queue_work
         self.inbox = LoopInbox(self.loop, self.gossip.receive, self.metrics)
-        self.keeper = ReplicaKeeper(
+        self.supervisor = ReplicaSupervisor(
             self.view, self.post, self.inbox, self.control_actor, self.metrics
         )
         self.suspects = self.gossip.suspects
@@ -155,14 +155,14 @@
         self.suspects_file: SuspectRequestsFile | None = None
         if settings.data_folder is not None:
             self.upstreams_file = UpstreamsFile(settings.data_folder)
-            self.view.recall(self.upstreams_file.read())
+            self.view.restore(self.upstreams_file.read())
             self.suspects_file = SuspectRequestsFile(settings.data_folder)
             self.suspects.take(settings.instance, self.suspects_file.read())
         self.mailbox = self.make_mailbox(own_address)
         self.leaving = False
         self.ended = asyncio.Event()
         runner = AttemptRunner(self.view, self.pool, dialect)
-        self.view.drop_start = runner.drop_start
+        self.view.on_start_replaced = runner.drop_replaced_start
         self.callers = HttpServer(
             "callers",
             RequestHandler(self.view, runner, dialect, self.metrics, self.suspects),
@@ -178,7 +178,7 @@
         self.ready = HttpServer(
             "ready", self.answer_ready, CallerLimits, CONTROL_CONNECTIONS
         )
-        self.shown = HttpServer(
+        self.metrics_server = HttpServer(
             "metrics", self.answer_metrics, CallerLimits, CONTROL_CONNECTIONS
         )
 
@@ -222,7 +222,7 @@
             case ProposalResult() | LeaderSeen():
                 self.control_actor.tell(delivered)
             case _:
-                actor = self.keeper.actor
+                actor = self.supervisor.actor
                 if actor is not None and actor.is_alive():
                     actor.tell(delivered)
 
@@ -234,17 +234,17 @@
     async def answer_ready(self, request: HttpRequest, responder: Responder) -> None:
         """Tell whether callers should be sent here."""
         if self.dialect.is_readiness_probe(request.method, request.path):
-            await responder.whole(200 if self.is_ready() else 503, [])
+            await responder.respond(200 if self.is_ready() else 503, [])
         else:
-            await responder.whole(404, [])
+            await responder.respond(404, [])
 
     async def answer_metrics(self, request: HttpRequest, responder: Responder) -> None:
         """Show the metrics."""
         if request.path != METRICS_PATH:
-            await responder.whole(404, [])
+            await responder.respond(404, [])
             return
         text = self.metrics.prometheus_text()
-        await responder.whole(200, [METRICS_TYPE], text.encode())
+        await responder.respond(200, [METRICS_TYPE], text.encode())
 
     def is_ready(self) -> bool:
         """Tell whether requests can be served."""
@@ -260,36 +260,36 @@
         if settings.ready_address is not None:
             await self.ready.start(settings.ready_address)
         if settings.metrics_address is not None:
-            await self.shown.start(settings.metrics_address)
+            await self.metrics_server.start(settings.metrics_address)
         if settings.callers_address is not None:
             await self.callers.start(settings.callers_address, early_listener)
 
     async def run(self) -> None:
         """Do what the time demands until the gateway has ended."""
-        duties = self.duties()
+        tasks = self.periodic_tasks()
         while not self.ended.is_set():
             now = time.monotonic()
-            for duty in duties:
-                duty.do_when_due(now, self.metrics)
+            for task in tasks:
+                task.run_when_due(now, self.metrics)
             await asyncio.sleep(TICK_SECONDS)
 
-    def duties(self) -> list[RegularDuty]:
+    def periodic_tasks(self) -> list[PeriodicTask]:
         """List what is done at regular times, in this order."""
-        duties = [
-            RegularDuty(0.0, self.tick),
-            RegularDuty(ALIVE_SECONDS, self.gossip.tick),
-            RegularDuty(RELOAD_SECONDS, self.reload),
-            RegularDuty(FULL_SECONDS, self.gossip.tell_everything),
-            RegularDuty(FORGET_SECONDS, self.forget_old),
+        tasks = [
+            PeriodicTask(0.0, self.tick),
+            PeriodicTask(ALIVE_INTERVAL_SECONDS, self.gossip.tick),
+            PeriodicTask(RELOAD_INTERVAL_SECONDS, self.reload),
+            PeriodicTask(FULL_SYNC_SECONDS, self.gossip.tell_everything),
+            PeriodicTask(FORGET_INTERVAL_SECONDS, self.forget_old),
         ]
         if self.upstreams_file is not None:
-            duties.append(RegularDuty(RECALL_SECONDS, self.write_upstreams))
-            duties.append(RegularDuty(SUSPECTS_SECONDS, self.write_suspects))
-        return duties
+            tasks.append(PeriodicTask(UPSTREAMS_WRITE_SECONDS, self.write_upstreams))
+            tasks.append(PeriodicTask(SUSPECTS_WRITE_SECONDS, self.write_suspects))
+        return tasks
 
     def tick(self) -> None:
         """Let time pass for the replica, for waiting commands and for fetching."""
-        self.keeper.tick()
+        self.supervisor.tick()
         self.control_actor.tell(Tick())
         self.gossip.routes.fetch_when_due()
 
@@ -306,7 +306,7 @@
     def write_suspects(self) -> None:
         """Write down which requests a restart will suspect."""
         changes = self.suspects.changes
-        if self.suspects_file.is_behind(changes):
+        if self.suspects_file.needs_write(changes):
             self.suspects_file.write_soon(self.suspects.told_all(), changes)
 
     def reload(self) -> None:
@@ -322,7 +322,7 @@
         self.settings = settings
         self.view.use_settings(settings)
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Finish what runs and end.
 
         Readiness goes first, so that the balancer sends nothing more; connections are
@@ -332,11 +332,11 @@
         began = time.monotonic()
         LOG.info("Leaving.", requests=self.callers.busy)
         self.callers.closing = True
-        self.keeper.hand_over()
+        self.supervisor.transfer_leadership()
         await asyncio.sleep(LEAVE_ROTATION_SECONDS)
         self.callers.stop_listening()
         self.callers.close_idle()
-        end = began + self.settings.shutdown_seconds - END_MARGIN_SECONDS
+        end = began + self.settings.shutdown_seconds - SHUTDOWN_MARGIN_SECONDS
         while self.callers.busy and time.monotonic() < end:
             await asyncio.sleep(DRAIN_CHECK_SECONDS)
             self.callers.close_idle()
@@ -349,11 +349,11 @@
         What must outlive the process was synced before it was acted on. A thread that
         waits for a disk that stalls would keep the process beyond its grace.
         """
-        for server in (self.callers, self.control, self.ready, self.shown):
+        for server in (self.callers, self.control, self.ready, self.metrics_server):
             server.stop_listening()
             server.abort_all()
         self.pool.close_all()
-        self.keeper.stop()
+        self.supervisor.stop()
         self.control_actor.stop(block=False)
         self.mailbox.stop()
 
@@ -370,7 +370,7 @@
 
     def begin_to_leave() -> None:
         if not leaving:
-            leaving.append(gateway.loop.create_task(gateway.leave()))
+            leaving.append(gateway.loop.create_task(gateway.shut_down()))
 
     for number in (signal.SIGTERM, signal.SIGINT):
         gateway.loop.add_signal_handler(number, begin_to_leave)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -29,13 +29,13 @@
     EngineMemory,
     ReservedMemory,
 )
-from cowslipshelf_daemon.internal.gateway.event_stream import EventCutter
+from cowslipshelf_daemon.internal.gateway.event_stream import EventSplitter
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_daemon.internal.gateway.placement import Placement
-from cowslipshelf_daemon.internal.gateway.time_of_day import unix_milliseconds
+from cowslipshelf_daemon.internal.gateway.unix_time import unix_milliseconds
 from cowslipshelf_daemon.internal.gateway.upstream_connection import (
-    MOST_BUFFERED_BYTES,
+    MAX_BUFFERED_BYTES,
     UpstreamConnection,
     UpstreamHead,
     UpstreamLostError,
@@ -46,7 +46,7 @@
 LOG = part_logger("attempt")
 
 SERVER_ERROR = 500
-UNFORESEEN_SECONDS = 0.4
+FIRST_TOKEN_SLACK_SECONDS = 0.4
 """Lateness of a first token that says nothing of its engine: a pass that reads for
 somebody placed in the same milliseconds. Counted as slowness, it drove prompts from
 engines that were as fast as the others."""
@@ -62,10 +62,10 @@
         self.memory = EngineMemory(view, pool, dialect)
         self.pool = pool
         self.dialect = dialect
-        self.open: set[OpenAttempt] = set()
+        self.open_attempts: set[OpenAttempt] = set()
         """Attempts that may be sent again, with their connections."""
 
-    def drop_start(self, former: UpstreamStart, later: UpstreamStart) -> None:
+    def drop_replaced_start(self, former: UpstreamStart, later: UpstreamStart) -> None:
         """End what is open at a start of an upstream that gave way to a later one.
 
         Its process is gone, which a connection that went silent shows only after
@@ -74,8 +74,8 @@
         sent again: clocks are off by seconds at times.
         """
         self.pool.forget(former.upstream_id)
-        for attempt in list(self.open):
-            if not attempt.is_over(former, later):
+        for attempt in list(self.open_attempts):
+            if not attempt.needs_replaced_start(former, later):
                 continue
             LOG.info(
                 "Attempt dropped.",
@@ -89,24 +89,24 @@
         """Run one attempt, and learn from it about the upstream."""
         began = time.monotonic()
         upstream = placement.upstream
-        self.view.request_begins(upstream.upstream_id)
+        self.view.request_started(upstream.upstream_id)
         if placement.work is not None:
             self.view.begin_work(placement.work)
         try:
-            outcome = await self.exchange(task, placement)
+            outcome = await self.reserve_and_send(task, placement)
         except asyncio.CancelledError:
-            self.learn_of_silence(task, placement, began)
+            self.record_silence(task, placement, began)
             raise
         finally:
-            self.view.request_ends(upstream.upstream_id)
+            self.view.request_ended(upstream.upstream_id)
             if placement.work is not None:
                 self.view.end_work(placement.work.attempt_id)
         if isinstance(outcome, Answered):
-            self.view.times.answered_routes.add(task.route.name)
-        self.learn(placement, outcome, time.monotonic() - began)
+            self.view.answer_times.answered_routes.add(task.route.name)
+        self.record_outcome(placement, outcome, time.monotonic() - began)
         return outcome
 
-    def learn_of_silence(
+    def record_silence(
         self, task: AttemptTask, placement: Placement, began: float
     ) -> None:
         """Note an upstream that let the caller's time pass without a word.
@@ -118,10 +118,10 @@
         """
         upstream = placement.upstream
         now = time.monotonic()
-        usual = self.view.times.answer_timeout(upstream.service)
+        usual = self.view.answer_times.answer_timeout(upstream.service)
         if placement.first_token_seconds is not None or usual is None:
             return
-        if task.route.name not in self.view.times.answered_routes:
+        if task.route.name not in self.view.answer_times.answered_routes:
             return
         if now - began > usual:
             LOG.info(
@@ -133,7 +133,7 @@
             )
             self.view.health.record_lost(upstream.upstream_id, now)
 
-    def learn(
+    def record_outcome(
         self, placement: Placement, outcome: AttemptOutcome, seconds: float
     ) -> None:
         """Note what an attempt says of its upstream."""
@@ -156,23 +156,25 @@
         """Return how many times longer than expected an answer took."""
         if pace is None:
             service = placement.upstream.service
-            slowness = self.view.times.slowness(service, seconds)
-            self.view.times.add(service, seconds)
+            slowness = self.view.answer_times.slowness(service, seconds)
+            self.view.answer_times.add(service, seconds)
             return slowness
         predicted = placement.first_token_seconds
         if predicted is None or pace.first is None:
             return None
-        return max(0.0, pace.first - UNFORESEEN_SECONDS) / predicted
+        return max(0.0, pace.first - FIRST_TOKEN_SLACK_SECONDS) / predicted
 
-    async def exchange(self, task: AttemptTask, placement: Placement) -> AttemptOutcome:
+    async def reserve_and_send(
+        self, task: AttemptTask, placement: Placement
+    ) -> AttemptOutcome:
         """Send the request and take the answer."""
         tickets, upstream = placement.tickets, placement.upstream
         async with self.memory.reserved(tickets, upstream) as memory:
             if not memory.granted:
                 return NotRun(MEMORY_REFUSED)
-            return await self.connect_and_talk(task, placement, memory)
+            return await self.connect_and_exchange(task, placement, memory)
 
-    async def connect_and_talk(
+    async def connect_and_exchange(
         self, task: AttemptTask, placement: Placement, memory: ReservedMemory
     ) -> AttemptOutcome:
         """Get a connection, use it, and keep it if it is fit for another request."""
@@ -181,37 +183,39 @@
         # and then nobody can say whether the request ran.
         fresh = not task.route.repeatable
         try:
-            connection = await self.pool.take(
+            connection = await self.pool.acquire(
                 upstream.upstream_id, upstream.address, fresh
             )
         except UpstreamLostError as error:
             return NotReached(str(error))
         kept = False
-        memory.on_lapse = connection.drop
+        memory.on_expiry = connection.drop
         try:
-            connection.patience_seconds = placement.patience.first
+            connection.max_silence_seconds = (
+                placement.silence_limits.first_event_seconds
+            )
             if placement.work is not None:
                 connection.excused_seconds = partial(
                     self.excused_seconds, task, placement
                 )
-            with self.opened(task, placement, connection):
-                outcome = await self.talk(task, placement, connection)
+            with self.tracked_as_open(task, placement, connection):
+                outcome = await self.exchange(task, placement, connection)
             kept = isinstance(outcome, Answered | NotRun | FailedThere)
             return outcome
         except UpstreamLostError as error:
-            return Broken(error.step, str(error), error.upstream_ended)
+            return Broken(error.step, str(error), error.upstream_exited)
         finally:
             if kept:
-                self.pool.give_back(upstream.upstream_id, connection)
+                self.pool.release(upstream.upstream_id, connection)
             else:
                 connection.abort()
 
     @contextmanager
-    def opened(
+    def tracked_as_open(
         self, task: AttemptTask, placement: Placement, connection: UpstreamConnection
     ) -> Iterator[None]:
         """Know an attempt as open meanwhile, if it may be sent again."""
-        helping = (part.upstream_id for part in placement.helping_parts)
+        helping = (part.upstream_id for part in placement.helper_parts)
         attempt = OpenAttempt(
             task.facts.attempt_id,
             frozenset((placement.upstream.upstream_id, *helping)),
@@ -219,16 +223,16 @@
             unix_milliseconds(),
         )
         if task.route.repeatable:
-            self.open.add(attempt)
+            self.open_attempts.add(attempt)
         try:
             yield
         finally:
-            self.open.discard(attempt)
+            self.open_attempts.discard(attempt)
 
     def excused_seconds(self, task: AttemptTask, placement: Placement) -> float:
         """Return how much longer engines may be silent, since they read."""
         attempt_id = placement.work.attempt_id
-        seconds = self.view.board.excused_seconds(attempt_id, time.monotonic())
+        seconds = self.view.engines.excused_seconds(attempt_id, time.monotonic())
         LOG.info(
             "Silence excused." if seconds else "Silence not excused.",
             request=task.facts.attempt_id,
@@ -237,7 +241,7 @@
         )
         return seconds
 
-    async def talk(
+    async def exchange(
         self,
         task: AttemptTask,
         placement: Placement,
@@ -245,7 +249,7 @@
     ) -> AttemptOutcome:
         """Send, wait for the head, and judge or pass on what follows."""
         began = time.monotonic()
-        connection.send(self.outgoing(task, placement))
+        connection.send(self.outgoing_request(task, placement))
         head = await connection.head()
         facts = self.dialect.answer_facts(head.status, head.headers)
         if facts.keep_alive_seconds is not None:
@@ -257,20 +261,22 @@
             # An answer to an earlier request of this connection came late.
             raise connection.lost("match answer", f"answers {facts.attempt_id}")
         if task.route.kind is RouteKind.STREAM and head.status < 300:
-            return await self.pass_stream(task, placement, connection, head, began)
+            return await self.forward_stream(task, placement, connection, head, began)
         body = await connection.whole_body()
         if head.status >= SERVER_ERROR:
             return FailedThere(head, body)
         await self.deliver(task, head, body)
         return Answered(head.status)
 
-    def outgoing(self, task: AttemptTask, placement: Placement) -> OutgoingRequest:
+    def outgoing_request(
+        self, task: AttemptTask, placement: Placement
+    ) -> OutgoingRequest:
         """Write the request as the upstream gets it."""
         facts = ForwardFacts(
             placement.upstream.upstream_id,
             task.customer,
             task.deadline - time.monotonic(),
-            task.delivered.last_event_id,
+            task.delivery.last_event_id,
             placement.priority,
             placement.helpers,
         )
@@ -279,16 +285,16 @@
         return OutgoingRequest(
             request.method,
             request.target,
-            with_length(headers, request),
+            with_content_length(headers, request),
             request.body,
         )
 
     async def deliver(self, task: AttemptTask, head: UpstreamHead, body: bytes) -> None:
         """Give the caller an upstream's whole answer."""
         headers = self.dialect.answer_headers(head.headers)
-        await task.responder.whole(head.status, headers, body)
+        await task.responder.respond(head.status, headers, body)
 
-    async def pass_stream(
+    async def forward_stream(
         self,
         task: AttemptTask,
         placement: Placement,
@@ -297,24 +303,26 @@
         began: float,
     ) -> AttemptOutcome:
         """Pass events on as they come; the first attempt's head stays the answer's."""
-        cutter = EventCutter()
+        cutter = EventSplitter()
         pace = StreamPace(began)
         async for data in connection.body():
-            piece = cutter.take(data)
-            if len(cutter.held) > MOST_BUFFERED_BYTES:
+            piece = cutter.feed(data)
+            if len(cutter.buffer) > MAX_BUFFERED_BYTES:
                 raise connection.lost("read answer", "an event is too long to be held")
             if piece is None:
                 continue
             if placement.work is not None and pace.first is None:
                 self.view.first_token(placement.work.attempt_id)
-            pace.take_event(time.monotonic())
-            connection.patience_seconds = placement.patience.between
+            pace.record_event(time.monotonic())
+            connection.max_silence_seconds = (
+                placement.silence_limits.between_events_seconds
+            )
             self.begin_stream(task, head)
             if piece.last_id is not None:
-                task.delivered.last_event_id = piece.last_id
-            await task.responder.piece(piece.data)
+                task.delivery.last_event_id = piece.last_id
+            await task.responder.write(piece.data)
         self.begin_stream(task, head)
-        await task.responder.piece(cutter.rest())
+        await task.responder.write(cutter.take_rest())
         await task.responder.end()
         return Answered(head.status, pace)
 
@@ -325,7 +333,7 @@
             task.responder.begin(head.status, headers)
 
 
-def with_length(headers: Headers, request: HttpRequest) -> Headers:
+def with_content_length(headers: Headers, request: HttpRequest) -> Headers:
     """Frame the body by its length, whichever way the caller framed it."""
     kept = [pair for pair in headers if pair[0] != b"content-length"]
     if request.body or any(name == b"content-length" for name, _ in headers):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
@@ -23,7 +23,7 @@
     longest_pause: float = 0.0
     last_at: float = 0.0
 
-    def take_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that events have come."""
         if self.first is None:
             self.first = now - self.began
@@ -68,7 +68,7 @@
 
     step: str
     detail: str
-    upstream_ended: bool = False
+    upstream_exited: bool = False
     """Whether the upstream closed the connection, as one that ends does."""
 
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Delivered:
+class DeliveryProgress:
     """Hold how far the caller's answer has come, over all attempts."""
 
     last_event_id: str | None
@@ -90,7 +90,7 @@
     route: Route
     customer: CustomerName | None
     responder: Responder
-    delivered: Delivered
+    delivery: DeliveryProgress
     deadline: float
     judged: JudgedRequest
 
@@ -105,7 +105,7 @@
     opened_ms: int
     """Milliseconds since 1970."""
 
-    def is_over(self, former: UpstreamStart, later: UpstreamStart) -> bool:
+    def needs_replaced_start(self, former: UpstreamStart, later: UpstreamStart) -> bool:
         """Tell whether it needs a start that has given way to a later one."""
         return (
             former.upstream_id in self.upstream_ids and self.opened_ms < later.began_ms
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -20,17 +20,17 @@
 )
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
 from cowslipshelf_daemon.internal.control_gateway import CommandAsked
-from cowslipshelf_daemon.internal.gateway.loop_post import LoopReply
+from cowslipshelf_daemon.internal.gateway.loop_inbox import LoopReply
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_host.logs import part_logger
 
 LOG = part_logger("control_client")
 
-CHANGE_SECONDS = 3.0
+CHANGE_TIMEOUT_SECONDS = 3.0
 """Time for a change: two elections, so that one lost leader is outlasted."""
-READ_SECONDS = 0.9
+READ_TIMEOUT_SECONDS = 0.9
 """Time for a read; who asks goes to another gateway after a second."""
-READ_ASK_SECONDS = 0.3
+REPLICA_TIMEOUT_SECONDS = 0.3
 """Silence of a replica after which another one is asked."""
 
 
@@ -40,17 +40,17 @@
     def __init__(self, gateway: ActorRef, post: Post) -> None:
         self.gateway = gateway
         self.post = post
-        self.reads: dict[str, asyncio.Future[RoutesDocument]] = {}
+        self.pending_reads: dict[str, asyncio.Future[RoutesDocument]] = {}
 
     async def change(self, command: ControlCommand) -> ControlOutcome | Refusal | None:
         """Commit a command; return nothing where no answer came in time."""
         loop = asyncio.get_running_loop()
         reply = LoopReply(loop)
-        deadline = time.monotonic() + CHANGE_SECONDS
+        deadline = time.monotonic() + CHANGE_TIMEOUT_SECONDS
         submit = CommandSubmitted(uuid.uuid4().hex, encode_command(command), deadline)
         self.gateway.tell(CommandAsked(submit, reply))
         try:
-            async with asyncio.timeout(CHANGE_SECONDS + 0.5):
+            async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS + 0.5):
                 return await reply.future
         except TimeoutError:
             return None
@@ -63,15 +63,15 @@
         The replicas are asked in their order.
         Where that is what this gateway holds, only a digest of it travels.
         """
-        ends = time.monotonic() + READ_SECONDS
-        answer = await self.ask(replicas, held.version, ends)
+        ends = time.monotonic() + READ_TIMEOUT_SECONDS
+        answer = await self.ask_replicas(replicas, held.version, ends)
         if answer is None or answer.body or answer.version == NO_CONFIGURATION:
             return answer
         if (answer.version, answer.digest) == (held.version, held.digest):
             return held
-        return await self.ask(replicas, NO_CONFIGURATION, ends)
+        return await self.ask_replicas(replicas, NO_CONFIGURATION, ends)
 
-    async def ask(
+    async def ask_replicas(
         self,
         replicas: tuple[InstanceId, ...],
         have: ConfigurationVersion,
@@ -82,7 +82,7 @@
         future: asyncio.Future[RoutesDocument] = (
             asyncio.get_running_loop().create_future()
         )
-        self.reads[question] = future
+        self.pending_reads[question] = future
         began = time.monotonic()
         try:
             turn = 0
@@ -91,12 +91,12 @@
                 replica = replicas[turn % len(replicas)]
                 turn += 1
                 self.post.send_to_instance(replica, FetchRoutes(have, question))
-                done, _ = await asyncio.wait({future}, timeout=READ_ASK_SECONDS)
+                done, _ = await asyncio.wait({future}, timeout=REPLICA_TIMEOUT_SECONDS)
                 if done:
                     return future.result()
             return None
         finally:
-            del self.reads[question]
+            del self.pending_reads[question]
             LOG.info(
                 "Read ended.",
                 have=have,
@@ -106,8 +106,8 @@
                 seconds=round(time.monotonic() - began, 3),
             )
 
-    def take_answer(self, snapshot: RoutesSnapshot) -> None:
+    def record_answer(self, snapshot: RoutesSnapshot) -> None:
         """Take in a replica's answer; only a quorum's word counts."""
-        future = self.reads.get(snapshot.question)
+        future = self.pending_reads.get(snapshot.question)
         if snapshot.confirmed_by_quorum and future is not None and not future.done():
             future.set_result(snapshot.document)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -40,11 +40,11 @@
 TOO_LARGE = 413
 UNAVAILABLE = 503
 JSON = (b"content-type", b"application/json")
-MOST_PACKED_BYTES = 3 * 1024 * 1024
+MAX_COMPRESSED_BYTES = 3 * 1024 * 1024
 """Bound on a configuration as it travels: a message between gateways has 4 MiB. A
 larger one was dropped on its way without a word, and its operator heard that no replica
 answered. Some 150,000 routes of 21 bytes each, packed."""
-LOGGED_PATH = 120
+MAX_LOGGED_PATH_CHARACTERS = 120
 """Characters of a refused call's path that are logged; strangers may send any."""
 
 
@@ -74,11 +74,11 @@
             case ReadConfiguration():
                 await self.read_configuration(responder)
             case RecordHeartbeat(name):
-                await self.take_heartbeat(name, request, responder)
+                await self.record_heartbeat(name, request, responder)
             case RemoveUpstream(name):
-                await self.take_leaving(name, request, responder)
+                await self.remove_upstream(name, request, responder)
             case None:
-                await responder.whole(UNKNOWN, [])
+                await responder.respond(UNKNOWN, [])
 
     async def put_configuration(
         self, request: HttpRequest, responder: Responder
@@ -88,14 +88,14 @@
             case Err(problem):
                 LOG.warning("Configuration refused.", reason=problem)
                 body = problem.encode("utf-8", "replace")
-                await responder.whole(BAD_REQUEST, [], body)
+                await responder.respond(BAD_REQUEST, [], body)
                 return
             case Ok(read):
                 document = read.document
         outcome = self.known_outcome(document)
         if outcome is None:
-            small = document_packed(document)
-            if len(small.body) > MOST_PACKED_BYTES:
+            small = compressed_document(document)
+            if len(small.body) > MAX_COMPRESSED_BYTES:
                 await self.refuse_too_large(small, responder)
                 return
             outcome = await self.client.change(PutRoutes(small))
@@ -116,7 +116,7 @@
             detail=getattr(outcome, "detail", ""),
         )
         body = b"{}" if status == DONE else b""
-        await responder.whole(status, [JSON], body)
+        await responder.respond(status, [JSON], body)
 
     async def refuse_too_large(
         self, document: RoutesDocument, responder: Responder
@@ -124,10 +124,10 @@
         """Refuse a configuration that no message could carry."""
         problem = (
             f"packed, it takes {len(document.body)} bytes, "
-            f"and {MOST_PACKED_BYTES} at most may be sent to the replicas"
+            f"and {MAX_COMPRESSED_BYTES} at most may be sent to the replicas"
         )
         LOG.warning("Configuration refused.", version=document.version, reason=problem)
-        await responder.whole(TOO_LARGE, [], problem.encode())
+        await responder.respond(TOO_LARGE, [], problem.encode())
 
     def known_outcome(
         self, document: RoutesDocument
@@ -148,72 +148,80 @@
         document = await self.client.read(replicas, self.view.document)
         if document is None:
             LOG.warning("Read not confirmed.", replicas=len(replicas))
-            await responder.whole(UNAVAILABLE, [])
+            await responder.respond(UNAVAILABLE, [])
         elif not document.body:
-            await responder.whole(UNKNOWN, [])
+            await responder.respond(UNKNOWN, [])
         else:
-            await self.show(document, responder)
+            await self.send_configuration(document, responder)
 
-    async def show(self, document: RoutesDocument, responder: Responder) -> None:
+    async def send_configuration(
+        self, document: RoutesDocument, responder: Responder
+    ) -> None:
         """Answer with a configuration as its operator wrote it."""
         match decompress_configuration(document.body):
             case Ok(body):
-                await responder.whole(DONE, [JSON], body)
+                await responder.respond(DONE, [JSON], body)
             case Err(problem):
                 LOG.error(
                     "Configuration not understood.",
                     version=document.version,
                     reason=problem,
                 )
-                await responder.whole(UNAVAILABLE, [])
+                await responder.respond(UNAVAILABLE, [])
 
-    async def take_heartbeat(
+    async def record_heartbeat(
         self, name: UpstreamName, request: HttpRequest, responder: Responder
     ) -> None:
         """Take in a heartbeat and pass it on."""
-        read = self.dialect.read_heartbeat(name, request.body).and_then(self.own_word)
+        read = self.dialect.read_heartbeat(name, request.body).and_then(
+            self.check_heartbeat
+        )
         match read:
             case Err(problem):
-                await self.refuse_word(
+                await self.refuse_message(
                     "Heartbeat refused.", problem, request, responder
                 )
             case Ok(heartbeat):
-                news = self.view.take_heartbeat(heartbeat, 0.0)
-                self.gossip.tell_heartbeat(heartbeat, urgent=news)
-                await responder.whole(DONE, [JSON], b"{}")
+                news = self.view.record_heartbeat(heartbeat, 0.0)
+                self.gossip.forward_heartbeat(heartbeat, urgent=news)
+                await responder.respond(DONE, [JSON], b"{}")
 
-    def own_word(self, heartbeat: UpstreamHeartbeat) -> Result[UpstreamHeartbeat, str]:
+    def check_heartbeat(
+        self, heartbeat: UpstreamHeartbeat
+    ) -> Result[UpstreamHeartbeat, str]:
         """Pass on a heartbeat that may be its upstream's own, or say why it can't."""
-        problem = self.view.foreign_heartbeat(heartbeat)
+        problem = self.view.heartbeat_problem(heartbeat)
         return Ok(heartbeat) if problem is None else Err(problem)
 
-    async def take_leaving(
+    async def remove_upstream(
         self, name: UpstreamName, request: HttpRequest, responder: Responder
     ) -> None:
         """Take an upstream out for good, and tell the others."""
         match self.dialect.read_leaving(request.body):
             case Err(problem):
-                await self.refuse_word("Leaving refused.", problem, request, responder)
+                await self.refuse_message(
+                    "Leaving refused.", problem, request, responder
+                )
             case Ok(began_ms):
-                seen = self.view.take_leaving(name, began_ms)
-                self.gossip.tell_heartbeat(seen.with_start_id, urgent=True)
-                await responder.whole(DONE, [JSON], b"{}")
+                seen = self.view.remove_upstream(name, began_ms)
+                self.gossip.forward_heartbeat(seen.with_start_id, urgent=True)
+                await responder.respond(DONE, [JSON], b"{}")
 
-    async def refuse_word(
+    async def refuse_message(
         self, event: str, problem: str, request: HttpRequest, responder: Responder
     ) -> None:
         """Answer word of an upstream that can't be believed; it changes nothing."""
         LOG.warning(
             event,
             peer=request.peer,
-            path=request.path[:LOGGED_PATH],
+            path=request.path[:MAX_LOGGED_PATH_CHARACTERS],
             reason=problem,
         )
         self.metrics.count("cowslipshelf_refused_words_total")
-        await responder.whole(BAD_REQUEST, [], problem.encode("utf-8", "replace"))
+        await responder.respond(BAD_REQUEST, [], problem.encode("utf-8", "replace"))
 
 
-def document_packed(document: RoutesDocument) -> RoutesDocument:
+def compressed_document(document: RoutesDocument) -> RoutesDocument:
     """Return a configuration as it travels and is held."""
     return RoutesDocument(
         document.version, document.digest, compress_configuration(document.body)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -17,12 +17,12 @@
 
 LOG = part_logger("engine_memory")
 
-ORDER_SECONDS = 0.8
+ORDER_TIMEOUT_SECONDS = 0.8
 """Time for an engine to answer an order or a question, which needs no slot."""
-RELEASE_TRIES = 2
+RELEASE_ATTEMPTS = 2
 
 
-def ignore_lapse(_reason: str) -> None:
+def ignore_expiry(_reason: str) -> None:
     """Do nothing where memory lapses before a request uses it."""
 
 
@@ -31,7 +31,7 @@
     """Be what was reserved for one prompt."""
 
     granted: bool
-    on_lapse: Callable[[str], None] = ignore_lapse
+    on_expiry: Callable[[str], None] = ignore_expiry
     """Ends the request, whose memory is not renewed any more."""
 
 
@@ -71,7 +71,7 @@
         finally:
             if renewing is not None:
                 renewing.cancel()
-            self.release_soon(tickets)
+            self.release_in_background(tickets)
 
     async def renew(
         self,
@@ -90,7 +90,7 @@
         while True:
             due = max(due + lease.config.renew_seconds, now)
             await asyncio.sleep(due - now)
-            await self.ask_for_life(user, lease)
+            await self.probe_engine(user, lease)
             now = time.monotonic()
             if not lease.hold_seconds(now):
                 break
@@ -102,9 +102,9 @@
             upstream=user.upstream_id,
             silent_seconds=round(now - lease.heard_at, 3),
         )
-        memory.on_lapse("its engine gives no sign of life")
+        memory.on_expiry("its engine gives no sign of life")
 
-    async def ask_for_life(self, user: UpstreamHeartbeat, lease: MemoryLease) -> None:
+    async def probe_engine(self, user: UpstreamHeartbeat, lease: MemoryLease) -> None:
         """Ask an engine for a sign of life.
 
         Its heartbeats are none: they come by way of other gateways and seconds late,
@@ -116,7 +116,7 @@
         if status is not None and status < HTTPStatus.MULTIPLE_CHOICES:
             lease.record_alive(asked_at)
 
-    def release_soon(self, tickets: tuple[MemoryTicket, ...]) -> None:
+    def release_in_background(self, tickets: tuple[MemoryTicket, ...]) -> None:
         """Give memory back in a task of its own, which a caller's leaving spares."""
         for ticket in tickets:
             task = asyncio.create_task(self.release(ticket))
@@ -134,18 +134,20 @@
     async def reserve(self, ticket: MemoryTicket, seconds: float) -> bool:
         """Reserve memory on one engine; return whether it is held."""
         request = self.dialect.reserve_memory(ticket, seconds)
-        status = await self.order(ticket, request)
+        status = await self.send_order(ticket, request)
         return status is not None and self.dialect.is_memory_granted(status)
 
     async def release(self, ticket: MemoryTicket) -> None:
         """Give memory back; an engine that does not hear it takes it back by itself."""
         request = self.dialect.release_memory(ticket)
-        for _ in range(RELEASE_TRIES):
-            if await self.order(ticket, request) is not None:
+        for _ in range(RELEASE_ATTEMPTS):
+            if await self.send_order(ticket, request) is not None:
                 return
         LOG.warning("Memory not released.", ticket=ticket.name, peer=ticket.address)
 
-    async def order(self, ticket: MemoryTicket, request: OutgoingRequest) -> int | None:
+    async def send_order(
+        self, ticket: MemoryTicket, request: OutgoingRequest
+    ) -> int | None:
         """Give an order on some memory; return the answer's status, if any came."""
         status = await self.exchange(ticket.upstream_id, ticket.address, request)
         if status is None:
@@ -159,8 +161,8 @@
         connection = None
         answered = False
         try:
-            async with asyncio.timeout(ORDER_SECONDS):
-                connection = await self.pool.take(upstream_id, address, fresh=False)
+            async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
+                connection = await self.pool.acquire(upstream_id, address, fresh=False)
                 connection.send(request)
                 head = await connection.head()
                 await connection.whole_body()
@@ -177,6 +179,6 @@
             return None
         finally:
             if connection is not None and answered:
-                self.pool.give_back(upstream_id, connection)
+                self.pool.release(upstream_id, connection)
             elif connection is not None:
                 connection.abort()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/event_stream.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/event_stream.py
@@ -7,7 +7,7 @@
 LINE_ENDS = (b"\r\n\r\n", b"\n\n", b"\r\r")
 
 
-class StreamPiece(NamedTuple):
+class EventBatch(NamedTuple):
     """Be some whole events, with the id of the last one that had any."""
 
     data: bytes
@@ -15,38 +15,38 @@
 
 
 @dataclass(slots=True)
-class EventCutter:
+class EventSplitter:
     """Hold back the bytes of an event until it is whole.
 
     An upstream may stop in the middle of an event. Its first half must not reach the
     caller, since the upstream that resumes the stream sends the whole event.
     """
 
-    held: bytearray = field(default_factory=bytearray)
+    buffer: bytearray = field(default_factory=bytearray)
 
-    def take(self, data: bytes) -> StreamPiece | None:
+    def feed(self, data: bytes) -> EventBatch | None:
         """Take bytes, and return the events that they complete."""
         # The blank line that ends an event may begin in what is held already.
-        begin = max(0, len(self.held) - len(LINE_ENDS[0]))
-        self.held += data
+        begin = max(0, len(self.buffer) - len(LINE_ENDS[0]))
+        self.buffer += data
         end = max(
             (
-                self.held.rfind(mark, begin) + len(mark)
+                self.buffer.rfind(mark, begin) + len(mark)
                 for mark in LINE_ENDS
-                if self.held.rfind(mark, begin) >= 0
+                if self.buffer.rfind(mark, begin) >= 0
             ),
             default=0,
         )
         if end == 0:
             return None
-        whole = bytes(self.held[:end])
-        del self.held[:end]
-        return StreamPiece(whole, last_event_id(whole))
+        whole = bytes(self.buffer[:end])
+        del self.buffer[:end]
+        return EventBatch(whole, last_event_id(whole))
 
-    def rest(self) -> bytes:
+    def take_rest(self) -> bytes:
         """Return what is left at the end of a stream that is complete."""
-        rest = bytes(self.held)
-        self.held.clear()
+        rest = bytes(self.buffer)
+        self.buffer.clear()
         return rest
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -40,15 +40,15 @@
 )
 from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.settings import GatewaySettings
-from cowslipshelf_daemon.internal.gateway.time_of_day import unix_milliseconds
+from cowslipshelf_daemon.internal.gateway.unix_time import unix_milliseconds
 from cowslipshelf_host.logs import part_logger
 
 LOG = part_logger("fleet_view")
 
-HEARTBEATS_MISSED = 4
+MAX_MISSED_HEARTBEATS = 4
 """Heartbeats of an upstream that may be missed. They come late by seconds at times;
 an upstream that is dead shows sooner, by a connection that fails."""
-RECALLED_SECONDS = 2.5
+RESTORED_SECONDS = 2.5
 """Time for which upstreams known before a restart count: two heartbeats, and the time
 that an upstream takes to find a gateway that answers again."""
 NO_DOCUMENT = RoutesDocument(RouteConfiguration(0).version, "", b"")
@@ -61,26 +61,26 @@
     settings: GatewaySettings
     registry: UpstreamRegistry
     peers: PeerTable
-    budget: ServiceRetryBudget
-    tell_work: Callable[[WorkChanged], None]
+    retry_budget: ServiceRetryBudget
+    on_work_changed: Callable[[WorkChanged], None]
     """Tells the other gateways; set once the process is put together."""
-    drop_start: Callable[[UpstreamStart, UpstreamStart], None]
+    on_start_replaced: Callable[[UpstreamStart, UpstreamStart], None]
     """Ends what is open at a start that gave way to a later one; set likewise."""
-    board: EngineTracker = field(default_factory=EngineTracker)
+    engines: EngineTracker = field(default_factory=EngineTracker)
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
-    times: AnswerTimes = field(default_factory=AnswerTimes)
-    running: dict[UpstreamId, int] = field(default_factory=dict)
+    answer_times: AnswerTimes = field(default_factory=AnswerTimes)
+    open_requests: dict[UpstreamId, int] = field(default_factory=dict)
     """Requests that this gateway has at each upstream."""
     random: Random = field(default_factory=Random)
     table: RouteTable | None = None
     document: RoutesDocument = NO_DOCUMENT
-    learned: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
     """Set when a first configuration or an upstream comes; replaced each time."""
 
     @classmethod
     def from_settings(cls, settings: GatewaySettings) -> Self:
         """Begin with no beliefs."""
-        silence = HEARTBEATS_MISSED * settings.upstream_heartbeat_seconds
+        silence = MAX_MISSED_HEARTBEATS * settings.upstream_heartbeat_seconds
         return cls(
             settings,
             UpstreamRegistry.from_config(RegistryConfig(silence)),
@@ -94,18 +94,18 @@
                     settings.data_folder is not None,
                 )
             ),
-            ServiceRetryBudget.from_config(budget_config(settings)),
-            tell_work=lambda _changed: None,
-            drop_start=lambda _former, _later: None,
+            ServiceRetryBudget.from_config(retry_budget_config(settings)),
+            on_work_changed=lambda _changed: None,
+            on_start_replaced=lambda _former, _later: None,
         )
 
     def use_settings(self, settings: GatewaySettings) -> None:
         """Take over new settings; addresses and the data folder stay as they were."""
         self.settings = settings
         self.peers.seeds = settings.seeds
-        self.budget.config = budget_config(settings)
+        self.retry_budget.config = retry_budget_config(settings)
 
-    def put_in_force(
+    def apply_configuration(
         self, document: RoutesDocument, configuration: RouteConfiguration
     ) -> bool:
         """Put a newer configuration in force; return whether it is newer.
@@ -118,8 +118,10 @@
         before = self.document.version
         self.document = document
         self.table = RouteTable.from_configuration(configuration)
-        self.times.answered_routes &= {route.name for route in configuration.routes}
-        self.wake_waiting()
+        self.answer_times.answered_routes &= {
+            route.name for route in configuration.routes
+        }
+        self.notify_waiters()
         LOG.info(
             "Configuration in force.",
             version=document.version,
@@ -134,12 +136,12 @@
         now = time.monotonic()
         return bool(self.peers.peers_with_newer(self.document.version, now))
 
-    def take_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
+    def record_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
         """Take in an upstream's heartbeat; return whether its phase is news."""
         known = self.registry.latest_start(heartbeat.upstream_id)
         changed = self.registry.record(heartbeat, time.monotonic() - age)
         if changed:
-            self.wake_waiting()
+            self.notify_waiters()
             LOG.info(
                 "Upstream changed.",
                 upstream=heartbeat.upstream_id,
@@ -150,10 +152,10 @@
                 age_seconds=round(age, 3),
             )
         if known is not None:
-            self.forget_if_over(known, heartbeat, age)
+            self.forget_replaced_start(known, heartbeat, age)
         return changed
 
-    def forget_if_over(
+    def forget_replaced_start(
         self, former: KnownUpstream, heartbeat: UpstreamHeartbeat, age: float
     ) -> None:
         """Forget all that is believed of a start, if it gave way to a later one.
@@ -178,9 +180,9 @@
             sequence=heartbeat.sequence,
             age_seconds=round(age, 3),
         )
-        self.drop_start(former.start, UpstreamStart.of(heartbeat.upstream_id))
+        self.on_start_replaced(former.start, UpstreamStart.of(heartbeat.upstream_id))
 
-    def foreign_heartbeat(self, heartbeat: UpstreamHeartbeat) -> str | None:
+    def heartbeat_problem(self, heartbeat: UpstreamHeartbeat) -> str | None:
         """Say why a heartbeat can't be the upstream's own, if that is plain.
 
         Somebody else may write under the id of a sound upstream; taken in, that would
@@ -198,7 +200,7 @@
             return "the time of the start is missing, and was told before"
         return None
 
-    def take_leaving(self, name: UpstreamName, began_ms: int) -> HeartbeatSeen:
+    def remove_upstream(self, name: UpstreamName, began_ms: int) -> HeartbeatSeen:
         """Take an upstream out for good; return what to tell the other gateways.
 
         Where the start is not told, the latest one leaves; one that was never heard of
@@ -212,18 +214,18 @@
             start = UpstreamStart(name, unix_milliseconds())
         seen = self.registry.leave(start, time.monotonic())
         if known is not None:
-            self.forget_if_over(known, seen.with_start_id, 0.0)
+            self.forget_replaced_start(known, seen.with_start_id, 0.0)
         LOG.info(
             "Upstream left.", upstream=start.upstream_id, told=began_ms != START_UNKNOWN
         )
         return seen
 
-    def wake_waiting(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake the requests that wait for what this gateway has yet to learn."""
-        self.learned.set()
-        self.learned = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
 
-    async def wait_to_learn(self, known: Callable[[], bool], seconds: float) -> bool:
+    async def wait_until(self, known: Callable[[], bool], seconds: float) -> bool:
         """Wait until something is known, for a time at most; return whether it is.
 
         A gateway that has just started learns its configuration and its upstreams
@@ -232,40 +234,40 @@
         try:
             async with asyncio.timeout(seconds):
                 while not known():
-                    await self.learned.wait()
+                    await self.changed.wait()
         except TimeoutError:
             return known()
         return True
 
-    def take_heartbeats(self, message: HeartbeatsSeen) -> None:
+    def record_heartbeats(self, message: HeartbeatsSeen) -> None:
         """Take in heartbeats that another gateway passes on."""
         for seen in message.seen:
-            self.take_heartbeat(seen.with_start_id, seen.age_seconds)
+            self.record_heartbeat(seen.with_start_id, seen.age_seconds)
 
-    def take_work(self, owner: InstanceId, message: WorkChanged) -> None:
+    def record_work(self, owner: InstanceId, message: WorkChanged) -> None:
         """Take in what another gateway does on engines."""
         now = time.monotonic()
         for work in message.begun:
-            self.board.begin(work, owner, now)
+            self.engines.begin(work, owner, now)
         for attempt_id in message.first_tokens:
-            self.board.first_token(attempt_id, now)
+            self.engines.first_token(attempt_id, now)
         for attempt_id in message.ended:
-            self.board.end(attempt_id, now)
+            self.engines.end(attempt_id, now)
 
     def begin_work(self, work: EngineWork) -> None:
         """Note work that this gateway places, and tell the others."""
-        self.board.begin(work, self.settings.instance, time.monotonic())
-        self.tell_work(WorkChanged(begun=(work,)))
+        self.engines.begin(work, self.settings.instance, time.monotonic())
+        self.on_work_changed(WorkChanged(begun=(work,)))
 
     def first_token(self, attempt_id: AttemptId) -> None:
         """Note a first token, and tell the others."""
-        self.board.first_token(attempt_id, time.monotonic())
-        self.tell_work(WorkChanged(first_tokens=(attempt_id,)))
+        self.engines.first_token(attempt_id, time.monotonic())
+        self.on_work_changed(WorkChanged(first_tokens=(attempt_id,)))
 
     def end_work(self, attempt_id: AttemptId) -> None:
         """Note the end of work, and tell the others."""
-        self.board.end(attempt_id, time.monotonic())
-        self.tell_work(WorkChanged(ended=(attempt_id,)))
+        self.engines.end(attempt_id, time.monotonic())
+        self.on_work_changed(WorkChanged(ended=(attempt_id,)))
 
     def upstreams_of(self, service: ServiceName) -> list[UpstreamHeartbeat]:
         """List the upstreams of a service that take new work."""
@@ -287,9 +289,9 @@
         service = None if known is None else services.get(known.heartbeat.service)
         if service is None:
             return 1
-        return max(1, service.max_connections // (2 * self.gateways()))
+        return max(1, service.max_connections // (2 * self.gateway_count()))
 
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """Return how many gateways there seem to be, this one included."""
         return len(self.peers.alive(time.monotonic())) + 1
 
@@ -299,33 +301,35 @@
         for upstream_id in self.registry.forget_old(now):
             self.forget_upstream(upstream_id)
         self.peers.forget_old(now)
-        forgotten = self.board.forget_old(now)
+        forgotten = self.engines.forget_old(now)
         if forgotten:
             LOG.warning("Work forgotten whose end was not told.", attempts=forgotten)
 
     def forget_upstream(self, upstream_id: UpstreamId) -> None:
         """Forget what was learned of an upstream; attempts there end by themselves."""
         self.health.forget(upstream_id)
-        self.board.forget_engine(upstream_id)
+        self.engines.forget_engine(upstream_id)
 
-    def request_begins(self, upstream_id: UpstreamId) -> None:
+    def request_started(self, upstream_id: UpstreamId) -> None:
         """Count a request that this gateway has at an upstream."""
-        self.running[upstream_id] = self.running.get(upstream_id, 0) + 1
+        self.open_requests[upstream_id] = self.open_requests.get(upstream_id, 0) + 1
 
-    def request_ends(self, upstream_id: UpstreamId) -> None:
+    def request_ended(self, upstream_id: UpstreamId) -> None:
         """Count it no longer; the last one leaves nothing behind."""
-        self.running[upstream_id] -= 1
-        if not self.running[upstream_id]:
-            del self.running[upstream_id]
+        self.open_requests[upstream_id] -= 1
+        if not self.open_requests[upstream_id]:
+            del self.open_requests[upstream_id]
 
-    def recall(self, seen: tuple[HeartbeatSeen, ...]) -> None:
+    def restore(self, seen: tuple[HeartbeatSeen, ...]) -> None:
         """Take upstreams known before a restart for there, until they are silent."""
         silence = self.registry.config.silence_seconds
-        recent = max(0.0, silence - RECALLED_SECONDS)
+        recent = max(0.0, silence - RESTORED_SECONDS)
         for each in seen:
-            self.take_heartbeat(each.with_start_id, recent)
+            self.record_heartbeat(each.with_start_id, recent)
 
-    def seen_of(self, upstream_ids: Iterable[UpstreamId]) -> tuple[HeartbeatSeen, ...]:
+    def heartbeats_of(
+        self, upstream_ids: Iterable[UpstreamId]
+    ) -> tuple[HeartbeatSeen, ...]:
         """List the newest heartbeats of some upstreams."""
         return self.registry.heartbeats_of(upstream_ids, time.monotonic())
 
@@ -334,7 +338,7 @@
         return self.registry.all_heartbeats(time.monotonic())
 
 
-def budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
+def retry_budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
     """Return the allowance of repeats that the settings give."""
     return ServiceRetryBudgetConfig(
         settings.retry_budget_window_seconds,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -36,26 +36,26 @@
 
 LOG = part_logger("gossip")
 
-ALIVE_SECONDS = 0.5
+ALIVE_INTERVAL_SECONDS = 0.5
 """Pause between two words that this gateway is there, in its own data centre; others
 get every second one. Heartbeats of upstreams are collected for as long: they come each
 second or so from every upstream, and few are news."""
-PEERS_TOLD_EACH = 10
+PEER_LIST_INTERVAL = 10
 """Words of which one lists the other gateways. Who is new gets a list at once; this
 one joins groups that never heard of each other."""
 WORK_BATCH_SECONDS = 0.005
 """Time for which changes of work are collected; as long as a message travels."""
-URGENT_REPEATS = 3
+URGENT_SENDS = 3
 """Times that news of an upstream is told: a message may be lost, and an upstream that
 leaves must get no new work two seconds later."""
-REGULARLY_TOLD = 200
+MAX_SUSPECTS_PER_SYNC = 200
 """Suspects that one gateway is told by turns, whatever it knows: some 25 kB."""
-FULL_SECONDS = 4.0
+FULL_SYNC_SECONDS = 4.0
 """Pause between two whole lists of upstreams, each to one other gateway by turns. A
 gateway that starts or was cut off gets one at once, and what was lost otherwise is
 told again by the next heartbeat."""
 
-Spread = HeartbeatsSeen | SuspectRequestsTold | WorkChanged
+Broadcast = HeartbeatsSeen | SuspectRequestsTold | WorkChanged
 """What is told to far gateways by way of one in their data centre."""
 
 
@@ -74,25 +74,25 @@
         self.post = post
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams that were heard and are to be told of."""
-        self.urgent: RepeatedNews[UpstreamId] = RepeatedNews()
-        self.progress = WorkGapDetector()
+        self.urgent_upstreams: RepeatedNews[UpstreamId] = RepeatedNews()
+        self.work_gaps = WorkGapDetector()
         self.work_number = 0
-        self.words = 0
+        self.ticks = 0
         self.begun: list = []
         self.first_tokens: list = []
         self.ended: list = []
         self.work_due = False
         instance = view.settings.instance
-        self.suspects = SuspectRequests(instance, metrics, self.tell_suspect)
+        self.suspects = SuspectRequests(instance, metrics, self.queue_suspect)
         self.changed_suspects: set[RequestDigest] = set()
         """Suspects of whom there is news that was not told yet."""
         self.urgent_suspects: RepeatedNews[RequestDigest] = RepeatedNews()
-        self.routes = RoutesExchange(view, post, client, dialect, self.tell_alive)
-        self.turn = 0
+        self.routes = RoutesExchange(view, post, client, dialect, self.send_alive)
+        self.sync_turn = 0
 
     # Telling.
 
-    def tell_all(self, message: Message) -> None:
+    def send_to_all(self, message: Message) -> None:
         """Send to every other gateway that was heard of lately."""
         self.send_to(self.view.peers.alive(time.monotonic()), message)
 
@@ -105,7 +105,7 @@
         settings = self.view.settings
         self.post.send_to_all([settings.peer_address(p) for p in peers], message)
 
-    def spread(self, message: Spread, turn: int) -> None:
+    def broadcast(self, message: Broadcast, turn: int) -> None:
         """Send to every other gateway, to far ones by way of one in each data centre.
 
         Told to each of them, messages about work and heartbeats were nearly all bytes
@@ -119,17 +119,17 @@
 
     def tick(self) -> None:
         """Tell what is told at regular times."""
-        self.words += 1
-        self.tell_alive(near_only=self.words % 2 == 1)
+        self.ticks += 1
+        self.send_alive(local_only=self.ticks % 2 == 1)
         self.flush_heartbeats()
-        self.repeat_suspects()
+        self.resend_suspects()
 
-    def tell_alive(self, near_only: bool = False) -> None:
+    def send_alive(self, local_only: bool = False) -> None:
         """Say that this gateway is there, to all that it knows and to the seeds."""
         peers = self.view.peers
-        message = self.alive_message(self.words % PEERS_TOLD_EACH == 0)
+        message = self.alive_message(self.ticks % PEER_LIST_INTERVAL == 0)
         self.send_to(
-            peers.local_targets() if near_only else peers.gossip_targets(), message
+            peers.local_targets() if local_only else peers.gossip_targets(), message
         )
 
     def alive_message(self, with_peers: bool) -> PeerAlive:
@@ -139,12 +139,12 @@
             held.version, len(held.body), self.work_number, with_peers
         )
 
-    def tell_heartbeat(self, heartbeat: UpstreamHeartbeat, urgent: bool) -> None:
+    def forward_heartbeat(self, heartbeat: UpstreamHeartbeat, urgent: bool) -> None:
         """Pass a heartbeat on, soon, or at once and more than once."""
         if urgent:
             seen = HeartbeatSeen.from_heartbeat(heartbeat, 0.0)
-            self.tell_all(HeartbeatsSeen((seen,)))
-            self.urgent.add((heartbeat.upstream_id,), URGENT_REPEATS - 1)
+            self.send_to_all(HeartbeatsSeen((seen,)))
+            self.urgent_upstreams.add((heartbeat.upstream_id,), URGENT_SENDS - 1)
         else:
             self.heartbeats.add(heartbeat.upstream_id)
 
@@ -154,15 +154,15 @@
         The way changes each time: one that lost them would hide the upstreams that
         are heard here from a whole data centre.
         """
-        collected = self.view.seen_of(self.heartbeats)
+        collected = self.view.heartbeats_of(self.heartbeats)
         self.heartbeats = set()
         if collected:
-            self.spread(HeartbeatsSeen(collected), self.words)
-        news = self.view.seen_of(self.urgent.take())
+            self.broadcast(HeartbeatsSeen(collected), self.ticks)
+        news = self.view.heartbeats_of(self.urgent_upstreams.take())
         if news:
-            self.tell_all(HeartbeatsSeen(news))
+            self.send_to_all(HeartbeatsSeen(news))
 
-    def tell_suspect(self, digest: RequestDigest) -> None:
+    def queue_suspect(self, digest: RequestDigest) -> None:
         """Collect news of a suspect for a moment, then tell it."""
         if not self.changed_suspects:
             loop = asyncio.get_running_loop()
@@ -177,19 +177,19 @@
         quarantine = self.suspects.quarantine
         changed, self.changed_suspects = self.changed_suspects, set()
         urgent = frozenset(filter(quarantine.is_urgent, changed))
-        self.urgent_suspects.add(urgent, URGENT_REPEATS - 1)
+        self.urgent_suspects.add(urgent, URGENT_SENDS - 1)
         if urgent:
-            self.tell_all(self.suspects.told(urgent))
+            self.send_to_all(self.suspects.told(urgent))
         if changed - urgent:
-            self.spread(self.suspects.told(changed - urgent), self.words)
+            self.broadcast(self.suspects.told(changed - urgent), self.ticks)
 
-    def repeat_suspects(self) -> None:
+    def resend_suspects(self) -> None:
         """Tell urgent news of suspects again."""
         repeated = self.urgent_suspects.take()
         if repeated:
-            self.tell_all(self.suspects.told(repeated))
+            self.send_to_all(self.suspects.told(repeated))
 
-    def tell_work(self, changed: WorkChanged) -> None:
+    def queue_work(self, changed: WorkChanged) -> None:
         """Collect a change of work for a moment, then tell it."""
         self.begun += changed.begun
         self.first_tokens += changed.first_tokens
@@ -213,25 +213,25 @@
             self.work_number,
         )
         self.begun, self.first_tokens, self.ended = [], [], []
-        self.spread(message, 0)
+        self.broadcast(message, 0)
 
     def tell_everything(self) -> None:
         """Tell one other gateway, by turns, all upstreams."""
         peers = self.view.peers.alive(time.monotonic())
         if peers:
-            self.turn += 1
-            peer = peers[self.turn % len(peers)]
-            self.tell_upstreams(peer)
-            self.send_suspects(peer, self.suspects.told_worst(REGULARLY_TOLD))
+            self.sync_turn += 1
+            peer = peers[self.sync_turn % len(peers)]
+            self.send_upstreams(peer)
+            self.send_suspects(peer, self.suspects.told_worst(MAX_SUSPECTS_PER_SYNC))
 
-    def tell_upstreams(self, peer: InstanceId) -> None:
+    def send_upstreams(self, peer: InstanceId) -> None:
         """Tell one gateway all upstreams."""
         self.send(peer, HeartbeatsSeen(self.view.all_heartbeats()))
 
-    def tell_everything_to(self, peer: InstanceId) -> None:
+    def send_full_state(self, peer: InstanceId) -> None:
         """Tell one gateway all upstreams, and what this one has on engines."""
-        self.tell_upstreams(peer)
-        self.tell_work_held(peer)
+        self.send_upstreams(peer)
+        self.send_work_snapshot(peer)
         self.send_suspects(peer, self.suspects.told_all())
 
     def send_suspects(self, peer: InstanceId, message: SuspectRequestsTold) -> None:
@@ -239,10 +239,10 @@
         if message.suspects:
             self.send(peer, message)
 
-    def tell_work_held(self, peer: InstanceId) -> None:
+    def send_work_snapshot(self, peer: InstanceId) -> None:
         """Tell one gateway all that this one has on engines."""
         own, now = self.view.settings.instance, time.monotonic()
-        self.send(peer, self.view.board.snapshot_of(own, now, self.work_number))
+        self.send(peer, self.view.engines.snapshot_of(own, now, self.work_number))
 
     # Taking in.
 
@@ -250,58 +250,58 @@
         """Take in a message from another gateway, or from this one's replica."""
         match delivered.message:
             case PeerAlive() as alive:
-                self.heard(delivered, alive)
+                self.record_alive(delivered, alive)
             case Relayed(origin=origin, message=message) as relayed:
-                self.take_spread(origin, message)
+                self.handle_broadcast(origin, message)
                 if relayed.pass_on:
-                    self.pass_on(delivered.sender, relayed)
+                    self.relay(delivered.sender, relayed)
             case HeartbeatsSeen() | WorkChanged() | SuspectRequestsTold() as message:
-                self.take_spread(delivered.sender, message)
+                self.handle_broadcast(delivered.sender, message)
             case WorkHeld(number=number) as message:
-                if self.progress.record_snapshot(delivered.sender, number):
+                if self.work_gaps.record_snapshot(delivered.sender, number):
                     now = time.monotonic()
-                    self.view.board.replace(delivered.sender, message, now)
+                    self.view.engines.replace(delivered.sender, message, now)
             case FetchWork():
-                self.tell_work_held(delivered.sender)
+                self.send_work_snapshot(delivered.sender)
             case FetchRoutes() as question:
                 self.routes.answer(delivered.sender_address, question)
             case RoutesSnapshot() as snapshot:
-                self.routes.take_snapshot(delivered.sender, snapshot)
+                self.routes.receive_snapshot(delivered.sender, snapshot)
 
-    def take_spread(self, origin: InstanceId, message: Spread) -> None:
+    def handle_broadcast(self, origin: InstanceId, message: Broadcast) -> None:
         """Take in what a gateway tells all others."""
         match message:
             case SuspectRequestsTold():
                 self.suspects.take(origin, message)
             case HeartbeatsSeen():
-                self.view.take_heartbeats(message)
+                self.view.record_heartbeats(message)
             case WorkChanged(number=number):
-                self.progress.record_change(origin, number)
-                self.view.take_work(origin, message)
+                self.work_gaps.record_change(origin, number)
+                self.view.record_work(origin, message)
 
-    def pass_on(self, sender: InstanceId, relayed: Relayed) -> None:
+    def relay(self, sender: InstanceId, relayed: Relayed) -> None:
         """Pass a message on in this data centre."""
         onward = Relayed(relayed.origin, relayed.message, False)
         neighbours = self.view.peers.local_peers(time.monotonic())
         known = (sender, relayed.origin)
         self.send_to([peer for peer in neighbours if peer not in known], onward)
 
-    def heard(self, delivered: Delivered, alive: PeerAlive) -> None:
+    def record_alive(self, delivered: Delivered, alive: PeerAlive) -> None:
         """Note a gateway, and ask it for a newer configuration."""
         now = time.monotonic()
         sender = delivered.sender
         news = self.view.peers.record_alive(sender, alive, now)
         if news is PeerChange.RESTARTED:
-            self.view.board.forget_owner(sender, now)
-            self.progress.forget(sender)
+            self.view.engines.forget_owner(sender, now)
+            self.work_gaps.forget(sender)
             self.routes.fetch.restarted(sender, now)
         if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
             self.post.learn(sender, self.view.settings.peer_address(sender))
             # One that has just started waits for the configuration to serve at all.
             self.send(sender, self.alive_message(True))
-            self.tell_everything_to(sender)
-        if self.progress.has_gap(sender, alive.work_number):
+            self.send_full_state(sender)
+        if self.work_gaps.has_gap(sender, alive.work_number):
             LOG.info("Word of work was lost.", peer=sender, told=alive.work_number)
             self.send(sender, FetchWork())
         if alive.routes_version > self.view.document.version:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/hint_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/hint_file.py
@@ -24,7 +24,7 @@
         self.path = Path(folder) / name
         self.document_type = document_type
         self.writing: asyncio.Future[None] | None = None
-        self.written: Hashable = None
+        self.written_key: Hashable = None
         """Stands for what was written last."""
         self.written_at = -math.inf
 
@@ -43,17 +43,17 @@
         """Tell whether a write is under way."""
         return self.writing is not None and not self.writing.done()
 
-    def begin_write(self, document: Document, stands_for: Hashable) -> None:
+    def begin_write(self, document: Document, key: Hashable) -> None:
         """Write on another thread: a disk that hangs must not hold up requests."""
         data = msgspec.msgpack.encode(document)
         loop = asyncio.get_running_loop()
-        self.writing = loop.run_in_executor(None, self.write, data, stands_for)
+        self.writing = loop.run_in_executor(None, self.write, data, key)
 
-    def write(self, data: bytes, stands_for: Hashable) -> None:
+    def write(self, data: bytes, key: Hashable) -> None:
         """Replace the file."""
         try:
             replace_file(self.path, data)
         except OSError as error:
             LOG.warning("Hints not written.", path=str(self.path), error=str(error))
             return
-        self.written, self.written_at = stands_for, time.monotonic()
+        self.written_key, self.written_at = key, time.monotonic()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
@@ -16,7 +16,7 @@
 
 READ_AHEAD_BYTES = 262_144
 """Bytes taken from a caller that are not asked for yet; more stay in its socket."""
-CLOSE_SECONDS = 2.0
+CLOSE_TIMEOUT_SECONDS = 2.0
 """Time for a caller to take the last answer before its connection is dropped."""
 
 
@@ -51,12 +51,12 @@
         self.begun = False
         self.ended = False
 
-    async def whole(self, status: int, headers: Headers, body: bytes = b"") -> None:
+    async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
         """Send a whole answer."""
         length = (b"content-length", str(len(body)).encode())
         framed = [pair for pair in headers if pair[0] != b"content-length"]
         self.begin(status, [*framed, length])
-        await self.piece(body)
+        await self.write(body)
         await self.end()
 
     def begin(self, status: int, headers: Headers) -> None:
@@ -67,7 +67,7 @@
         response = h11.Response(status_code=status, headers=headers)
         self.connection.send(response)
 
-    async def piece(self, data: bytes) -> None:
+    async def write(self, data: bytes) -> None:
         """Send a piece of the body, and wait while the caller is behind."""
         if data and self.connection.method != "HEAD":
             self.connection.send(h11.Data(data=data))
@@ -88,12 +88,12 @@
         name: str,
         handler: Handler,
         limits: Callable[[], CallerLimits],
-        most_connections: int,
+        max_connections: int,
     ) -> None:
         self.name = name
         self.handler = handler
         self.limits = limits
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.connections: set[HttpConnection] = set()
         self.closing = False
         self.server: asyncio.Server | None = None
@@ -159,7 +159,7 @@
         self.transport = transport  # type: ignore[assignment]
         peer = transport.get_extra_info("peername")
         self.peer = f"{peer[0]}:{peer[1]}" if peer else ""
-        if len(self.server.connections) >= self.server.most_connections:
+        if len(self.server.connections) >= self.server.max_connections:
             # Beyond the descriptors that the process may open, accepting fails for
             # everybody; one connection is dropped instead.
             LOG.warning("Connection dropped.", server=self.server.name, reason="full")
@@ -177,16 +177,16 @@
 
     def eof_received(self) -> bool:
         """Take the end of what the caller sends as its leaving."""
-        self.leave()
+        self.caller_left()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stop the work for a caller that has gone, which is no failure of ours."""
         LOG.debug("Connection lost.", peer=self.peer, error=str(exc))
         self.server.connections.discard(self)
-        self.leave()
+        self.caller_left()
 
-    def leave(self) -> None:
+    def caller_left(self) -> None:
         """End the task: nobody waits for what it does any more."""
         self.ended = True
         self.arrived.set()
@@ -339,7 +339,7 @@
         LOG.info("Request not read.", peer=self.peer, status=status)
         self.close_after = True
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await Responder(self).whole(status, [])
+            await Responder(self).respond(status, [])
 
     def send(self, event: h11.Event) -> None:
         """Write an event."""
@@ -357,7 +357,7 @@
         if self.transport.is_closing():
             return
         self.close()
-        await asyncio.sleep(CLOSE_SECONDS)
+        await asyncio.sleep(CLOSE_TIMEOUT_SECONDS)
         self.abort()
 
     def close(self) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -23,15 +23,15 @@
 from cowslipshelf_core.identifiers import AttemptId, ServiceName, UpstreamId
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 
-RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 """Pause told to a caller where no upstream is known: a heartbeat's time."""
 
 
-class Patience(NamedTuple):
+class SilenceLimits(NamedTuple):
     """Bound the silences of one attempt, in seconds, where there is a bound."""
 
-    first: float | None = None
-    between: float | None = None
+    first_event_seconds: float | None = None
+    between_events_seconds: float | None = None
 
 
 class Placement(NamedTuple):
@@ -47,10 +47,10 @@
     priority: int | None = None
     candidates: int = 0
     cost: float = 0.0
-    patience: Patience = Patience()
+    silence_limits: SilenceLimits = SilenceLimits()
 
     @property
-    def helping_parts(self) -> tuple[EnginePart, ...]:
+    def helper_parts(self) -> tuple[EnginePart, ...]:
         """Return the parts of the prompt that other engines read."""
         return () if self.work is None else self.work.parts[1:]
 
@@ -75,14 +75,14 @@
     upstreams = [each for each in known if each.upstream_id not in excluded]
     if not upstreams:
         reason = "every upstream was tried" if known else "no upstream is known"
-        return NoPlacement(reason, RETRY_SECONDS)
+        return NoPlacement(reason, RETRY_AFTER_SECONDS)
     model = view.table.services[service].engine
     if model is not None and facts.prompt is not None:
         return place_on_engines(view, route, facts, left_seconds, upstreams, model)
-    return place_plainly(view, upstreams)
+    return place_by_load(view, upstreams)
 
 
-def place_plainly(view: FleetView, upstreams: list[UpstreamHeartbeat]) -> Placement:
+def place_by_load(view: FleetView, upstreams: list[UpstreamHeartbeat]) -> Placement:
     """Choose by load, failures and distance."""
     now = time.monotonic()
     candidates = []
@@ -92,7 +92,7 @@
             UpstreamCandidate(
                 upstream.upstream_id,
                 upstream.slots,
-                view.running.get(upstream.upstream_id, 0),
+                view.open_requests.get(upstream.upstream_id, 0),
                 health.failure_rate,
                 health.slowness,
                 health.avoided,
@@ -129,7 +129,7 @@
         route.pause_seconds,
         left_seconds,
     )
-    chosen = place_prompt(asked, candidates, model, view.board, now, view.random)
+    chosen = place_prompt(asked, candidates, model, view.engines, now, view.random)
     if isinstance(chosen, NoEngine):
         return NoPlacement(chosen.reason, chosen.retry_after_seconds)
     by_id = {each.upstream_id: each for each in upstreams}
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
@@ -24,7 +24,7 @@
     ReplicaParts,
 )
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
-from cowslipshelf_daemon.internal.gateway.loop_post import LoopInbox, LoopReply
+from cowslipshelf_daemon.internal.gateway.loop_inbox import LoopInbox, LoopReply
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
@@ -42,15 +42,15 @@
 ELECTION_SECONDS = 1.0
 """Shortest silence before an election. A process that is slowed or busy must not be
 deposed for it; and a change waits for an election and a half at most."""
-FOUND_AFTER_SECONDS = 1.5
+BOOTSTRAP_DELAY_SECONDS = 1.5
 """Age of a gateway at which it may found: all start within a fraction of a second."""
-STATUS_SECONDS = 1.0
+STATUS_INTERVAL_SECONDS = 1.0
 """Pause between two looks at the replica, for its metrics and its disk."""
-RESTART_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 """Pause before a replica whose disk failed is started again."""
 
 
-class ReplicaKeeper:
+class ReplicaSupervisor:
     """Own this machine's replica, if it holds one."""
 
     def __init__(
@@ -70,28 +70,28 @@
         self.replicas: tuple[InstanceId, ...] = ()
         self.started = time.monotonic()
         self.start_due = 0.0
-        self.founded = False
+        self.bootstrapped = False
         self.status_due = 0.0
 
     @property
-    def wanted(self) -> bool:
+    def should_run(self) -> bool:
         """Tell whether this machine holds a replica."""
         return self.view.peers.holds_replica
 
     def tick(self) -> None:
         """Start what is missing, tell who else holds replicas, and let time pass."""
         now = time.monotonic()
-        if not self.wanted:
-            self.tell_replicas()
+        if not self.should_run:
+            self.announce_replicas()
             self.join_when_wanted(now)
             return
         if self.actor is None or not self.actor.is_alive():
             if now >= self.start_due:
-                self.start_due = now + RESTART_SECONDS
+                self.start_due = now + RESTART_DELAY_SECONDS
                 self.start()
             return
-        self.tell_replicas()
-        self.found_when_due(now)
+        self.announce_replicas()
+        self.bootstrap_when_due(now)
         self.ask_status_when_due(now)
         self.actor.tell(Tick())
 
@@ -103,7 +103,7 @@
         """
         if now < self.status_due or self.view.table is None:
             return
-        self.status_due = now + STATUS_SECONDS
+        self.status_due = now + STATUS_INTERVAL_SECONDS
         if self.view.peers.should_hold_replica():
             LOG.info("Replica wanted here.", replicas=self.replicas)
             self.view.peers.holds_replica = True
@@ -153,12 +153,12 @@
         """Ask the replica how it is; the answer comes on the loop."""
         if now < self.status_due:
             return
-        self.status_due = now + STATUS_SECONDS
+        self.status_due = now + STATUS_INTERVAL_SECONDS
         reply = LoopReply(self.inbox.loop)
-        reply.future.add_done_callback(self.take_status)
+        reply.future.add_done_callback(self.record_status)
         self.actor.tell(ControlStateAsked(lambda _, status: status, reply))
 
-    def take_status(self, future: asyncio.Future[ReplicaStatus]) -> None:
+    def record_status(self, future: asyncio.Future[ReplicaStatus]) -> None:
         """Show how the replica is, and start it again where its disk has failed.
 
         A disk that was full for some seconds takes writes again, but what the replica
@@ -180,9 +180,9 @@
             LOG.warning("Replica ends, to start again.", failure=status.failure)
             self.actor.stop(block=False)
             self.actor = None
-            self.start_due = time.monotonic() + RESTART_SECONDS
+            self.start_due = time.monotonic() + RESTART_DELAY_SECONDS
 
-    def tell_replicas(self) -> None:
+    def announce_replicas(self) -> None:
         """Tell the replica and the gateway's client who holds replicas now."""
         replicas = self.view.peers.replicas()
         if replicas == self.replicas:
@@ -193,19 +193,19 @@
         if self.actor is not None:
             self.actor.tell(ReplicasSeen(replicas))
 
-    def found_when_due(self, now: float) -> None:
+    def bootstrap_when_due(self, now: float) -> None:
         """Found the cluster, once, where it falls to this gateway."""
         settings = self.view.settings
-        if self.founded or not (settings.first_start and settings.holds_replica):
+        if self.bootstrapped or not (settings.first_start and settings.holds_replica):
             return
-        if now - self.started < FOUND_AFTER_SECONDS:
+        if now - self.started < BOOTSTRAP_DELAY_SECONDS:
             return
         if self.view.peers.bootstrap_instance() == settings.instance:
-            self.founded = True
+            self.bootstrapped = True
             LOG.info("Cluster founded.", replicas=self.replicas)
             self.actor.tell(BootstrapCluster())
 
-    def hand_over(self) -> None:
+    def transfer_leadership(self) -> None:
         """Give leadership away before the process ends."""
         if self.actor is not None:
             self.actor.tell(TransferLeadership())
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -9,9 +9,9 @@
 from cowslipshelf_core.gateway import HeldBack, choose_service, request_digest
 from cowslipshelf_core.identifiers import ServiceName, UpstreamId
 from cowslipshelf_daemon.internal.gateway.admission import (
-    MOST_WAITED_SHARE,
+    MAX_WAIT_SHARE,
     NOT_RUN,
-    START_SECONDS,
+    STARTUP_WAIT_SECONDS,
     Denied,
     admit,
 )
@@ -21,7 +21,7 @@
     AttemptOutcome,
     AttemptTask,
     Broken,
-    Delivered,
+    DeliveryProgress,
     FailedThere,
     NotReached,
     NotRun,
@@ -32,12 +32,12 @@
     HttpRequest,
     Responder,
 )
-from cowslipshelf_daemon.internal.gateway.patience import patience_of
 from cowslipshelf_daemon.internal.gateway.placement import (
     NoPlacement,
     Placement,
     place,
 )
+from cowslipshelf_daemon.internal.gateway.silence_limits import silence_limits
 from cowslipshelf_daemon.internal.suspect_requests import (
     JudgedRequest,
     SuspectRequests,
@@ -51,14 +51,14 @@
 OUT_OF_TIME = 504
 BUSY_RETRY_SECONDS = 0.2
 """Shortest pause told to callers of full upstreams: some passes of an engine."""
-LEAST_LEFT_SECONDS = 0.02
+MIN_LEFT_SECONDS = 0.02
 """Time left below which no upstream is asked: the way there and back takes it."""
-MOST_UNREACHED = 4
+MAX_UNREACHED = 4
 """Upstreams that one request may find dead; they don't count as attempts."""
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """Hold what happened to a request so far."""
 
     excluded: set[UpstreamId] = field(default_factory=set)
@@ -97,14 +97,14 @@
         try:
             status = await self.answer(request, facts, responder, began)
         except asyncio.CancelledError:
-            self.note_end(facts, "caller left", began)
+            self.log_end(facts, "caller left", began)
             raise
         except AnswerCutError:
-            self.note_end(facts, "cut", began)
+            self.log_end(facts, "cut", began)
             raise
-        self.note_end(facts, str(status), began)
+        self.log_end(facts, str(status), began)
 
-    def note_end(self, facts: CallerFacts, outcome: str, began: float) -> None:
+    def log_end(self, facts: CallerFacts, outcome: str, began: float) -> None:
         """Count and log the end of a request."""
         seconds = time.monotonic() - began
         self.metrics.count("cowslipshelf_requests_total", outcome=outcome)
@@ -141,7 +141,7 @@
             route,
             name,
             responder,
-            Delivered(facts.last_event_id),
+            DeliveryProgress(facts.last_event_id),
             began + left,
             JudgedRequest(
                 facts.attempt_id,
@@ -155,9 +155,9 @@
 
     async def serve(self, task: AttemptTask) -> int:
         """Try upstreams until one answers or the time is up."""
-        progress = Progress()
+        progress = RequestProgress()
         service = choose_service(task.route, self.view.random)
-        self.view.budget.count_request(service, time.monotonic())
+        self.view.retry_budget.count_request(service, time.monotonic())
         left = task.deadline - time.monotonic()
         try:
             async with asyncio.timeout(max(0.0, left)):
@@ -172,12 +172,12 @@
         return await self.fail(task, progress)
 
     async def try_upstreams(
-        self, task: AttemptTask, service: ServiceName, progress: Progress
+        self, task: AttemptTask, service: ServiceName, progress: RequestProgress
     ) -> Answered | None:
         """Try one upstream after the other; return nothing where none may be tried."""
         while True:
             left = task.deadline - time.monotonic()
-            if left < LEAST_LEFT_SECONDS:
+            if left < MIN_LEFT_SECONDS:
                 progress.last_reason = "out of time"
                 return None
             verdict = self.suspects.verdict(task.judged)
@@ -194,60 +194,62 @@
                 left,
                 frozenset(progress.excluded),
             )
-            if isinstance(placement, NoPlacement) and await self.upstream_comes(
+            if isinstance(placement, NoPlacement) and await self.wait_for_upstream(
                 service, left, progress
             ):
                 continue
             if isinstance(placement, NoPlacement):
-                self.note_no_placement(task, placement, progress)
+                self.record_no_placement(task, placement, progress)
                 return None
-            if progress.sent and not self.may_repeat(service):
+            if progress.sent and not self.may_retry(service):
                 progress.last_reason = "no repeats are left in the budget"
                 return None
             with self.suspects.trial(task.judged, verdict):
                 outcome = await self.attempt(task, placement, progress)
             if isinstance(outcome, Answered):
                 return outcome
-            if not may_go_on(task, outcome, progress):
+            if not may_try_another(task, outcome, progress):
                 return None
 
-    async def upstream_comes(
-        self, service: ServiceName, left: float, progress: Progress
+    async def wait_for_upstream(
+        self, service: ServiceName, left: float, progress: RequestProgress
     ) -> bool:
         """Wait, once, for the first upstream of a service to be heard of."""
         if progress.waited or self.view.upstreams_of(service):
             return False
         progress.waited = True
-        patience = min(START_SECONDS, left * MOST_WAITED_SHARE)
-        return await self.view.wait_to_learn(
-            lambda: bool(self.view.upstreams_of(service)), patience
+        seconds = min(STARTUP_WAIT_SECONDS, left * MAX_WAIT_SHARE)
+        return await self.view.wait_until(
+            lambda: bool(self.view.upstreams_of(service)), seconds
         )
 
-    def may_repeat(self, service: ServiceName) -> bool:
+    def may_retry(self, service: ServiceName) -> bool:
         """Spend a repeat of the common budget."""
         now = time.monotonic()
-        return self.view.budget.allow_retry(service, self.view.gateways(), now)
+        return self.view.retry_budget.allow_retry(
+            service, self.view.gateway_count(), now
+        )
 
     async def attempt(
-        self, task: AttemptTask, placement: Placement, progress: Progress
+        self, task: AttemptTask, placement: Placement, progress: RequestProgress
     ) -> AttemptOutcome:
         """Run one attempt and note what it came to."""
         began = time.monotonic()
         upstream_id = placement.upstream.upstream_id
         progress.sent += 1
-        self.note_begin(task, placement, progress)
+        self.log_attempt_begin(task, placement, progress)
         # Until the outcome is known, the upstream may be running it: a timeout in
         # between must not be answered with the promise that it did not.
         ran_before, progress.may_have_run = progress.may_have_run, True
-        may_repeat = task.route.repeatable and progress.sent < task.route.max_attempts
-        patience = patience_of(
+        may_retry = task.route.repeatable and progress.sent < task.route.max_attempts
+        limits = silence_limits(
             task.route,
             placement.upstream.service,
             placement,
-            self.view.times,
-            may_repeat,
+            self.view.answer_times,
+            may_retry,
         )
-        outcome = await self.runner.run(task, placement._replace(patience=patience))
+        outcome = await self.runner.run(task, placement._replace(silence_limits=limits))
         progress.excluded.add(upstream_id)
         match outcome:
             case NotReached():
@@ -262,23 +264,23 @@
                 progress.last_failure = outcome
             case Broken():
                 progress.last_reason = f"{outcome.step} failed"
-        self.note_attempt(task, placement, outcome, began)
-        self.learn_of_request(task, placement, outcome)
+        self.log_attempt_end(task, placement, outcome, began)
+        self.record_for_quarantine(task, placement, outcome)
         return outcome
 
-    def learn_of_request(
+    def record_for_quarantine(
         self, task: AttemptTask, placement: Placement, outcome: AttemptOutcome
     ) -> None:
         """Note whether an upstream ended under a request, or answered it."""
         match outcome:
-            case Broken(upstream_ended=True):
+            case Broken(upstream_exited=True):
                 upstream_id = placement.upstream.upstream_id
                 self.suspects.upstream_ended(task.judged, upstream_id)
             case Answered() | FailedThere():
                 self.suspects.answered(task.judged)
 
-    def note_begin(
-        self, task: AttemptTask, placement: Placement, progress: Progress
+    def log_attempt_begin(
+        self, task: AttemptTask, placement: Placement, progress: RequestProgress
     ) -> None:
         """Log which upstream was chosen, and what decided on it."""
         LOG.info(
@@ -298,11 +300,11 @@
             predicted=round(placement.first_token_seconds or 0.0, 4),
             cost=round(placement.cost, 3),
             candidates=placement.candidates,
-            helpers=[part.upstream_id for part in placement.helping_parts],
+            helpers=[part.upstream_id for part in placement.helper_parts],
             sent=progress.sent,
         )
 
-    def note_attempt(
+    def log_attempt_end(
         self,
         task: AttemptTask,
         placement: Placement,
@@ -323,8 +325,8 @@
             pause=round(pace.longest_pause, 4) if pace else None,
         )
 
-    def note_no_placement(
-        self, task: AttemptTask, placement: NoPlacement, progress: Progress
+    def record_no_placement(
+        self, task: AttemptTask, placement: NoPlacement, progress: RequestProgress
     ) -> None:
         """Remember and log why there was no upstream."""
         progress.last_reason = placement.reason
@@ -340,7 +342,7 @@
             tried=len(progress.excluded),
         )
 
-    async def fail(self, task: AttemptTask, progress: Progress) -> int:
+    async def fail(self, task: AttemptTask, progress: RequestProgress) -> int:
         """Give the caller the failure that is true."""
         failure = progress.last_failure
         if failure is not None and not task.responder.begun:
@@ -349,14 +351,16 @@
         status = BAD_ANSWER if progress.may_have_run else NOT_RUN
         return await self.give_up(task, progress, status)
 
-    async def give_up(self, task: AttemptTask, progress: Progress, status: int) -> int:
+    async def give_up(
+        self, task: AttemptTask, progress: RequestProgress, status: int
+    ) -> int:
         """End a request without an upstream's answer."""
         if task.responder.begun:
             LOG.info(
                 "Answer cut.",
                 request=task.facts.attempt_id,
                 reason=progress.last_reason,
-                last_event=task.delivered.last_event_id,
+                last_event=task.delivery.last_event_id,
                 sent=progress.sent,
             )
             raise AnswerCutError(progress.last_reason)
@@ -383,15 +387,17 @@
         if retry_after_seconds is not None:
             tenths = math.ceil(retry_after_seconds * 10) / 10
             headers.append((b"retry-after", f"{tenths:g}".encode()))
-        await responder.whole(status, headers)
+        await responder.respond(status, headers)
         return status
 
 
-def may_go_on(task: AttemptTask, outcome: AttemptOutcome, progress: Progress) -> bool:
+def may_try_another(
+    task: AttemptTask, outcome: AttemptOutcome, progress: RequestProgress
+) -> bool:
     """Tell whether another upstream may be tried after this outcome."""
     match outcome:
         case NotReached():
-            return progress.unreached < MOST_UNREACHED
+            return progress.unreached < MAX_UNREACHED
         case NotRun():
             return progress.sent < task.route.max_attempts
         case _:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -24,13 +24,13 @@
         post: Post,
         client: ControlClient,
         dialect: Dialect,
-        tell_alive: Callable[[], None],
+        send_alive: Callable[[], None],
     ) -> None:
         self.view = view
         self.post = post
         self.client = client
         self.dialect = dialect
-        self.tell_alive = tell_alive
+        self.send_alive = send_alive
         """Tells the other gateways which version is in force here."""
         self.fetch = RoutesFetch()
         self.copies = 0
@@ -72,17 +72,17 @@
         address = self.view.settings.peer_address(chosen)
         self.post.send(address, FetchRoutes(have))
 
-    def take_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
+    def receive_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
         """Take in a configuration: a copy, an answer, or what the own replica holds."""
         document = snapshot.document
         if snapshot.question:
-            self.client.take_answer(snapshot)
+            self.client.record_answer(snapshot)
         elif sender != self.view.settings.instance:
-            self.note_copy(sender, document)
-        if document.body and self.take_routes(document):
+            self.record_copy(sender, document)
+        if document.body and self.apply_routes(document):
             self.fetch.record_copy(len(document.body), time.monotonic())
 
-    def note_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
+    def record_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a copy of the configuration; those in vain fill links."""
         self.copies += 1
         LOG.info(
@@ -95,7 +95,7 @@
             copies=self.copies,
         )
 
-    def take_routes(self, document: RoutesDocument) -> bool:
+    def apply_routes(self, document: RoutesDocument) -> bool:
         """Put a newer configuration in force and tell of it; return whether it is."""
         if document.version <= self.view.document.version:
             return False
@@ -111,6 +111,6 @@
                 reason=read.err_value,
             )
             return False
-        self.view.put_in_force(document, read.ok_value)
-        self.tell_alive()
+        self.view.apply_configuration(document, read.ok_value)
+        self.send_alive()
         return True
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
@@ -37,9 +37,9 @@
         suspects = document.told.suspects
         return SuspectRequestsTold(tuple(aged(each, passed) for each in suspects))
 
-    def is_behind(self, changes: int) -> bool:
+    def needs_write(self, changes: int) -> bool:
         """Tell whether anything has changed since it was written, and may be."""
-        return not self.is_writing() and changes != (self.written or 0)
+        return not self.is_writing() and changes != (self.written_key or 0)
 
     def write_soon(self, told: SuspectRequestsTold, changes: int) -> None:
         """Write what is known after so many changes."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
@@ -10,7 +10,7 @@
 from cowslipshelf_core.dialect import Headers, OutgoingRequest
 
 READ_BYTES = 65_536
-MOST_BUFFERED_BYTES = 8 * 1024 * 1024
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 """Longest answer that is held until it is whole; twice the bodies that callers send."""
 UNACKNOWLEDGED_MILLISECONDS = 3_000
 """Time after which the kernel gives a connection up whose bytes nobody acknowledges:
@@ -24,13 +24,13 @@
     """Say at which step a connection to an upstream was lost."""
 
     def __init__(
-        self, step: str, peer: str, detail: str, upstream_ended: bool = False
+        self, step: str, peer: str, detail: str, upstream_exited: bool = False
     ) -> None:
         super().__init__(f"{step} {peer}: {detail}")
         self.step = step
         self.peer = peer
         self.detail = detail
-        self.upstream_ended = upstream_ended
+        self.upstream_exited = upstream_exited
         """Whether the upstream closed the connection, as one that ends does."""
 
 
@@ -53,7 +53,7 @@
         self.parser = h11.Connection(h11.CLIENT)
         self.idle_since = 0.0
         self.keep_alive_seconds: float | None = None
-        self.patience_seconds: float | None = None
+        self.max_silence_seconds: float | None = None
         """Silence after which the upstream is given up; nothing waits without end."""
         self.excused_seconds: Callable[[], float] = no_excuse
         """Tells how much longer a silence has a reason; zero where it has none."""
@@ -119,7 +119,7 @@
         body = bytearray()
         async for data in self.body():
             body += data
-            if len(body) > MOST_BUFFERED_BYTES:
+            if len(body) > MAX_BUFFERED_BYTES:
                 raise self.lost("read answer", "the answer is too long to be held")
         return bytes(body)
 
@@ -145,14 +145,14 @@
 
     async def read(self) -> bytes:
         """Wait for bytes; raise `OSError` after a silence without excuse or a drop."""
-        data = await self.read_patiently()
+        data = await self.read_until_silent()
         if self.dropped is not None:
             raise ConnectionAbortedError(self.dropped)
         return data
 
-    async def read_patiently(self) -> bytes:
+    async def read_until_silent(self) -> bytes:
         """Wait for bytes; raise `TimeoutError` after a silence without excuse."""
-        patience = self.patience_seconds
+        patience = self.max_silence_seconds
         while True:
             try:
                 async with asyncio.timeout(patience):
@@ -163,10 +163,10 @@
                     raise
 
     def lost(
-        self, step: str, detail: str, upstream_ended: bool = False
+        self, step: str, detail: str, upstream_exited: bool = False
     ) -> UpstreamLostError:
         """Return the error of this connection."""
-        return UpstreamLostError(step, self.address, detail, upstream_ended)
+        return UpstreamLostError(step, self.address, detail, upstream_exited)
 
     def can_be_reused(self) -> bool:
         """Tell whether the exchange is over and left nothing behind.
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
@@ -13,29 +13,27 @@
 """Time for a new connection: several round trips within a region, and less than the
 second after which a lost opening packet is sent again, so that another upstream is
 tried instead."""
-SHARE_OF_KEEP_ALIVE = 0.4
+KEEP_ALIVE_SHARE = 0.4
 """Part of the announced idle time for which a connection is used again: a request
 that crosses the upstream's close may or may not have run."""
-UNANNOUNCED_IDLE_SECONDS = 1.0
+DEFAULT_IDLE_SECONDS = 1.0
 """Idle time for which a connection is used again where none is announced."""
-MOST_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 """Idle connections kept for one upstream, where its bound on all callers' connections
 leaves room for so many."""
-CONNECTIONS = "cowslipshelf_upstream_connections_total"
+CONNECTIONS_METRIC = "cowslipshelf_upstream_connections_total"
 
 
 class UpstreamPool:
     """Hold the idle connections of each upstream."""
 
-    def __init__(
-        self, metrics: Metrics, most_idle: Callable[[UpstreamId], int]
-    ) -> None:
+    def __init__(self, metrics: Metrics, max_idle: Callable[[UpstreamId], int]) -> None:
         self.idle: dict[UpstreamId, list[UpstreamConnection]] = {}
         self.metrics = metrics
-        self.most_idle = most_idle
+        self.max_idle = max_idle
         """Tells how many idle connections an upstream leaves to this gateway."""
 
-    async def take(
+    async def acquire(
         self, upstream_id: UpstreamId, address: str, fresh: bool
     ) -> UpstreamConnection:
         """Return a connection, a new one where a request must not meet a stale one."""
@@ -43,18 +41,16 @@
             connection = self.idle[upstream_id].pop()
             if is_usable(connection) and connection.address == address:
                 connection.prepare_next()
-                self.metrics.count(CONNECTIONS, way="reused")
+                self.metrics.count(CONNECTIONS_METRIC, way="reused")
                 return connection
             connection.abort()
-        self.metrics.count(CONNECTIONS, way="opened")
+        self.metrics.count(CONNECTIONS_METRIC, way="opened")
         return await UpstreamConnection.connect(address, CONNECT_SECONDS)
 
-    def give_back(
-        self, upstream_id: UpstreamId, connection: UpstreamConnection
-    ) -> None:
+    def release(self, upstream_id: UpstreamId, connection: UpstreamConnection) -> None:
         """Keep a connection whose exchange is over, or close it."""
         idle = self.idle.setdefault(upstream_id, [])
-        most = min(MOST_IDLE, self.most_idle(upstream_id))
+        most = min(MAX_IDLE_CONNECTIONS, self.max_idle(upstream_id))
         if not connection.can_be_reused() or len(idle) >= most:
             connection.abort()
             return
@@ -83,9 +79,7 @@
     """Tell whether an idle connection is still as it was left, and young enough."""
     announced = connection.keep_alive_seconds
     longest = (
-        UNANNOUNCED_IDLE_SECONDS
-        if announced is None
-        else announced * SHARE_OF_KEEP_ALIVE
+        DEFAULT_IDLE_SECONDS if announced is None else announced * KEEP_ALIVE_SHARE
     )
     idle = asyncio.get_running_loop().time() - connection.idle_since
     return idle < longest and connection.is_quiet()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
@@ -14,7 +14,7 @@
 REFRESH_SECONDS = 20.0
 """Age at which the file is written again although nothing in it has changed; a third
 of the age beyond which it isn't believed."""
-OLDEST_SECONDS = 60.0
+MAX_AGE_SECONDS = 60.0
 """Age of the file beyond which it says nothing of the present. It goes by the time of
 day, which may be off by seconds."""
 
@@ -49,7 +49,7 @@
         if document is None:
             return ()
         age = time.time() - document.written_at
-        if abs(age) > OLDEST_SECONDS:
+        if abs(age) > MAX_AGE_SECONDS:
             LOG.info("Upstreams too old.", age_seconds=round(age, 1))
             return ()
         return document.seen
@@ -58,13 +58,13 @@
         """Write what has changed."""
         if self.is_writing():
             return
-        phases = frozenset(phase_of(each) for each in seen)
+        phases = frozenset(restart_key(each) for each in seen)
         now = time.monotonic()
-        if phases == self.written and now - self.written_at < REFRESH_SECONDS:
+        if phases == self.written_key and now - self.written_at < REFRESH_SECONDS:
             return
         self.begin_write(UpstreamsDocument(time.time(), seen), phases)
 
 
-def phase_of(seen: HeartbeatSeen) -> tuple[str, int, str]:
+def restart_key(seen: HeartbeatSeen) -> tuple[str, int, str]:
     """Return what a restart goes by: the start of an upstream, and its phase."""
     return seen.heartbeat.upstream_id, seen.began_ms, seen.heartbeat.phase
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -18,7 +18,7 @@
 from cowslipshelf_daemon.internal.gateway import fleet_view, gossip, routes_exchange
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
-from cowslipshelf_daemon.internal.gateway.gossip import ALIVE_SECONDS, Gossip
+from cowslipshelf_daemon.internal.gateway.gossip import ALIVE_INTERVAL_SECONDS, Gossip
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_daemon.internal.post import Delivered
 from cowslipshelf_host.metrics import Metrics
@@ -65,7 +65,7 @@
         commands.append(command)
         return RoutesHeld(command.document.version)
 
-    async def whole(status: int, headers: list, body: bytes = b"") -> None:
+    async def respond(status: int, headers: list, body: bytes = b"") -> None:
         assert status == 200
 
     handler = ControlHandler(
@@ -76,7 +76,7 @@
         Metrics(),
     )
     put = HttpRequest("PUT", "/api/config", [], body, "", "operator")
-    asyncio.run(handler(put, SimpleNamespace(whole=whole)))
+    asyncio.run(handler(put, SimpleNamespace(respond=respond)))
     return commands[0].document
 
 
@@ -165,7 +165,7 @@
 
     def speak(self, name: str) -> None:
         self.gateways[name].tick()
-        self.at(self.clock.now + ALIVE_SECONDS, self.speak, name)
+        self.at(self.clock.now + ALIVE_INTERVAL_SECONDS, self.speak, name)
 
     def carry(self, post: LinkPost, receiver: str, message, size: int) -> None:
         sent = self.links[post.instance].send(size, self.clock.now)
@@ -190,7 +190,7 @@
     def commit(self, document: RoutesDocument) -> None:
         """Have every replica apply a configuration now."""
         for name in self.replicas:
-            self.gateways[name].routes.take_routes(document)
+            self.gateways[name].routes.apply_routes(document)
             self.note(name)
 
     def run(self, seconds: float) -> None:
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -21,7 +21,7 @@
     Answered,
     AttemptTask,
     Broken,
-    Delivered,
+    DeliveryProgress,
     NotRun,
 )
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
@@ -44,7 +44,7 @@
     def begin(self, status, headers) -> None:
         self.begun = True
 
-    async def piece(self, data) -> None:
+    async def write(self, data) -> None:
         return None
 
     async def end(self) -> None:
@@ -59,7 +59,7 @@
         self.pieces = pieces
         self.breaks = breaks
         self.keep_alive_seconds = None
-        self.patience_seconds = None
+        self.max_silence_seconds = None
         self.excused_seconds = None
 
     def send(self, request) -> None:
@@ -93,10 +93,10 @@
     def __init__(self, *connections: PlayedConnection) -> None:
         self.connections = list(connections)
 
-    async def take(self, upstream_id, address, fresh) -> PlayedConnection:
+    async def acquire(self, upstream_id, address, fresh) -> PlayedConnection:
         return self.connections.pop(0)
 
-    def give_back(self, upstream_id, connection) -> None:
+    def release(self, upstream_id, connection) -> None:
         return None
 
 
@@ -113,7 +113,7 @@
         route(kind=RouteKind.STREAM, resumable=True),
         None,
         SilentResponder(),
-        Delivered(None),
+        DeliveryProgress(None),
         time.monotonic() + 5.0,
         JudgedRequest("a-1", "digest-1", None),
     )
@@ -125,7 +125,7 @@
     async def attempts():
         view = FleetView.from_settings(GATEWAY_SETTINGS)
         told: list[WorkChanged] = []
-        view.tell_work = told.append
+        view.on_work_changed = told.append
         runner = AttemptRunner(view, PlayedPool(*connections), MachinesDialect())
         shared = task()
         outcomes = [
@@ -150,14 +150,14 @@
     assert [type(outcome) for outcome in outcomes] == [Broken, Answered]
     first = [name for changed in told for name in changed.first_tokens]
     assert first == ["w-0", "w-1"]
-    assert view.board.placed == {}
+    assert view.engines.placed == {}
 
 
 def test_work_is_told_to_end_whatever_came_of_it():
     _, told, view = run(PlayedConnection(503), PlayedConnection(200, breaks=True))
     ended = [name for changed in told for name in changed.ended]
     assert ended == ["w-0", "w-1"]
-    assert view.board.placed == {}
+    assert view.engines.placed == {}
 
 
 @pytest.mark.parametrize(("status", "avoided"), [(421, True), (200, False)])
@@ -190,7 +190,7 @@
     async def wait_in_vain() -> bool:
         view = FleetView.from_settings(GATEWAY_SETTINGS)
         for _ in range(10):
-            view.times.add("s", 0.001)
+            view.answer_times.add("s", 0.001)
         pool = PlayedPool(PlayedConnection(200, b"data: x\n\n"), HangingConnection(200))
         runner = AttemptRunner(view, pool, MachinesDialect())
         if answered_before:
@@ -223,7 +223,7 @@
     """
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     ended = []
-    view.drop_start = lambda former, _later: ended.append(former.upstream_id)
-    view.take_heartbeat(heartbeat(UpstreamStart("u-1", 1).upstream_id), 0.0)
-    view.take_heartbeat(heartbeat(later.upstream_id, 9, phase), 0.0)
+    view.on_start_replaced = lambda former, _later: ended.append(former.upstream_id)
+    view.record_heartbeat(heartbeat(UpstreamStart("u-1", 1).upstream_id), 0.0)
+    view.record_heartbeat(heartbeat(later.upstream_id, 9, phase), 0.0)
     assert ended == dropped
--- a/tests/cover/gateway/test_control_changes.py
+++ b/tests/cover/gateway/test_control_changes.py
@@ -35,7 +35,7 @@
 
     status = 0
 
-    async def whole(self, status, headers, body=b"") -> None:
+    async def respond(self, status, headers, body=b"") -> None:
         self.status = status
 
 
@@ -43,7 +43,7 @@
     """Send a configuration to a gateway; return the status, and how many went on."""
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     read = MachinesDialect().read_configuration(HELD).unwrap()
-    view.put_in_force(read.document, read.configuration)
+    view.apply_configuration(read.document, read.configuration)
     replicas, answer = NoReplicas(), Answer()
     handler = ControlHandler(view, replicas, None, MachinesDialect(), Metrics())
     request = HttpRequest("PUT", "/api/config", [], body, "", "operator")
--- a/tests/cover/gateway/test_event_stream.py
+++ b/tests/cover/gateway/test_event_stream.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cowslipshelf_daemon.internal.gateway.event_stream import EventCutter
+from cowslipshelf_daemon.internal.gateway.event_stream import EventSplitter
 
 END = st.sampled_from(["\n\n", "\r\n\r\n"])
 EVENTS = st.lists(
@@ -25,16 +25,16 @@
     """
     half = half.replace(b"\n", b"").replace(b"\r", b"")
     whole = b"".join(event(*each) for each in events)
-    cutter, out, last = EventCutter(), b"", None
+    cutter, out, last = EventSplitter(), b"", None
     data, position, turn = whole + half, 0, 0
     while position < len(data):
         step = cuts[turn % len(cuts)]
         turn += 1
-        piece = cutter.take(data[position : position + step])
+        piece = cutter.feed(data[position : position + step])
         position += step
         if piece is not None:
             out += piece.data
             last = piece.last_id or last
     assert out == whole
-    assert cutter.rest() == half
+    assert cutter.take_rest() == half
     assert last == (str(events[-1][0]) if events else None)
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -99,7 +99,7 @@
         self.replica = replica_that_holds(accepted(replicas_hold), self)
         view = FleetView.from_settings(GATEWAY_SETTINGS)
         read = MachinesDialect().read_configuration(held).ok_value
-        view.put_in_force(read.document, read.configuration)
+        view.apply_configuration(read.document, read.configuration)
         alive = PeerAlive(Epoch("e"), DataCentre("here"), True, 9, ())
         view.peers.record_alive(REPLICA, alive, time.monotonic())
         self.client = ControlClient(None, self)
@@ -117,9 +117,9 @@
         size = len(msgspec.msgpack.encode(message))
         self.bytes += size
         loop = asyncio.get_running_loop()
-        loop.call_later(self.bytes / self.rate, self.client.take_answer, message)
+        loop.call_later(self.bytes / self.rate, self.client.record_answer, message)
 
-    async def whole(self, status: int, headers: list, body: bytes = b"") -> None:
+    async def respond(self, status: int, headers: list, body: bytes = b"") -> None:
         self.answered.append((status, body))
 
     def read(self) -> tuple[int, bytes]:
--- a/tests/cover/gateway/test_newer_configuration.py
+++ b/tests/cover/gateway/test_newer_configuration.py
@@ -40,7 +40,7 @@
     status = 0
     headers: dict = {}
 
-    async def whole(self, status, headers, body=b"") -> None:
+    async def respond(self, status, headers, body=b"") -> None:
         self.status, self.headers = status, dict(headers)
 
 
@@ -55,7 +55,7 @@
 
 def put(view: FleetView, configuration) -> None:
     version = ConfigurationVersion(configuration.version)
-    view.put_in_force(RoutesDocument(version, "", b""), configuration)
+    view.apply_configuration(RoutesDocument(version, "", b""), configuration)
 
 
 def asked(view: FleetView, path: str, comes=None) -> tuple[Answer, float]:
--- a/tests/cover/gateway/test_shutdown.py
+++ b/tests/cover/gateway/test_shutdown.py
@@ -8,8 +8,11 @@
 
 from common.gateway_samples import GATEWAY_SETTINGS
 from cowslipshelf_adapter.wire import MachinesDialect
-from cowslipshelf_daemon.internal.gateway.assembly import END_MARGIN_SECONDS, Gateway
-from cowslipshelf_daemon.internal.gateway.replica_keeper import ReplicaKeeper
+from cowslipshelf_daemon.internal.gateway.assembly import (
+    SHUTDOWN_MARGIN_SECONDS,
+    Gateway,
+)
+from cowslipshelf_daemon.internal.gateway.replica_supervisor import ReplicaSupervisor
 from cowslipshelf_fleet.internal.counters import CounterTable
 from cowslipshelf_fleet.internal.link import PeerLink
 from cowslipshelf_fleet.internal.peer import Peer
@@ -32,7 +35,7 @@
     The gateway had answered everything and asked its replica to end. The replica
     waited for a sync, the gateway for the replica, and the grace ran out.
     """
-    keeper = ReplicaKeeper(None, None, None, None, None)
+    keeper = ReplicaSupervisor(None, None, None, None, None)
     keeper.actor = StalledReplica.start()
     keeper.actor.tell("sync")
     assert StalledReplica.begun.wait(20)
@@ -80,4 +83,4 @@
     open. Each waited 0.5 s of it for all peers to confirm its last messages, those that
     were restarting themselves included; on a slow machine the rest was not enough.
     """
-    assert asyncio.run(waited_for_gone_peers()) < END_MARGIN_SECONDS / 2
+    assert asyncio.run(waited_for_gone_peers()) < SHUTDOWN_MARGIN_SECONDS / 2
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -36,7 +36,7 @@
 
 BODY = b"fatal"
 DIGEST = request_digest(None, "POST", "host.example", "/x", BODY)
-ENDED = Broken("read answer", "closed", upstream_ended=True)
+ENDED = Broken("read answer", "closed", upstream_exited=True)
 LOST = Broken("read answer", "silent")
 
 
@@ -59,7 +59,7 @@
     status: int | None = None
     headers: dict[bytes, bytes] = {}
 
-    async def whole(self, status, headers, body=b"") -> None:
+    async def respond(self, status, headers, body=b"") -> None:
         self.status, self.headers = status, dict(headers)
 
 
@@ -71,10 +71,10 @@
         self.told: list[str] = []
         usual = {"max_attempts": 3}
         routes = configuration(route(**(usual | changes)))
-        self.view.put_in_force(RoutesDocument(1, "", b""), routes)
+        self.view.apply_configuration(RoutesDocument(1, "", b""), routes)
         for number in range(8):
             address = f"10.0.0.{number + 1}:80"
-            self.view.take_heartbeat(heartbeat(f"u-{number}", address=address), 0.0)
+            self.view.record_heartbeat(heartbeat(f"u-{number}", address=address), 0.0)
         self.runner = PlayedRunner(*outcomes)
         metrics = Metrics()
         self.suspects = SuspectRequests("10.0.0.1", metrics, self.told.append)
--- a/tests/cover/gateway/test_upstream_connection.py
+++ b/tests/cover/gateway/test_upstream_connection.py
@@ -68,7 +68,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     connection = await UpstreamConnection.connect(f"{host}:{port}", 10.0)
-    connection.patience_seconds = patience
+    connection.max_silence_seconds = patience
     connection.send(OutgoingRequest("GET", "/", [(b"host", b"h")], b""))
     waiting = asyncio.create_task(connection.head())
     act(connection, await served)
@@ -101,10 +101,10 @@
 )
 def test_only_what_the_upstream_ended_counts_as_its_end(act, ended):
     """Guards against requests blamed for what this side or a garbled answer ended."""
-    assert asyncio.run(loss_of(act)).upstream_ended is ended
+    assert asyncio.run(loss_of(act)).upstream_exited is ended
 
 
 def test_a_silence_does_not_count_as_the_end_of_an_upstream():
     """Guards against slow requests held back as if they ended upstreams."""
     loss = asyncio.run(loss_of(lambda _connection, _writer: None, patience=0.05))
-    assert loss.upstream_ended is False
+    assert loss.upstream_exited is False
--- a/tests/cover/gateway/test_upstream_pool.py
+++ b/tests/cover/gateway/test_upstream_pool.py
@@ -7,7 +7,10 @@
 from common.gateway_samples import GATEWAY_SETTINGS, configuration, heartbeat, route
 from cowslipshelf_core.messages import RoutesDocument
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
-from cowslipshelf_daemon.internal.gateway.upstream_pool import MOST_IDLE, UpstreamPool
+from cowslipshelf_daemon.internal.gateway.upstream_pool import (
+    MAX_IDLE_CONNECTIONS,
+    UpstreamPool,
+)
 from cowslipshelf_host.metrics import Metrics
 
 
@@ -32,17 +35,17 @@
         self.aborted = True
 
 
-@pytest.mark.parametrize("room", [1, 3, MOST_IDLE + 5])
+@pytest.mark.parametrize("room", [1, 3, MAX_IDLE_CONNECTIONS + 5])
 def test_no_more_idle_connections_are_kept_than_the_upstream_leaves_room_for(room):
     async def keep() -> list[UsedConnection]:
         pool = UpstreamPool(Metrics(), lambda _upstream_id: room)
-        used = [UsedConnection() for _ in range(MOST_IDLE + 3)]
+        used = [UsedConnection() for _ in range(MAX_IDLE_CONNECTIONS + 3)]
         for connection in used:
-            pool.give_back("u-1", connection)
+            pool.release("u-1", connection)
         return used
 
     kept = [each for each in asyncio.run(keep()) if not each.aborted]
-    assert len(kept) == min(room, MOST_IDLE)
+    assert len(kept) == min(room, MAX_IDLE_CONNECTIONS)
 
 
 def test_a_connection_is_used_again_and_counted_as_such():
@@ -50,8 +53,8 @@
         metrics = Metrics()
         pool = UpstreamPool(metrics, lambda _upstream_id: 2)
         connection = UsedConnection()
-        pool.give_back("u-1", connection)
-        again = await pool.take("u-1", connection.address, fresh=False)
+        pool.release("u-1", connection)
+        again = await pool.acquire("u-1", connection.address, fresh=False)
         return connection, again, metrics.prometheus_text()
 
     connection, again, text = asyncio.run(use_again())
@@ -66,7 +69,7 @@
     ones as they liked.
     """
     view = FleetView.from_settings(GATEWAY_SETTINGS)
-    view.put_in_force(RoutesDocument(1, "d", b""), configuration(route()))
-    view.take_heartbeat(heartbeat("u-1"), 0.0)
+    view.apply_configuration(RoutesDocument(1, "d", b""), configuration(route()))
+    view.record_heartbeat(heartbeat("u-1"), 0.0)
     assert view.idle_connections("u-1") == 50
     assert view.idle_connections("unknown") == 1
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -16,7 +16,7 @@
     AttemptOutcome,
     AttemptTask,
     Broken,
-    Delivered,
+    DeliveryProgress,
 )
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
@@ -71,7 +71,7 @@
     """Be one connection to an engine."""
 
     keep_alive_seconds = None
-    patience_seconds = None
+    max_silence_seconds = None
     excused_seconds = None
 
     def __init__(self, engine: Engine) -> None:
@@ -111,10 +111,10 @@
     def __init__(self, **engines: Engine) -> None:
         self.engines = {HEAD: engines["head"], HOLDER: engines["holder"]}
 
-    async def take(self, _upstream_id, address, fresh) -> EngineConnection:
+    async def acquire(self, _upstream_id, address, fresh) -> EngineConnection:
         return EngineConnection(self.engines[address])
 
-    def give_back(self, upstream_id, connection) -> None:
+    def release(self, upstream_id, connection) -> None:
         return None
 
 
@@ -134,7 +134,7 @@
         route(kind=RouteKind.STREAM, resumable=True),
         None,
         None,
-        Delivered(None),
+        DeliveryProgress(None),
         time.monotonic() + 15.0,
         JudgedRequest("a-1", "digest-1", None),
     )
