--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -34,7 +34,7 @@
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
 from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
 from cowslipshelf_daemon.internal.entry.open_requests import OpenRequests
-from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateAsked, leads
+from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateQuery, leads
 from cowslipshelf_daemon.internal.entry.routing_actor import FleetStatus
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_fleet.mailboxes import Mailbox
@@ -155,7 +155,7 @@
             raise HandlerError(step, "replica", detail, status=HTTPStatus.NOT_FOUND)
         reply: SimpleQueue[Any] = SimpleQueue()
         try:
-            self.parts.replica.tell(ControlStateAsked(read, reply))
+            self.parts.replica.tell(ControlStateQuery(read, reply))
             return reply.get(timeout=READ_SECONDS)
         except (ActorDeadError, Empty) as error:
             raise HandlerError(step, "replica", "no answer in time") from error
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
@@ -10,7 +10,7 @@
 from cowslipshelf_core.control import ControlState, OrderGranted
 from cowslipshelf_core.messages import OrderSent
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateAsked, leads
+from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateQuery, leads
 from cowslipshelf_daemon.internal.entry.routing_actor import FleetStatus
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
@@ -55,7 +55,7 @@
         """Read the open orders of a leader; nobody else sends any."""
         reply: SimpleQueue[tuple[OrderGranted, ...]] = SimpleQueue()
         try:
-            self.parts.replica.tell(ControlStateAsked(open_orders_of_leader, reply))
+            self.parts.replica.tell(ControlStateQuery(open_orders_of_leader, reply))
             return reply.get(timeout=READ_SECONDS)
         except (ActorDeadError, Empty):
             return ()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -73,7 +73,7 @@
 MOST_READS_WAITING = 4096
 
 
-class ControlStateAsked(NamedTuple):
+class ControlStateQuery(NamedTuple):
     """Ask for something that only the replicated state knows."""
 
     read: Callable[[ControlState, ReplicaStatus], Any]
@@ -128,7 +128,7 @@
                 self.receive(message)
             case TransferLeadership() | ReplicasSeen() | BootstrapCluster():
                 self.events.append(message)
-            case ControlStateAsked(read=read, reply=reply):
+            case ControlStateQuery(read=read, reply=reply):
                 reply.put(read(self.state, self.replica.status()))
         waiting = not self.actor_inbox.empty()
         if not waiting or len(self.events) >= MOST_EVENTS_PER_SYNC:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_keeper.py
@@ -19,7 +19,7 @@
 from cowslipshelf_core.control import ControlState
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_daemon.internal.entry.replica_actor import (
-    ControlStateAsked,
+    ControlStateQuery,
     ReplicaActor,
     ReplicaParts,
 )
@@ -156,7 +156,7 @@
         self.status_due = now + STATUS_SECONDS
         reply = LoopReply(self.inbox.loop)
         reply.future.add_done_callback(self.take_status)
-        self.actor.tell(ControlStateAsked(lambda _, status: status, reply))
+        self.actor.tell(ControlStateQuery(lambda _, status: status, reply))
 
     def take_status(self, future: asyncio.Future[ReplicaStatus]) -> None:
         """Show how the replica is, and start it again where its disk has failed.
