--- a/benchmarks/slopes/control_costs.py
+++ b/benchmarks/slopes/control_costs.py
@@ -20,7 +20,7 @@
     EntryAlive,
     Message,
 )
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationIndex
+from cowslipshelf_daemon.internal.entry.configuration_in_force import ConfigurationIndex
 from cowslipshelf_daemon.internal.wire import MailboxMessage
 from cowslipshelf_fleet.internal.envelope import (
     Envelope,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -28,10 +28,12 @@
     ConfigurationActor,
     ConfigurationParts,
 )
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.entry.dispatch import Dispatch
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
 from cowslipshelf_daemon.internal.entry.operators_handler import (
     EntryOperatorsHandler,
     OperatorsParts,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
@@ -10,11 +10,11 @@
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.requests import CallerRequest, RequestConfig, RequestMachine
-from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
-from cowslipshelf_daemon.internal.entry.in_force import (
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationIndex,
     ConfigurationInForce,
 )
+from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
 from cowslipshelf_daemon.internal.entry.open_requests import OpenRequests
 from cowslipshelf_daemon.internal.entry.request_driver import (
     DriverServices,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -18,7 +18,9 @@
 )
 from cowslipshelf_core.messages import ConfigurationSnapshot, FetchConfiguration
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.post import Delivered, Post
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/dispatch.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/dispatch.py
@@ -15,7 +15,9 @@
     Suspect,
     Withdraw,
 )
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.post import Delivered
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_fleet.mailboxes import Received
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -30,9 +30,11 @@
 from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import ChangeId, OperatorName, PlanId, RequestId
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
 from cowslipshelf_daemon.internal.entry.open_requests import OpenRequests
 from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateQuery, leads
 from cowslipshelf_daemon.internal.entry.routing_actor import FleetStatus
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -51,7 +51,9 @@
 from cowslipshelf_core.routing import TickElapsed as RouterTick
 from cowslipshelf_core.upstream import UpstreamDescription
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
