--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -23,7 +23,7 @@
     EntryCallersHandler,
     new_attempt_id,
 )
-from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
+from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.configuration_actor import (
     ConfigurationActor,
     ConfigurationParts,
@@ -270,7 +270,7 @@
         RoutingDesk(actors.routing, parts.status),
         gateway,
         attempts,
-        CancelDesk(attempts),
+        CancelSender(attempts),
         SharedRetryBudget(RetryBudget.from_config(RetryBudgetConfig())),
         new_attempt_id,
         parts.metrics,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_desk.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_sender.py
@@ -8,7 +8,7 @@
 SENDERS = 8
 
 
-class CancelDesk:
+class CancelSender:
     """Own the threads that wait for sidecars to take cancels.
 
     A request leaves a sidecar because that one is dead or silent; a cancel sent from
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -64,7 +64,7 @@
 )
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
-from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
+from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecord
 from cowslipshelf_daemon.internal.entry.held_part import HeldPart
@@ -113,7 +113,7 @@
     routing: RoutingDesk
     control: ControlGateway
     attempts: AttemptsClient
-    cancels: CancelDesk
+    cancels: CancelSender
     retry_budget: SharedRetryBudget
     new_attempt_id: Callable[[], AttemptId]
     metrics: EntryMetrics
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -33,7 +33,7 @@
     TimePassed,
 )
 from cowslipshelf_core.upstream import HandOver
-from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
+from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.held_part import HeldPart
 from cowslipshelf_fleet.attempts import AttemptsClient, HandOverFailed
 
@@ -46,7 +46,7 @@
     """Be what the hand-over of a spread prompt uses."""
 
     attempts: AttemptsClient
-    cancels: CancelDesk
+    cancels: CancelSender
     note: Callable[[str], None]
     still_wanted: Callable[[], bool]
     """Whether the caller still waits and its deadline has not passed."""
