--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_desk.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
@@ -11,7 +11,7 @@
 from cowslipshelf_fleet.attempts import AttemptStream, HandOverFailed
 
 
-class SpreadDesk:
+class AttemptSender:
     """Own what several sidecars hold for one request."""
 
     def __init__(self, services: SpreadServices) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -64,12 +64,12 @@
 )
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.entry.attempt_sender import AttemptSender
 from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecord
 from cowslipshelf_daemon.internal.entry.held_part import HeldPart
 from cowslipshelf_daemon.internal.entry.routing_actor import RoutingDesk
-from cowslipshelf_daemon.internal.entry.spread_desk import SpreadDesk
 from cowslipshelf_daemon.internal.entry.spread_hand_over import (
     STEP,
     SpreadServices,
@@ -146,7 +146,7 @@
         """The upstream whose answer is read."""
         self.judged = judged_request(request)
         self.on_trial = False
-        self.spreads = SpreadDesk(
+        self.spreads = AttemptSender(
             SpreadServices(
                 services.attempts, services.cancels, record.note, self.still_wanted
             )
