--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -50,7 +50,7 @@
 from cowslipshelf_daemon.internal.entry.routing_actor import (
     FleetStatus,
     RoutingActor,
-    RoutingDesk,
+    RoutingClient,
     RoutingParts,
 )
 from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
@@ -267,7 +267,7 @@
     )
     services = DriverServices(
         settings.instance,
-        RoutingDesk(actors.routing, parts.status),
+        RoutingClient(actors.routing, parts.status),
         gateway,
         attempts,
         CancelSender(attempts),
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -69,7 +69,7 @@
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecord
 from cowslipshelf_daemon.internal.entry.held_part import HeldPart
-from cowslipshelf_daemon.internal.entry.routing_actor import RoutingDesk
+from cowslipshelf_daemon.internal.entry.routing_actor import RoutingClient
 from cowslipshelf_daemon.internal.entry.spread_hand_over import (
     STEP,
     SpreadServices,
@@ -110,7 +110,7 @@
     """Be what every request of one entry uses."""
 
     instance: InstanceId
-    routing: RoutingDesk
+    routing: RoutingClient
     control: ControlGateway
     attempts: AttemptsClient
     cancels: CancelSender
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -100,7 +100,7 @@
     reply: "SimpleQueue[PlacementAnswered]"
 
 
-class RoutingDesk:
+class RoutingClient:
     """Offer the routing actor's decisions to the threads that carry requests."""
 
     def __init__(self, actor: ActorRef, status: "FleetStatus") -> None:
