--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
@@ -3,7 +3,7 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.messages import AttemptRefused
 from cowslipshelf_core.upstream import HandOver
-from cowslipshelf_daemon.internal.entry.held_part import HeldPart
+from cowslipshelf_daemon.internal.entry.part_stream import PartStream
 from cowslipshelf_daemon.internal.entry.spread_hand_over import (
     SpreadHandOver,
     SpreadServices,
@@ -20,7 +20,7 @@
 
     def hand_over(
         self, chosen: ChosenUpstream, hand_over: HandOver
-    ) -> AttemptStream | HeldPart | AttemptRefused | HandOverFailed:
+    ) -> AttemptStream | PartStream | AttemptRefused | HandOverFailed:
         """Hand an attempt over; of a spread one the last part gives the answer."""
         if not chosen.helpers:
             address = chosen.attempts_address
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/held_part.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/part_stream.py
@@ -20,7 +20,7 @@
 from cowslipshelf_fleet.attempts import AttemptStream, StreamLostError
 
 
-class HeldPart:
+class PartStream:
     """Own the stream of one accepted part."""
 
     def __init__(self, attempt_id: AttemptId, stream: AttemptStream) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -68,7 +68,7 @@
 from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecord
-from cowslipshelf_daemon.internal.entry.held_part import HeldPart
+from cowslipshelf_daemon.internal.entry.part_stream import PartStream
 from cowslipshelf_daemon.internal.entry.routing_actor import RoutingClient
 from cowslipshelf_daemon.internal.entry.spread_hand_over import (
     STEP,
@@ -138,7 +138,7 @@
         self.record = record
         self.effects: deque[RequestEffect] = deque()
         self.gone = False
-        self.stream: AttemptStream | HeldPart | None = None
+        self.stream: AttemptStream | PartStream | None = None
         self.frames: Iterator[Frame] = iter(())
         self.streaming: AttemptId | None = None
         self.chosen: ChosenUpstream | None = None
@@ -337,7 +337,7 @@
         self.handle(RetryAnswered(allowed, random.random()))
 
     def open_stream(
-        self, stream: AttemptStream | HeldPart, attempt_id: AttemptId
+        self, stream: AttemptStream | PartStream, attempt_id: AttemptId
     ) -> None:
         """Begin to read an attempt's frames."""
         self.stream = stream
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -34,7 +34,7 @@
 )
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
-from cowslipshelf_daemon.internal.entry.held_part import HeldPart
+from cowslipshelf_daemon.internal.entry.part_stream import PartStream
 from cowslipshelf_fleet.attempts import AttemptsClient, HandOverFailed
 
 STEP = "spread"
@@ -66,11 +66,11 @@
         self.random = random.Random()
         self.services = services
         self.effects: deque[SpreadEffect] = deque()
-        self.held: dict[AttemptId, HeldPart] = {}
+        self.held: dict[AttemptId, PartStream] = {}
         self.reading: AttemptId = hand_over.attempt_id
         self.result: SpreadResult | None = None
 
-    def run(self) -> HeldPart | AttemptRefused | HandOverFailed:
+    def run(self) -> PartStream | AttemptRefused | HandOverFailed:
         """Return the last part, which generates, or why there is none."""
         self.handle(SpreadStarted())
         while self.result is None or self.effects:
@@ -114,7 +114,7 @@
             case HandOverFailed(may_have_arrived, _, _, detail):
                 self.handle(PartUnanswered(attempt_id, may_have_arrived, detail))
             case _:
-                self.held[attempt_id] = HeldPart(attempt_id, answer)
+                self.held[attempt_id] = PartStream(attempt_id, answer)
                 self.reading = attempt_id
                 self.handle(TimePassed())
 
@@ -150,7 +150,7 @@
 
     def outcome(
         self, result: SpreadResult
-    ) -> HeldPart | AttemptRefused | HandOverFailed:
+    ) -> PartStream | AttemptRefused | HandOverFailed:
         """Return what a hand-over to one sidecar would."""
         if isinstance(result, SpreadBegun):
             for attempt_id, part in self.held.items():
