--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -31,9 +31,9 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.entry.dispatch import Dispatch
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
+from cowslipshelf_daemon.internal.entry.message_dispatcher import MessageDispatcher
 from cowslipshelf_daemon.internal.entry.operators_handler import (
     EntryOperatorsHandler,
     OperatorsParts,
@@ -179,7 +179,7 @@
         SuspectNews(settings.instance, post, metrics.metrics),
     )
     actors = start_actors(parts)
-    dispatch = Dispatch(
+    dispatch = MessageDispatcher(
         actors.routing,
         actors.configuration,
         actors.gateway,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/dispatch.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -23,7 +23,7 @@
 from cowslipshelf_fleet.mailboxes import Received
 
 
-class Dispatch(NamedTuple):
+class MessageDispatcher(NamedTuple):
     """Know the actors of one entry."""
 
     routing: ActorRef
