--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -53,7 +53,7 @@
     RoutingClient,
     RoutingParts,
 )
-from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
+from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.process_parts import (
     make_mailbox,
@@ -138,7 +138,7 @@
     records: RequestRecords
     metrics: EntryMetrics
     router: Router
-    news: SuspectNews
+    news: SuspectBroadcaster
 
 
 def make_router(settings: DaemonSettings) -> Router:
@@ -176,7 +176,7 @@
         RequestRecords(metrics),
         metrics,
         make_router(settings),
-        SuspectNews(settings.instance, post, metrics.metrics),
+        SuspectBroadcaster(settings.instance, post, metrics.metrics),
     )
     actors = start_actors(parts)
     dispatch = MessageDispatcher(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -54,7 +54,7 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
+from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Received
@@ -223,7 +223,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     post: Post
-    news: SuspectNews
+    news: SuspectBroadcaster
 
 
 class RoutingActor(DaemonActor):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_news.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -15,7 +15,7 @@
 """Words to the others between two looks for what is too old."""
 
 
-class SuspectNews:
+class SuspectBroadcaster:
     """Own what waits to be told again; any thread may use it."""
 
     def __init__(self, instance: InstanceId, post: Post, metrics: Metrics) -> None:
