--- a/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/bootstrap.py
@@ -57,14 +57,14 @@
 
 
 def on_join_asked(state: ReplicaState, sender: InstanceId, message: JoinAsked) -> None:
-    """Add the sender as the leader, or answer that this replica is empty too."""
-    newcomer = ReplicaId(sender, message.sender_folder)
+    """Add the sender if this replica leads, or answer that it is empty too."""
+    joining = ReplicaId(sender, message.sender_folder)
     if message.cluster not in ("", state.hard_state.cluster):
         return
     if state.leadership is not None:
-        admit_learner(state, newcomer)
+        admit_learner(state, joining)
     elif is_empty(state):
-        answer = JoinAnswered(state.replica_id.folder, newcomer.folder)
+        answer = JoinAnswered(state.replica_id.folder, joining.folder)
         state.effects.append(SendTo(sender, answer))
 
 
--- a/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/elections.py
@@ -98,7 +98,7 @@
 ) -> None:
     """Grant or refuse a vote or pre-vote.
 
-    The caller has already adopted the term of a vote that is above its own.
+    The caller has already adopted the candidate's term if that was newer.
     """
     own = (state.log.last_term, state.log.last_index)
     up_to_date = (message.last_term, message.last_index) >= own
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -125,16 +125,16 @@
     return Membership((*membership.voters, learner), learners)
 
 
-def admit_learner(state: ReplicaState, newcomer: ReplicaId) -> None:
+def admit_learner(state: ReplicaState, learner: ReplicaId) -> None:
     """Add an empty replica as a learner, if its instance may join.
 
     A request that arrives during another change is ignored, since the replica
     repeats it.
     """
-    known = newcomer.instance in state.replica_instances
+    known = learner.instance in state.replica_instances
     if not known and not state.config.open_membership:
         return
-    proposed = change_membership(state.membership, AddReplica(newcomer))
+    proposed = change_membership(state.membership, AddReplica(learner))
     if proposed is not None and can_change_to(state, proposed):
         append_membership(state, proposed, "", 0.0)
 
--- a/packages/core/src/cowslipshelf_core/internal/agreement/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/state.py
@@ -82,10 +82,13 @@
     now: float = 0.0
     """Replica time: seconds since the first event, without backward clock jumps."""
     clock: float | None = None
+    """Last reading of the clock, in monotonic seconds."""
     random: Random | None = None
     effects: list[Effect] = field(default_factory=list)
     election_due: float | None = None
+    """When to start the next campaign, in replica time."""
     leader_heard_at: float | None = None
+    """When the last message of a leader came, in replica time."""
     vote_round_ends: float = 0.0
     """Until when the last vote that this replica gave may still elect a leader."""
     sync_times: SyncTimes = field(default_factory=SyncTimes)
@@ -296,8 +299,8 @@
     def start_campaign_timer(self) -> None:
         """Schedule the first campaign after a start, with the shortest random time.
 
-        If all replicas were killed at once, requests fail until one leads. If there is
-        a leader, it is not deposed, since replicas that hear it grant no pre-vote.
+        If all replicas were killed at once, nothing is served until one leads. If there
+        is a leader, it is not deposed, since replicas that hear it grant no pre-vote.
         """
         longest = self.config.election_seconds
         self.election_due = self.now + self.random.uniform(longest / 10, longest / 3)
--- a/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/sync_times.py
@@ -31,6 +31,7 @@
     """Last batch with a vote or a term, if any."""
     entries: list[SyncSample] = field(default_factory=list)
     peer_seconds: dict[ReplicaId, float] = field(default_factory=dict)
+    """Sync time that each other replica last reported, in seconds."""
 
     def record(self, seconds: float, with_vote: bool, now: float) -> None:
         """Record how long a batch took to become durable here."""
--- a/tests/common/single_replica.py
+++ b/tests/common/single_replica.py
@@ -44,25 +44,25 @@
 class Receiver:
     """Record the messages that are sent to an actor or by the post."""
 
-    told: list = field(default_factory=list)
+    messages: list = field(default_factory=list)
     instance: str = "entry-1"
     address: str = "here"
 
     def tell(self, message):
         """Record a message to an actor."""
-        self.told.append(message)
+        self.messages.append(message)
 
     def send(self, _address, message):
         """Record a message to an address."""
-        self.told.append(message)
+        self.messages.append(message)
 
     def send_to_instance(self, _instance, message):
         """Drop a message to an instance, as the post does if it doesn't know it."""
 
     def take(self, kind) -> list:
         """Return the recorded messages of one type, and clear the record."""
-        found = [message for message in self.told if isinstance(message, kind)]
-        self.told.clear()
+        found = [message for message in self.messages if isinstance(message, kind)]
+        self.messages.clear()
         return found
 
 
--- a/tests/cover/agreement/test_leadership.py
+++ b/tests/cover/agreement/test_leadership.py
@@ -129,11 +129,11 @@
 
 
 def test_every_replica_answers_reads_that_see_what_was_acknowledged():
-    """A process that starts is told an old configuration by a follower.
+    """A follower answers a starting process with an old configuration.
 
-    A follower is asked right after a change was acknowledged that it has not heard
-    to be committed. It may answer only once the leader, confirmed by a quorum after
-    the question, has told it from which index on; cut off, it must not answer.
+    The follower is asked right after a change was acknowledged, and does not know yet
+    that it is committed. It may answer only at the read index of a leader that a quorum
+    has confirmed after the request. A partitioned follower must not answer.
     """
     cluster = Cluster.settled()
     follower = cluster.followers()[0]
--- a/tests/cover/agreement/test_membership.py
+++ b/tests/cover/agreement/test_membership.py
@@ -144,12 +144,12 @@
     first entry was synced. Found by a random walk.
     """
     cluster = Cluster.of_size(3)
-    founder = sorted(cluster.nodes)[0]
+    first = sorted(cluster.nodes)[0]
     cluster.tick(0.1)
-    while cluster.nodes[founder].running:
-        positions = [m.recipient == founder for m in cluster.network]
+    while cluster.nodes[first].running:
+        positions = [m.recipient == first for m in cluster.network]
         position = positions.index(True) if any(positions) else 0
-        answers = cluster.nodes[founder].replica.state.empty_peers
+        answers = cluster.nodes[first].replica.state.empty_peers
         last_answer = any(positions) and len(answers) == 1
         crash = Crash(CrashPoint.BEFORE_SYNC) if last_answer else None
         cluster.deliver(position, crash=crash)
@@ -195,14 +195,14 @@
     wiped = cluster.followers()[0]
     cluster.wipe(wiped)
     cluster.restart(wiped)
-    newcomer = cluster.nodes[wiped].replica.state
-    while not newcomer.hard_state.cluster:
+    joining = cluster.nodes[wiped].replica.state
+    while not joining.hard_state.cluster:
         cluster.tick(0.02)
         cluster.network = [
             item for item in cluster.network if item.recipient in (leader, wiped)
         ]
         cluster.deliver_all()
-    assert newcomer.log.last_index == 0
+    assert joining.log.last_index == 0
     cluster.crash(leader)
     cluster.network.clear()
     cluster.run_until(lambda: cluster.leader() is not None)
--- a/tests/cover/agreement/test_open_membership.py
+++ b/tests/cover/agreement/test_open_membership.py
@@ -68,13 +68,13 @@
     cluster = started_cluster()
     accepted = cluster.acknowledge()
     cluster.crash("entry-2")
-    newcomer = InstanceId("entry-9")
-    cluster.nodes[newcomer] = Node(newcomer, cluster.new_disk(newcomer))
-    cluster.restart(newcomer)
-    known = ("entry-0", "entry-1", newcomer)
-    cluster.step(newcomer, [ReplicasSeen(known)])
+    joining = InstanceId("entry-9")
+    cluster.nodes[joining] = Node(joining, cluster.new_disk(joining))
+    cluster.restart(joining)
+    known = ("entry-0", "entry-1", joining)
+    cluster.step(joining, [ReplicasSeen(known)])
     cluster.run_until(lambda: has_voters(cluster, known))
-    assert accepted in cluster.nodes[newcomer].commands
+    assert accepted in cluster.nodes[joining].commands
 
 
 def test_a_voter_that_was_silent_for_long_comes_back():
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -37,23 +37,23 @@
     An operator and some callers wait for outcomes that went with the batch. They must
     be told at once, and truly: nothing that was not synced counts as done.
     """
-    lonely = SingleReplica()
-    lonely.deliver_together([propose(number) for number in range(before)])
-    results = lonely.post.take(ProposalResult)
+    single = SingleReplica()
+    single.deliver_together([propose(number) for number in range(before)])
+    results = single.post.take(ProposalResult)
     assert [result.refusal for result in results] == [None] * before
-    lonely.gateway.told.clear()
-    lonely.storage.full = True
+    single.gateway.messages.clear()
+    single.storage.full = True
     asked = [FetchConfiguration(0, f"q{number}") for number in range(reads)]
-    lonely.deliver_together([*asked, *[propose(9 + n) for n in range(during)]])
-    told = list(lonely.post.told)
-    results = lonely.post.take(ProposalResult)
+    single.deliver_together([*asked, *[propose(9 + n) for n in range(during)]])
+    told = list(single.post.messages)
+    results = single.post.take(ProposalResult)
     assert {result.proposal_id for result in results} == {
         f"p{9 + number}" for number in range(during)
     }
     assert {result.refusal for result in results} <= REFUSALS
     answers = [one for one in told if isinstance(one, ConfigurationSnapshot)]
     assert [answer.confirmed_by_quorum for answer in answers] == [False] * reads
-    assert lonely.gateway.take(LeaderSeen)[-1] == LeaderSeen(None)
+    assert single.gateway.take(LeaderSeen)[-1] == LeaderSeen(None)
 
 
 def test_a_replica_whose_disk_failed_goes_on_refusing():
@@ -62,20 +62,20 @@
     What the page cache lost meanwhile is unknown, so only a restart may vote again.
     Until then operators see the failure, and proposers turn elsewhere at once.
     """
-    lonely = SingleReplica()
-    lonely.storage.full = True
-    lonely.deliver_together([propose(1)])
-    lonely.storage.full = False
-    lonely.post.told.clear()
+    single = SingleReplica()
+    single.storage.full = True
+    single.deliver_together([propose(1)])
+    single.storage.full = False
+    single.post.messages.clear()
     for _ in range(20):
-        lonely.actor.on_receive(Tick())
+        single.actor.on_receive(Tick())
         time.sleep(ELECTION_SECONDS / 2)
-    lonely.deliver_together([propose(2), FetchConfiguration(0, "q")])
-    told = list(lonely.post.told)
+    single.deliver_together([propose(2), FetchConfiguration(0, "q")])
+    told = list(single.post.messages)
     (refused,) = [one for one in told if isinstance(one, ProposalResult)]
     assert refused.refusal is ProposalRefusal.DISK_FAILED
     (answer,) = [one for one in told if isinstance(one, ConfigurationSnapshot)]
     assert not answer.confirmed_by_quorum
-    status = lonely.actor.replica.status()
+    status = single.actor.replica.status()
     assert (status.role, status.leader) == (Role.FAILED, None)
     assert "no space left" in status.failure
--- a/tests/cover/daemon/test_unknown_commands.py
+++ b/tests/cover/daemon/test_unknown_commands.py
@@ -15,16 +15,16 @@
     A leader of a newer version committed a command; an older replica skipped it, went
     on with another state, and later sent that state on as a snapshot.
     """
-    lonely = SingleReplica()
+    single = SingleReplica()
     entry = Entry(9, 9, 0.0, EntryKind.COMMAND, NEWER_COMMAND, "p")
     with pytest.raises(ControlCodecError):
-        lonely.actor.apply(9, entry)
+        single.actor.apply(9, entry)
 
 
 def test_a_leader_puts_no_command_into_the_log_that_it_cannot_read():
     """All replicas end at once, again and again: the log holds bytes nobody reads."""
-    lonely = SingleReplica()
-    before = lonely.actor.replica.status().last_index
-    lonely.deliver_together([Propose("p", NEWER_COMMAND)])
-    assert lonely.actor.replica.status().last_index == before
-    assert not lonely.actor.proposers
+    single = SingleReplica()
+    before = single.actor.replica.status().last_index
+    single.deliver_together([Propose("p", NEWER_COMMAND)])
+    assert single.actor.replica.status().last_index == before
+    assert not single.actor.proposers
