--- a/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/leading.py
@@ -24,9 +24,9 @@
 def on_command_proposed(state: ReplicaState, event: CommandProposed) -> None:
     """Append a command as the leader, unless it is already waiting for its commit.
 
-    A proposer repeats a proposal that is not answered within a second. Large ones
-    took longer, and each copy was replicated before the proposals behind it. A repeat
-    is answered when the first copy is committed.
+    A proposer repeats a proposal that is not answered within a second. A large one can
+    take longer, and each copy would be replicated before the proposals behind it. A
+    repeat is answered when the first copy is committed.
     """
     leadership = state.leadership
     if event.proposal_id in leadership.proposals.values():
@@ -47,8 +47,8 @@
     if state.leadership is not None:
         if state.leadership.transfer_target is not None:
             return ProposalRefusal.TRANSFERRING
-        # A cluster that still has one voter keeps a command on one disk only, and
-        # would lose an acknowledged command with that disk.
+        # A cluster that one replica started alone has commands on one disk only, and
+        # would lose them with that disk after they were acknowledged.
         if lacks_voters(state):
             return ProposalRefusal.NO_QUORUM
         return None
--- a/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/membership.py
@@ -143,7 +143,7 @@
     """Remove the one silent voter of an open cluster that has more than needed.
 
     A lost instance would otherwise count in every quorum until an operator removed
-    it, and the next loss could stop all changes. Nothing is removed while more than
+    it, and the next loss would stop all changes. Nothing is removed while more than
     one voter is silent.
     """
     config = state.config
--- a/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/read_index.py
@@ -20,8 +20,8 @@
     if leader is None or state.failure:
         state.effects.append(ReadFailed(event.read_id, state.leader))
         return
-    ends = state.now + state.config.election_seconds
-    state.forwarded_reads[event.read_id] = ForwardedRead(ends)
+    deadline = state.now + state.config.election_seconds
+    state.forwarded_reads[event.read_id] = ForwardedRead(deadline)
     state.send(leader, ReadIndexAsked, read_id=event.read_id)
 
 
@@ -34,8 +34,8 @@
 def queue_read(state: ReplicaState, read_id: str, asked_by: ReplicaId | None) -> None:
     """Queue a read for the next round of heartbeats.
 
-    The round must start after the request: an earlier one proves only that the
-    leader was in office before it. Earlier leaders may have committed entries up to
+    The round must start after the request: an earlier one proves only that this
+    replica led before it. Earlier leaders may have committed entries up to just before
     the own no-op, so the read index is at least that of the no-op.
     """
     leadership = state.leadership
