--- a/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/replica.py
@@ -320,7 +320,7 @@
                 replication.on_append_refused(self.state, peer, message)
             case SnapshotReceived():
                 snapshots.on_snapshot_received(self.state, peer, message)
-        # Messages sent while the replica was away are lost. Without this, it would
-        # wait for the next retry, though the last one may be just before its return.
+        # Messages sent while the replica was away are lost. Without this, it would wait
+        # for the next retry; the last one may have been sent just before its return.
         if returned:
             replication.resend(self.state, peer, progress)
