--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/deciders.py
@@ -7,8 +7,8 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
-    roster_digest,
+    EntryEndpoint,
+    digest_entries,
 )
 from cowslipshelf_core.directory import (
     AnnounceArrived,
@@ -158,7 +158,7 @@
 
 def measure_sidecar(open_attempts: int, repeats: int) -> list[list[Reading]]:
     """Time one attempt and a tick beside attempts that stay open."""
-    config = SidecarConfig(description(0), EPOCH, most_running=open_attempts + 16)
+    config = SidecarConfig(description(0), EPOCH, max_running=open_attempts + 16)
     state = SidecarState.from_config(config)
     state.handle(SidecarConfigured(configuration(1)), 0.0)
     numbers = [0]
@@ -192,7 +192,7 @@
 def measure_announcing(entries: int, repeats: int) -> list[list[Reading]]:
     """Time how a sidecar chooses entries, and how lists of entries are compared."""
     places = [
-        EntryPlace(f"coruche-hall-entry-{n:03}", f"10.20.30.40:{10_000 + n}")
+        EntryEndpoint(f"coruche-hall-entry-{n:03}", f"10.20.30.40:{10_000 + n}")
         for n in range(entries)
     ]
     config = EntryChooserConfig(description(0).upstream_id)
@@ -202,7 +202,7 @@
         chooser.targets(0.0)
 
     def digest(_: int) -> None:
-        roster_digest(places)
+        digest_entries(places)
 
     return repeated(repeats, {"choice": choice, "digest of the list": digest})
 
--- a/packages/core/src/cowslipshelf_core/internal/directory/directory.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/directory.py
@@ -18,8 +18,8 @@
     DirectoryEvent,
     DrainingChanged,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     TickElapsed,
     WithdrawArrived,
 )
@@ -30,7 +30,7 @@
     Shown,
     UpstreamRecord,
 )
-from cowslipshelf_core.internal.standstill import StandstillWatch
+from cowslipshelf_core.internal.pause_detector import PauseDetector
 from cowslipshelf_core.messages import Announce, Suspect, Withdraw
 
 
@@ -39,7 +39,7 @@
     """Tell the router which upstreams may be given work, as one entry sees them."""
 
     config: DirectoryConfig
-    watch: StandstillWatch
+    watch: PauseDetector
     mass_loss: MassLossJudge
     records: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
     restless: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
@@ -53,7 +53,7 @@
     @classmethod
     def from_config(cls, config: DirectoryConfig) -> Self:
         """Start knowing no upstream."""
-        watch = StandstillWatch()
+        watch = PauseDetector()
         return cls(config, watch, MassLossJudge(config))
 
     def handle(self, event: DirectoryEvent, now: float) -> list[DirectoryEffect]:
@@ -89,7 +89,7 @@
         restarted = freshness is Freshness.RESTARTED
         if restarted:
             effects += self._hide(record, UnavailableReason.RESTARTED)
-            record.retire_epoch(self.config.retired_epochs_kept)
+            record.retire_epoch(self.config.max_retired_epochs)
         if restarted or record.is_absent:
             self._admit_again(record, now)
         newer_load = announce.load.sequence > record.announce.load.sequence
@@ -134,7 +134,7 @@
 
     def _tick(self, now: float) -> list[DirectoryEffect]:
         standstill = self.watch.tick(now)
-        # See StandstillWatch: else the whole fleet would seem to have fallen silent.
+        # See PauseDetector: else the whole fleet would seem to have fallen silent.
         if standstill:
             self._prolong_leases(standstill, now)
         self._drop_forgotten(now)
@@ -151,7 +151,7 @@
             record.heard_at = min(now, record.heard_at + seconds)
 
     def _drop_forgotten(self, now: float) -> None:
-        oldest = now - self.config.flap_forgotten_seconds
+        oldest = now - self.config.flap_reset_seconds
         forgotten = [
             name
             for name, record in self.restless.items()
@@ -196,13 +196,13 @@
     def _remove_if_due(self, record: UpstreamRecord, now: float) -> None:
         if record.silent_since is None or self.mass_loss.is_doubtful(record, now):
             return
-        lease = self.config.drop_seconds(record.announce.lease_seconds)
+        lease = self.config.max_silence_seconds(record.announce.lease_seconds)
         if record.is_confirmed(self.config, now):
             due_after = max(self.config.removal_seconds, lease)
         elif self.others:
             due_after = self.config.unconfirmed_removal_seconds
         else:
-            due_after = self.config.alone_removal_seconds
+            due_after = self.config.sole_observer_removal_seconds
         if record.silent_seconds(now) >= due_after:
             record.depart(Departure.SILENT, now)
 
@@ -217,7 +217,7 @@
             if record.silent_since is not None and rested:
                 record.told_at = now
                 silence = now - record.heard_at
-                effects.append(TellEntries(Suspect(name, record.epoch, silence)))
+                effects.append(SendSuspicion(Suspect(name, record.epoch, silence)))
         return effects
 
     def _unavailable_reason(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -17,8 +17,8 @@
     MassLossBegan,
     MassLossEnded,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     UpstreamAvailable,
     UpstreamUnavailable,
     WithdrawArrived,
@@ -328,7 +328,9 @@
     def answer_announcement(self, announce: Announce, address: str) -> None:
         """Tell a sidecar which entries there are."""
         upstream_id = announce.description.upstream_id
-        news = () if announce.roster == self.post.roster else self.post.entries()
+        news = (
+            () if announce.entries_digest == self.post.roster else self.post.entries()
+        )
         answer = AnnounceAnswer(upstream_id, news)
         self.post.send(address, answer)
 
@@ -341,7 +343,7 @@
         """Give the directory an event and pass on what it says."""
         for effect in self.directory.handle(event, now):
             match effect:
-                case TellEntries(suspect):
+                case SendSuspicion(suspect):
                     self.post.tell_other_entries(suspect)
                 case MassLossBegan(silent, known):
                     LOG.warning("most upstreams silent", silent=silent, known=known)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -75,12 +75,12 @@
     def take_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
         """Take in a configuration: a copy, an answer, or what the own replica holds."""
         document = snapshot.document
-        if snapshot.question:
+        if snapshot.query_id:
             self.client.take_answer(snapshot)
         elif sender != self.view.settings.instance:
             self.note_copy(sender, document)
         if document.body and self.take_routes(document):
-            self.fetch.note_received(len(document.body), time.monotonic())
+            self.fetch.record_copy(len(document.body), time.monotonic())
 
     def note_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a copy of the configuration; those in vain fill links."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
+    EntryEndpoint,
 )
 from cowslipshelf_core.configuration_view import (
     ApplyConfiguration,
@@ -38,19 +38,17 @@
 from cowslipshelf_core.prompt_parts import KvReference
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
-    AskFencing,
     CancelArrived,
     CancelAtUpstream,
     ConfigurationApplied,
+    DropFrames,
     EndAttempt,
     FencingConfirmed,
     FirstTokenArrived,
-    ForgetAttempt,
-    GiveOrder,
     HandOverArrived,
     InventoryRead,
-    LeavingBegun,
-    LeftForGood,
+    LeavingFinished,
+    LeavingStarted,
     OrderArrived,
     OrderFinished,
     OwnerSeen,
@@ -58,11 +56,13 @@
     RefuseAttempt,
     RefuseOrder,
     ReleaseAtUpstream,
+    ReportReserved,
+    RequestFencing,
+    RunOrder,
     SidecarEffect,
     SidecarEvent,
     SidecarState,
     StartAttempt,
-    TellReserved,
     TickElapsed,
     UpstreamAccepted,
     UpstreamFinished,
@@ -128,10 +128,11 @@
     config = EntryChooserConfig(
         settings.sidecar.upstream.upstream_id,
         settings.sidecar.announce_entries,
-        silent_seconds=settings.timings.lease_seconds,
+        answer_timeout_seconds=settings.timings.lease_seconds,
     )
     entries = [
-        EntryPlace(entry.instance, entry.mailbox_address) for entry in settings.entries
+        EntryEndpoint(entry.instance, entry.mailbox_address)
+        for entry in settings.entries
     ]
     return EntryChooser.from_config(config, entries)
 
@@ -177,7 +178,7 @@
             case LeaveAsked():
                 self.leave = message
                 LOG.info("leaving", upstream=self.description.upstream_id)
-                self.decide(LeavingBegun(), now)
+                self.decide(LeavingStarted(), now)
                 self.announce(now)
             case UpstreamFinished(attempt_id=attempt_id):
                 self.runners.pop(attempt_id, None)
@@ -247,22 +248,22 @@
         match effect:
             case StartAttempt(hand_over, parts):
                 self.start_attempt(hand_over, parts)
-            case TellReserved(attempt_id):
+            case ReportReserved(attempt_id):
                 self.attempts.find(attempt_id).append(AttemptReserved())
             case EndAttempt(attempt_id, refusal):
                 self.end_attempt(attempt_id, refusal)
             case CancelAtUpstream(attempt_id) | ReleaseAtUpstream(attempt_id):
                 self.cancel_at_upstream(attempt_id)
-            case ForgetAttempt(attempt_id):
+            case DropFrames(attempt_id):
                 self.attempts.forget(attempt_id)
-            case LeftForGood():
+            case LeavingFinished():
                 self.left_for_good()
-            case GiveOrder(order):
+            case RunOrder(order):
                 LOG.info("order given", order=order.order_id, fencing=order.fencing)
                 OrderRunner(order, self.orders).start()
             case RefuseOrder(order, reason, newest):
                 LOG.info("order refused", order=order.order_id, why=reason, new=newest)
-            case AskFencing():
+            case RequestFencing():
                 self.ask_fencing()
 
     def start_attempt(
@@ -319,17 +320,17 @@
         self.look_at_configuration(seen, now)
         match received.message:
             case AnnounceAnswer(entries=entries):
-                self.chooser.learn(EntryPlace(*entry) for entry in entries)
-                self.chooser.answered(received.sender_address)
+                self.chooser.add(EntryEndpoint(*entry) for entry in entries)
+                self.chooser.record_answer(received.sender_address)
             case ConfigurationSnapshot() as snapshot:
                 arrived = SnapshotArrived(snapshot, received.sender_address)
                 self.look_at_configuration(arrived, now)
             case OrderSent() as order if self.orders is not None:
                 self.decide(OrderArrived(order), now)
-            case FencingAnswered(question=question, fencing=fencing):
+            case FencingAnswered(query_id=query_id, fencing=fencing):
                 # An answer to a question of an earlier start may be older than an
                 # order that this start's predecessor gave.
-                if question == self.epoch:
+                if query_id == self.epoch:
                     self.decide(FencingConfirmed(fencing), now)
 
     def look_at_configuration(self, event: ConfigurationViewEvent, now: float) -> None:
@@ -375,7 +376,7 @@
             timings.lease_seconds,
             self.state.load_report(),
             leaving=not self.state.takes_work,
-            roster=self.chooser.roster,
+            entries_digest=self.chooser.entries_digest,
         )
         for entry in self.chooser.targets(now):
             self.mailbox.send(entry.mailbox_address, announcement)
