--- a/packages/core/src/cowslipshelf_core/announcing.py
+++ b/packages/core/src/cowslipshelf_core/announcing.py
@@ -10,7 +10,7 @@
 RANK_BYTES = 8
 
 
-class EntryPlace(NamedTuple):
+class EntryEndpoint(NamedTuple):
     """Be an entry instance and the address of its mailbox."""
 
     instance: InstanceId
@@ -18,16 +18,16 @@
 
 
 def choose_entries(
-    upstream_id: UpstreamId, entries: Collection[EntryPlace], most: int
-) -> tuple[EntryPlace, ...]:
-    """Choose at most `most` entries, spread evenly over all upstreams.
+    upstream_id: UpstreamId, entries: Collection[EntryEndpoint], limit: int
+) -> tuple[EntryEndpoint, ...]:
+    """Choose at most `limit` entries, spread evenly over all upstreams.
 
     Each upstream ranks the entries by a hash of both names (rendezvous hashing), so an
     entry that comes or goes moves only those upstreams that choose it. Hearing every
     upstream would cost an entry in proportion to the whole fleet.
     """
     ranked = sorted(entries, key=lambda entry: rank(upstream_id, entry.instance))
-    return tuple(ranked[:most])
+    return tuple(ranked[:limit])
 
 
 def rank(upstream_id: UpstreamId, instance: InstanceId) -> bytes:
@@ -36,7 +36,7 @@
     return blake2b(text, digest_size=RANK_BYTES).digest()
 
 
-def roster_digest(entries: Collection[EntryPlace]) -> str:
+def digest_entries(entries: Collection[EntryEndpoint]) -> str:
     """Return a digest by which two lists of entries can be told apart."""
     digest = blake2b(digest_size=RANK_BYTES)
     for entry in sorted(entries):
@@ -48,8 +48,8 @@
     """Set how many entries hear of an upstream, and when one counts as gone."""
 
     upstream_id: UpstreamId
-    most_entries: int = 8
-    silent_seconds: float = 3.0
+    max_entries: int = 8
+    answer_timeout_seconds: float = 3.0
     """Time without an answer after which another entry takes the place of one."""
     retry_seconds: float = 30.0
     """Time after which a silent entry is tried again."""
@@ -59,7 +59,7 @@
 class Contact:
     """Be what is known of one entry; times in monotonic seconds."""
 
-    place: EntryPlace
+    place: EntryEndpoint
     asked_since: float | None = None
     """When it was first announced to without an answer since."""
 
@@ -79,44 +79,42 @@
     config: EntryChooserConfig
     contacts: dict[str, Contact] = field(default_factory=dict)
     """By mailbox address."""
-    roster: str = roster_digest(())
+    entries_digest: str = digest_entries(())
     """Digest of the entries known; each announcement carries it."""
 
     @classmethod
     def from_config(
-        cls, config: EntryChooserConfig, entries: Iterable[EntryPlace]
+        cls, config: EntryChooserConfig, entries: Iterable[EntryEndpoint]
     ) -> Self:
         """Start with the entries of the settings."""
         chooser = cls(config)
-        chooser.learn(entries)
+        chooser.add(entries)
         return chooser
 
-    def learn(self, entries: Iterable[EntryPlace]) -> None:
+    def add(self, entries: Iterable[EntryEndpoint]) -> None:
         """Add entries that another one named."""
         known = len(self.contacts)
         for place in entries:
             self.contacts.setdefault(place.mailbox_address, Contact(place))
         if len(self.contacts) != known:
-            self.roster = roster_digest(
+            self.entries_digest = digest_entries(
                 [contact.place for contact in self.contacts.values()]
             )
 
-    def answered(self, mailbox_address: str) -> None:
+    def record_answer(self, mailbox_address: str) -> None:
         """Note that an entry answered."""
         contact = self.contacts.get(mailbox_address)
         if contact is not None:
             contact.asked_since = None
 
-    def targets(self, now: float) -> tuple[EntryPlace, ...]:
+    def targets(self, now: float) -> tuple[EntryEndpoint, ...]:
         """Choose the entries to announce to now, and count them as asked."""
         heard = [
             contact.place
             for contact in self.contacts.values()
             if not self._is_passed_over(contact, now)
         ]
-        chosen = choose_entries(
-            self.config.upstream_id, heard, self.config.most_entries
-        )
+        chosen = choose_entries(self.config.upstream_id, heard, self.config.max_entries)
         for place in chosen:
             contact = self.contacts[place.mailbox_address]
             if contact.asked_since is None:
@@ -126,4 +124,4 @@
     def _is_passed_over(self, contact: Contact, now: float) -> bool:
         if contact.is_silent(now, self.config.retry_seconds):
             contact.asked_since = None
-        return contact.is_silent(now, self.config.silent_seconds)
+        return contact.is_silent(now, self.config.answer_timeout_seconds)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/post.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/post.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from typing import NamedTuple
 
-from cowslipshelf_core.announcing import EntryPlace, roster_digest
+from cowslipshelf_core.announcing import EntryEndpoint, digest_entries
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_core.messages import Message
 from cowslipshelf_fleet.mailboxes import Mailbox
@@ -44,8 +44,8 @@
             if self.addresses.get(instance) == address:
                 return
             self.addresses[instance] = address
-            places = [EntryPlace(*entry) for entry in self.addresses.items()]
-            self.roster = roster_digest(places)
+            places = [EntryEndpoint(*entry) for entry in self.addresses.items()]
+            self.roster = digest_entries(places)
 
     def entries(self) -> tuple[tuple[InstanceId, str], ...]:
         """List the entry instances known, this one included."""
