--- a/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
@@ -6,7 +6,7 @@
 from cowslipshelf_core.internal.routing.cost import RequestProfile
 from cowslipshelf_core.internal.routing.fleet import Group
 from cowslipshelf_core.internal.routing.upstream_view import UpstreamView
-from cowslipshelf_core.prompt_parts import PartPlace
+from cowslipshelf_core.prompt_parts import PartAssignment
 
 PREFERRED_MEMORY_SHARE = 0.8
 """Share of each upstream's memory that a spread prompt uses if enough upstreams can
@@ -20,7 +20,7 @@
     last: UpstreamView
     from_token: int
     """First token of the last upstream's part."""
-    helpers: tuple[PartPlace, ...]
+    helpers: tuple[PartAssignment, ...]
 
     @property
     def reason(self) -> str:
@@ -91,9 +91,9 @@
     return Spread(views[-1], start, tuple(helpers))
 
 
-def part_place(view: UpstreamView, start: int, end: int) -> PartPlace:
+def part_place(view: UpstreamView, start: int, end: int) -> PartAssignment:
     """Return the place of one part of a prompt."""
-    return PartPlace(
+    return PartAssignment(
         view.description.upstream_id,
         view.epoch,
         view.description.attempts_address,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -17,8 +17,8 @@
     MassLossBegan,
     MassLossEnded,
     ObserversChanged,
+    SendSuspicion,
     SuspectArrived,
-    TellEntries,
     UpstreamAvailable,
     UpstreamUnavailable,
     WithdrawArrived,
@@ -51,8 +51,10 @@
 from cowslipshelf_core.routing import TickElapsed as RouterTick
 from cowslipshelf_core.upstream import UpstreamDescription
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
-from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
+from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Received
@@ -98,7 +100,7 @@
     reply: "SimpleQueue[PlacementAnswered]"
 
 
-class RoutingDesk:
+class RoutingClient:
     """Offer the routing actor's decisions to the threads that carry requests."""
 
     def __init__(self, actor: ActorRef, status: "FleetStatus") -> None:
@@ -221,7 +223,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     post: Post
-    news: SuspectNews
+    news: SuspectBroadcaster
 
 
 class RoutingActor(DaemonActor):
@@ -328,7 +330,9 @@
     def answer_announcement(self, announce: Announce, address: str) -> None:
         """Tell a sidecar which entries there are."""
         upstream_id = announce.description.upstream_id
-        news = () if announce.roster == self.post.roster else self.post.entries()
+        news = (
+            () if announce.entries_digest == self.post.roster else self.post.entries()
+        )
         answer = AnnounceAnswer(upstream_id, news)
         self.post.send(address, answer)
 
@@ -341,7 +345,7 @@
         """Give the directory an event and pass on what it says."""
         for effect in self.directory.handle(event, now):
             match effect:
-                case TellEntries(suspect):
+                case SendSuspicion(suspect):
                     self.post.tell_other_entries(suspect)
                 case MassLossBegan(silent, known):
                     LOG.warning("most upstreams silent", silent=silent, known=known)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -75,7 +75,7 @@
     def receive_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
         """Take in a configuration: a copy, an answer, or what the own replica holds."""
         document = snapshot.document
-        if snapshot.question:
+        if snapshot.query_id:
             self.client.record_answer(snapshot)
         elif sender != self.view.settings.instance:
             self.record_copy(sender, document)
