--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -23,15 +23,17 @@
     EntryCallersHandler,
     new_attempt_id,
 )
-from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
+from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.configuration_actor import (
     ConfigurationActor,
     ConfigurationParts,
 )
-from cowslipshelf_daemon.internal.entry.dispatch import Dispatch
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecords
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
+from cowslipshelf_daemon.internal.entry.message_dispatcher import MessageDispatcher
 from cowslipshelf_daemon.internal.entry.operators_handler import (
     EntryOperatorsHandler,
     OperatorsParts,
@@ -48,10 +50,10 @@
 from cowslipshelf_daemon.internal.entry.routing_actor import (
     FleetStatus,
     RoutingActor,
-    RoutingDesk,
+    RoutingClient,
     RoutingParts,
 )
-from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
+from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.process_parts import (
     make_mailbox,
@@ -136,7 +138,7 @@
     records: RequestRecords
     metrics: EntryMetrics
     router: Router
-    news: SuspectNews
+    news: SuspectBroadcaster
 
 
 def make_router(settings: DaemonSettings) -> Router:
@@ -174,10 +176,10 @@
         RequestRecords(metrics),
         metrics,
         make_router(settings),
-        SuspectNews(settings.instance, post, metrics.metrics),
+        SuspectBroadcaster(settings.instance, post, metrics.metrics),
     )
     actors = start_actors(parts)
-    dispatch = Dispatch(
+    dispatch = MessageDispatcher(
         actors.routing,
         actors.configuration,
         actors.gateway,
@@ -265,10 +267,10 @@
     )
     services = DriverServices(
         settings.instance,
-        RoutingDesk(actors.routing, parts.status),
+        RoutingClient(actors.routing, parts.status),
         gateway,
         attempts,
-        CancelDesk(attempts),
+        CancelSender(attempts),
         SharedRetryBudget(RetryBudget.from_config(RetryBudgetConfig())),
         new_attempt_id,
         parts.metrics,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -73,7 +73,7 @@
 MOST_READS_WAITING = 4096
 
 
-class ControlStateAsked(NamedTuple):
+class ControlStateQuery(NamedTuple):
     """Ask for something that only the replicated state knows."""
 
     read: Callable[[ControlState, ReplicaStatus], Any]
@@ -128,7 +128,7 @@
                 self.receive(message)
             case TransferLeadership() | ReplicasSeen() | BootstrapCluster():
                 self.events.append(message)
-            case ControlStateAsked(read=read, reply=reply):
+            case ControlStateQuery(read=read, reply=reply):
                 reply.put(read(self.state, self.replica.status()))
         waiting = not self.actor_inbox.empty()
         if not waiting or len(self.events) >= MOST_EVENTS_PER_SYNC:
@@ -139,9 +139,9 @@
         match delivered.message:
             case Propose() as proposal:
                 self.take_proposal(proposal, delivered.sender_address)
-            case FetchConfiguration(question=question) if question:
+            case FetchConfiguration(query_id=query_id) if query_id:
                 self.ask_read(delivered)
-            case FetchRoutes(question=question) if question:
+            case FetchRoutes(query_id=query_id) if query_id:
                 self.ask_read(delivered)
             case FetchRoutes(have_version=have):
                 if self.state.routes.document.version > have:
@@ -343,13 +343,13 @@
     def answer_fencing(self, asked: Delivered, question: FencingAsked) -> None:
         """Send an upstream's newest fencing number, which a quorum has confirmed."""
         fencing = self.state.current_fencing(question.upstream_id)
-        answer = FencingAnswered(question.upstream_id, question.question, fencing)
+        answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
         self.post.send(asked.sender_address, answer)
 
     def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
         """Send the configuration as it is applied here."""
         snapshot = ConfigurationSnapshot(
-            self.state.configuration, confirmed, asked.message.question
+            self.state.configuration, confirmed, asked.message.query_id
         )
         self.post.send(asked.sender_address, snapshot)
 
@@ -362,7 +362,7 @@
         document = self.state.routes.document
         if confirmed and asked.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
-        snapshot = RoutesSnapshot(document, confirmed, asked.message.question)
+        snapshot = RoutesSnapshot(document, confirmed, asked.message.query_id)
         self.post.send(asked.sender_address, snapshot)
 
     def publish_routes(self) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -64,12 +64,12 @@
 )
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_daemon.internal.control_gateway import ControlGateway
-from cowslipshelf_daemon.internal.entry.cancel_desk import CancelDesk
+from cowslipshelf_daemon.internal.entry.attempt_sender import AttemptSender
+from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 from cowslipshelf_daemon.internal.entry.explanations import RequestRecord
-from cowslipshelf_daemon.internal.entry.held_part import HeldPart
-from cowslipshelf_daemon.internal.entry.routing_actor import RoutingDesk
-from cowslipshelf_daemon.internal.entry.spread_desk import SpreadDesk
+from cowslipshelf_daemon.internal.entry.part_stream import PartStream
+from cowslipshelf_daemon.internal.entry.routing_actor import RoutingClient
 from cowslipshelf_daemon.internal.entry.spread_hand_over import (
     STEP,
     SpreadServices,
@@ -110,10 +110,10 @@
     """Be what every request of one entry uses."""
 
     instance: InstanceId
-    routing: RoutingDesk
+    routing: RoutingClient
     control: ControlGateway
     attempts: AttemptsClient
-    cancels: CancelDesk
+    cancels: CancelSender
     retry_budget: SharedRetryBudget
     new_attempt_id: Callable[[], AttemptId]
     metrics: EntryMetrics
@@ -138,7 +138,7 @@
         self.record = record
         self.effects: deque[RequestEffect] = deque()
         self.gone = False
-        self.stream: AttemptStream | HeldPart | None = None
+        self.stream: AttemptStream | PartStream | None = None
         self.frames: Iterator[Frame] = iter(())
         self.streaming: AttemptId | None = None
         self.chosen: ChosenUpstream | None = None
@@ -146,7 +146,7 @@
         """The upstream whose answer is read."""
         self.judged = judged_request(request)
         self.on_trial = False
-        self.spreads = SpreadDesk(
+        self.spreads = AttemptSender(
             SpreadServices(
                 services.attempts, services.cancels, record.note, self.still_wanted
             )
@@ -337,7 +337,7 @@
         self.handle(RetryAnswered(allowed, random.random()))
 
     def open_stream(
-        self, stream: AttemptStream | HeldPart, attempt_id: AttemptId
+        self, stream: AttemptStream | PartStream, attempt_id: AttemptId
     ) -> None:
         """Begin to read an attempt's frames."""
         self.stream = stream
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -18,7 +18,7 @@
 from cowslipshelf_daemon.internal.gateway import fleet_view, gossip, routes_exchange
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
-from cowslipshelf_daemon.internal.gateway.gossip import ALIVE_SECONDS, Gossip
+from cowslipshelf_daemon.internal.gateway.gossip import ALIVE_INTERVAL_SECONDS, Gossip
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
 from cowslipshelf_daemon.internal.post import Delivered
 from cowslipshelf_host.metrics import Metrics
@@ -65,7 +65,7 @@
         commands.append(command)
         return RoutesHeld(command.document.version)
 
-    async def whole(status: int, headers: list, body: bytes = b"") -> None:
+    async def respond(status: int, headers: list, body: bytes = b"") -> None:
         assert status == 200
 
     handler = ControlHandler(
@@ -76,7 +76,7 @@
         Metrics(),
     )
     put = HttpRequest("PUT", "/api/config", [], body, "", "operator")
-    asyncio.run(handler(put, SimpleNamespace(whole=whole)))
+    asyncio.run(handler(put, SimpleNamespace(respond=respond)))
     return commands[0].document
 
 
@@ -113,7 +113,7 @@
 class LinkPost:
     """Send a gateway's messages over its link."""
 
-    def __init__(self, world: "SlowWorld", instance: str) -> None:
+    def __init__(self, world: "SlowLinkFleet", instance: str) -> None:
         self.world = world
         self.instance = instance
         self.address = f"{instance}:{GATEWAY_SETTINGS.peer_port}"
@@ -130,7 +130,7 @@
             self.world.carry(self, address.partition(":")[0], message, size)
 
 
-class SlowWorld:
+class SlowLinkFleet:
     """Hold gateways, some with a replica, and what is under way between them."""
 
     def __init__(self, monkeypatch, replicas: int, others: int, rate: float) -> None:
@@ -165,7 +165,7 @@
 
     def speak(self, name: str) -> None:
         self.gateways[name].tick()
-        self.at(self.clock.now + ALIVE_SECONDS, self.speak, name)
+        self.at(self.clock.now + ALIVE_INTERVAL_SECONDS, self.speak, name)
 
     def carry(self, post: LinkPost, receiver: str, message, size: int) -> None:
         sent = self.links[post.instance].send(size, self.clock.now)
@@ -190,7 +190,7 @@
     def commit(self, document: RoutesDocument) -> None:
         """Have every replica apply a configuration now."""
         for name in self.replicas:
-            self.gateways[name].routes.take_routes(document)
+            self.gateways[name].routes.apply_routes(document)
             self.note(name)
 
     def run(self, seconds: float) -> None:
--- a/tests/common/spread_world.py
+++ b/tests/common/spread_world.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.messages import NeverRan
-from cowslipshelf_core.prompt_parts import KvReference, PartPlace
+from cowslipshelf_core.prompt_parts import KvReference, PartAssignment
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
     CancelArrived,
@@ -23,11 +23,11 @@
     PartsArrived,
     RefuseAttempt,
     ReleaseAtUpstream,
+    ReportReserved,
     RevokeArrived,
     SidecarConfig,
     SidecarState,
     StartAttempt,
-    TellReserved,
     TickElapsed,
     UpstreamFinished,
 )
@@ -79,7 +79,7 @@
     """Return the memory of one attempt at its engine, in tokens."""
     if given.to_token is not None:
         return given.to_token - given.from_token
-    return given.prompt_tokens - given.from_token + given.most_output_tokens
+    return given.prompt_tokens - given.from_token + given.max_output_tokens
 
 
 class SpreadWorld:
@@ -122,7 +122,7 @@
         answers = []
         for effect in upstream.state.handle(event, self.now):
             match effect:
-                case TellReserved(attempt_id):
+                case ReportReserved(attempt_id):
                     self.frames[attempt_id].append(PartReserved(attempt_id))
                 case StartAttempt(given):
                     assert given.attempt_id not in self.started
@@ -227,7 +227,7 @@
         self.last_id = AttemptId(f"{self.owner}-last-{self.placements}")
         states = [self.world.upstreams[f"runner-{n}"].state for n in self.numbers]
         places = [
-            PartPlace(
+            PartAssignment(
                 state.config.description.upstream_id,
                 state.config.epoch,
                 state.config.description.upstream_id,
@@ -245,7 +245,7 @@
             sidecar_epoch=last.epoch,
             load_sequence=last.load_sequence,
             prompt_tokens=last.to_token,
-            most_output_tokens=50,
+            max_output_tokens=50,
             from_token=last.from_token,
             deadline_seconds=self.deadline - self.world.now,
         )
--- a/tests/cover/announcing/test_choosing.py
+++ b/tests/cover/announcing/test_choosing.py
@@ -8,17 +8,17 @@
 from cowslipshelf_core.announcing import (
     EntryChooser,
     EntryChooserConfig,
-    EntryPlace,
+    EntryEndpoint,
     choose_entries,
-    roster_digest,
+    digest_entries,
 )
 
 NAMES = st.sets(st.text("abcdef-0123456789", min_size=1, max_size=8), max_size=40)
 MOST = st.integers(1, 12)
 
 
-def places(names: set[str]) -> list[EntryPlace]:
-    return [EntryPlace(name, f"10.0.0.1:{len(name)}") for name in names]
+def places(names: set[str]) -> list[EntryEndpoint]:
+    return [EntryEndpoint(name, f"10.0.0.1:{len(name)}") for name in names]
 
 
 @given(names=NAMES, most=MOST, newcomer=st.text("xyz", min_size=1, max_size=4))
@@ -51,7 +51,7 @@
 @given(names=NAMES, other=NAMES)
 def test_lists_of_entries_have_one_digest_just_if_they_are_equal(names, other):
     equal = sorted(places(names)) == sorted(places(other))
-    same = roster_digest(places(names)) == roster_digest(places(other)[::-1])
+    same = digest_entries(places(names)) == digest_entries(places(other)[::-1])
     assert same is equal
 
 
@@ -64,9 +64,9 @@
     The dead ones still stand in the list that a sidecar announces to. Those that come
     back under the same address are used again.
     """
-    entries = [EntryPlace(name, f"10.0.0.1:{name}") for name in names]
+    entries = [EntryEndpoint(name, f"10.0.0.1:{name}") for name in names]
     dead = set(data.draw(st.lists(st.sampled_from(entries), max_size=len(names) - 1)))
-    config = EntryChooserConfig("runner", most_entries=3)
+    config = EntryChooserConfig("runner", max_entries=3)
     chooser = EntryChooser.from_config(config, entries)
     first = chooser.targets(0.0)
     now = 0.0
@@ -74,14 +74,14 @@
         now += 1.0
         for entry in chooser.targets(now):
             if entry not in dead:
-                chooser.answered(entry.mailbox_address)
+                chooser.record_answer(entry.mailbox_address)
         if now >= config.retry_seconds - 1.0:
             break
     living = set(entries) - dead
     told = set(chooser.targets(now))
-    assert len(told & living) == min(config.most_entries, len(living))
+    assert len(told & living) == min(config.max_entries, len(living))
     for step in range(1, 4):
         later = now + step * config.retry_seconds
         for entry in chooser.targets(later):
-            chooser.answered(entry.mailbox_address)
+            chooser.record_answer(entry.mailbox_address)
     assert set(chooser.targets(now + 4 * config.retry_seconds)) == set(first)
