--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -89,7 +89,7 @@
     @property
     def backlog_seconds(self) -> float:
         """Return the time to prefill all pending parts."""
-        return sum(unread.left_seconds for unread in self.pending_parts)
+        return sum(pending.left_seconds for pending in self.pending_parts)
 
 
 @dataclass(slots=True)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -162,14 +162,14 @@
         replicas are alive. Gateways that know the same peers choose the same ones to
         join without coordination; one too many does no harm.
         """
-        spoken = self.last_messages()
-        holders = [alive for _, alive in spoken if alive.holds_replica]
+        messages = self.last_messages()
+        holders = [alive for _, alive in messages if alive.holds_replica]
         if self.config.has_disk or not holders:
             return False
         if not all(alive.replica_in_memory for alive in holders):
             return False
         own = self.config.instance
-        candidates = {p: a.data_centre for p, a in spoken if not a.holds_replica}
+        candidates = {p: a.data_centre for p, a in messages if not a.holds_replica}
         candidates[own] = self.config.data_centre
         taken = Counter(alive.data_centre for alive in holders)
         for _ in range(MAX_REPLICAS_IN_MEMORY - len(holders)):
