--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -51,8 +51,10 @@
 from cowslipshelf_core.routing import TickElapsed as RouterTick
 from cowslipshelf_core.upstream import UpstreamDescription
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.entry.in_force import ConfigurationInForce
-from cowslipshelf_daemon.internal.entry.suspect_news import SuspectNews
+from cowslipshelf_daemon.internal.entry.configuration_in_force import (
+    ConfigurationInForce,
+)
+from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
 from cowslipshelf_daemon.internal.post import Post
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Received
@@ -98,7 +100,7 @@
     reply: "SimpleQueue[PlacementAnswered]"
 
 
-class RoutingDesk:
+class RoutingClient:
     """Offer the routing actor's decisions to the threads that carry requests."""
 
     def __init__(self, actor: ActorRef, status: "FleetStatus") -> None:
@@ -221,7 +223,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     post: Post
-    news: SuspectNews
+    news: SuspectBroadcaster
 
 
 class RoutingActor(DaemonActor):
