--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -67,7 +67,7 @@
 from cowslipshelf_host.settings import DaemonSettings
 from cowslipshelf_operators import OperatorKey, OperatorsServer, OperatorsServerConfig
 
-HAND_OVER_LEADERSHIP_SECONDS = 0.5
+LEADERSHIP_TRANSFER_SECONDS = 0.5
 OPERATOR = "operator"
 STOP_SECONDS = 2.0
 
@@ -110,7 +110,7 @@
         cut = self.callers_handler.open_requests.close_and_wait(seconds)
         if self.actors.replica is not None:
             self.actors.replica.tell(TransferLeadership())
-            time.sleep(HAND_OVER_LEADERSHIP_SECONDS)
+            time.sleep(LEADERSHIP_TRANSFER_SECONDS)
         return cut == 0
 
     def running_work(self) -> int:
@@ -138,7 +138,7 @@
     records: RequestRecords
     metrics: EntryMetrics
     router: Router
-    news: SuspectBroadcaster
+    broadcaster: SuspectBroadcaster
 
 
 def make_router(settings: DaemonSettings) -> Router:
@@ -185,7 +185,7 @@
         actors.gateway,
         actors.replica,
         parts.in_force,
-        parts.news.suspects,
+        parts.broadcaster.suspects,
     )
     mailbox = make_mailbox(
         settings, parts.epoch, dispatch.receive, parts.in_force.version
@@ -208,7 +208,7 @@
             metrics,
             mailbox,
             callers_handler.open_requests,
-            parts.news.suspects,
+            parts.broadcaster.suspects,
         )
     )
     operators = make_operators_server(settings, operators_handler)
@@ -237,7 +237,7 @@
             parts.in_force,
             parts.status,
             parts.post,
-            parts.news,
+            parts.broadcaster,
         )
     )
     configuration = ConfigurationActor.start(
@@ -274,7 +274,7 @@
         SharedRetryBudget(RetryBudget.from_config(RetryBudgetConfig())),
         new_attempt_id,
         parts.metrics,
-        parts.news.suspects,
+        parts.broadcaster.suspects,
     )
     stored = settings.entry.limits.largest_stored_answer_bytes
     config = RequestConfig(max_stored_answer_bytes=stored)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
@@ -32,8 +32,8 @@
         """Tell which part was lost while the last one generates; empty for none."""
         return self.spread.lost_part() if self.spread is not None else ""
 
-    def release(self) -> None:
+    def cancel_helpers(self) -> None:
         """Free what other sidecars hold of the prompt."""
         if self.spread is not None:
-            self.spread.release()
+            self.spread.cancel_helpers()
         self.spread = None
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
@@ -55,11 +55,11 @@
             writer.refusal(not_ready("this instance is shutting down"), False)
             return
         try:
-            self.answer_open(call, writer)
+            self.admit_and_run(call, writer)
         finally:
             self.open_requests.leave()
 
-    def answer_open(self, call: CallerCall, writer: AnswerWriter) -> None:
+    def admit_and_run(self, call: CallerCall, writer: AnswerWriter) -> None:
         """Admit the call and carry it, or refuse it."""
         index = self.in_force.index
         admitted = self.admit(call, index)
@@ -67,7 +67,7 @@
             self.services.metrics.admission_refused(admitted)
             writer.refusal(admitted, False)
             return
-        request = self.request_of(admitted, index)
+        request = self.make_request(admitted, index)
         record = self.records.begin(request)
         machine = RequestMachine.from_config(request, self.config)
         RequestDriver(request, machine, writer, self.services, record).run()
@@ -86,7 +86,7 @@
             return service
         return AdmittedCall(call, customer, service)
 
-    def request_of(
+    def make_request(
         self, admitted: AdmittedCall, index: ConfigurationIndex
     ) -> CallerRequest:
         """Describe the request to its decider."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_sender.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_sender.py
@@ -5,7 +5,7 @@
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_fleet.attempts import AttemptsClient
 
-SENDERS = 8
+THREADS = 8
 
 
 class CancelSender:
@@ -19,8 +19,8 @@
 
     def __init__(self, attempts: AttemptsClient) -> None:
         self.attempts = attempts
-        self.senders = ThreadPoolExecutor(SENDERS, thread_name_prefix="cancel")
+        self.executor = ThreadPoolExecutor(THREADS, thread_name_prefix="cancel")
 
     def send(self, address: str, attempt_id: AttemptId) -> None:
         """Cancel an attempt as soon as a thread is free."""
-        self.senders.submit(self.attempts.cancel, address, attempt_id)
+        self.executor.submit(self.attempts.cancel, address, attempt_id)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -56,15 +56,15 @@
         match message:
             case Tick() if now >= self.next_tick:
                 self.next_tick = now + TICK_SECONDS
-                self.look(TickElapsed(), now)
+                self.handle(TickElapsed(), now)
             case VersionSeen():
-                self.look(message, now)
+                self.handle(message, now)
             case Delivered(message=ConfigurationSnapshot() as snapshot):
-                self.look(SnapshotArrived(snapshot, message.sender_address), now)
+                self.handle(SnapshotArrived(snapshot, message.sender_address), now)
             case Delivered(message=FetchConfiguration() as question):
                 self.answer(question, message.sender_address)
 
-    def look(self, event: ConfigurationViewEvent, now: float) -> None:
+    def handle(self, event: ConfigurationViewEvent, now: float) -> None:
         """Give the decider an event and carry out what it says."""
         for effect in self.view.handle(event, now):
             match effect:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
@@ -9,8 +9,8 @@
 from cowslipshelf_core.routing import PlacementExplanation
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
 
-MOST_RECORDS = 2048
-MOST_NOTES = 64
+MAX_RECORDS = 2048
+MAX_NOTES = 64
 
 
 class RequestRecord:
@@ -20,7 +20,7 @@
         self.request = request
         self.metrics = metrics
         self.started_at = time.time()
-        self.begun = time.monotonic()
+        self.started = time.monotonic()
         self.notes: list[str] = []
         self.placements: list[PlacementExplanation] = []
         self.chunks = 0
@@ -30,25 +30,25 @@
 
     def note(self, text: str) -> None:
         """Add a line, as long as there is room."""
-        if len(self.notes) < MOST_NOTES:
-            self.notes.append(f"{time.monotonic() - self.begun:.3f} s: {text}")
+        if len(self.notes) < MAX_NOTES:
+            self.notes.append(f"{time.monotonic() - self.started:.3f} s: {text}")
 
-    def placed(self, explanation: PlacementExplanation) -> None:
+    def add_placement(self, explanation: PlacementExplanation) -> None:
         """Keep why an upstream was chosen."""
-        if len(self.placements) < MOST_NOTES:
+        if len(self.placements) < MAX_NOTES:
             self.placements.append(explanation)
 
-    def chunk_written(self) -> None:
+    def count_chunk(self) -> None:
         """Count a piece of the answer."""
         self.chunks += 1
         if self.first_chunk_seconds is None:
-            self.first_chunk_seconds = time.monotonic() - self.begun
+            self.first_chunk_seconds = time.monotonic() - self.started
             self.metrics.first_chunk(self.request, self.first_chunk_seconds)
 
     def end(self, outcome: str) -> None:
         """Keep how the request ended."""
         self.outcome = outcome
-        self.seconds = time.monotonic() - self.begun
+        self.seconds = time.monotonic() - self.started
         self.metrics.ended(self.request, outcome, self.seconds)
 
     def lines(self) -> tuple[str, ...]:
@@ -100,7 +100,7 @@
         record = RequestRecord(request, self.metrics)
         with self.lock:
             self.records[request.request_id] = record
-            if len(self.records) > MOST_RECORDS:
+            if len(self.records) > MAX_RECORDS:
                 self.records.popitem(last=False)
         return record
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -103,16 +103,16 @@
         )
         change = document.to_change()
         upstreams = relevant_upstreams(change, descriptions)
-        return self.ask("record plan", document.to_command(operator, upstreams))
+        return self.commit("record plan", document.to_command(operator, upstreams))
 
     def confirm(
         self, operator: OperatorName, plan_id: PlanId, document: ConfirmDocument
     ) -> PlanConfirmed | PlanOutdated | PlanUnknown | PlanRefused:
         """Put a plan in force through the replicated state."""
         command = ConfirmPlan(plan_id, operator, document.change_id)
-        return self.ask("confirm plan", command)
+        return self.commit("confirm plan", command)
 
-    def ask(self, step: str, command: ControlCommand) -> ControlOutcome:
+    def commit(self, step: str, command: ControlCommand) -> ControlOutcome:
         """Commit a command, or say what is known of it."""
         outcome = self.parts.gateway.ask_within(command, COMMAND_SECONDS)
         if not isinstance(outcome, Refusal):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
@@ -18,7 +18,7 @@
 
 LOG = part_logger("orders")
 
-SEND_SECONDS = 0.5
+RESEND_SECONDS = 0.5
 READ_SECONDS = 5.0
 
 
@@ -41,13 +41,13 @@
     def __init__(self, parts: OrderCourierParts) -> None:
         super().__init__()
         self.parts = parts
-        self.next_sending = 0.0
+        self.next_send = 0.0
 
     def on_receive(self, message: Any) -> None:
         """Send what is open, from time to time."""
         now = time.monotonic()
-        if isinstance(message, Tick) and now >= self.next_sending:
-            self.next_sending = now + SEND_SECONDS
+        if isinstance(message, Tick) and now >= self.next_send:
+            self.next_send = now + RESEND_SECONDS
             for order in self.read_open_orders():
                 self.send(order)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/part_stream.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/part_stream.py
@@ -27,7 +27,7 @@
         self.attempt_id = attempt_id
         self.stream = stream
         self.frames = iter(stream)
-        self.lost = ""
+        self.loss_reason = ""
         """Why the part was lost after it was prefilled; empty while it is held."""
 
     def __iter__(self) -> Iterator[Frame]:
@@ -49,21 +49,21 @@
             case _:
                 return TimePassed()
 
-    def watch(self) -> None:
+    def watch_for_loss(self) -> None:
         """Notice on a thread of its own when a prefilled part is lost."""
         name = f"part-{self.attempt_id}"
-        Thread(target=self.read_on, name=name, daemon=True).start()
+        Thread(target=self.read_to_end, name=name, daemon=True).start()
 
-    def read_on(self) -> None:
+    def read_to_end(self) -> None:
         """Read to the end, which comes only where the part is given up."""
         try:
             for frame in self.frames:
                 if isinstance(frame, StreamEnd):
                     break
         except StreamLostError as error:
-            self.lost = str(error)
+            self.loss_reason = str(error)
             return
-        self.lost = f"{self.stream.peer} gave its part of the prompt up"
+        self.loss_reason = f"{self.stream.peer} gave its part of the prompt up"
 
     def close(self) -> None:
         """Give up the connection; the part itself is ended by a cancel."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -66,11 +66,11 @@
 
 LOG = part_logger("replica")
 
-MOST_EVENTS_PER_SYNC = 512
+MAX_EVENTS_PER_SYNC = 512
 SLOW_BATCH_SECONDS = 0.1
 """Time for one batch, its sync included, above which it is logged. A leader whose
 batches take longer than its followers' patience is replaced, without any error."""
-MOST_READS_WAITING = 4096
+MAX_PENDING_READS = 4096
 
 
 class ControlStateQuery(NamedTuple):
@@ -111,8 +111,8 @@
         self.events: list[Event] = []
         self.proposers: dict[str, str] = {}
         """Mailbox addresses of those that wait for the outcome of a proposal."""
-        self.reads: dict[str, Delivered] = {}
-        self.reads_asked = 0
+        self.pending_reads: dict[str, Delivered] = {}
+        self.read_count = 0
 
     def on_start(self) -> None:
         """Put what the stored snapshot holds before this process."""
@@ -131,29 +131,29 @@
             case ControlStateQuery(read=read, reply=reply):
                 reply.put(read(self.state, self.replica.status()))
         waiting = not self.actor_inbox.empty()
-        if not waiting or len(self.events) >= MOST_EVENTS_PER_SYNC:
+        if not waiting or len(self.events) >= MAX_EVENTS_PER_SYNC:
             self.handle_events()
 
     def receive(self, delivered: Delivered) -> None:
         """Turn a message from an instance into an event."""
         match delivered.message:
             case Propose() as proposal:
-                self.take_proposal(proposal, delivered.sender_address)
+                self.handle_proposal(proposal, delivered.sender_address)
             case FetchConfiguration(query_id=query_id) if query_id:
-                self.ask_read(delivered)
+                self.start_read(delivered)
             case FetchRoutes(query_id=query_id) if query_id:
-                self.ask_read(delivered)
+                self.start_read(delivered)
             case FetchRoutes(have_version=have):
                 if self.state.routes.document.version > have:
                     self.answer_routes(delivered, confirmed=False)
             case FencingAsked():
-                self.ask_read(delivered)
+                self.start_read(delivered)
             case FetchConfiguration():
                 self.answer_configuration(delivered, confirmed=False)
             case message:
                 self.events.append(PeerMessageArrived(delivered.sender, message))
 
-    def take_proposal(self, proposal: Propose, proposer: str) -> None:
+    def handle_proposal(self, proposal: Propose, proposer: str) -> None:
         """Propose a command that this version understands; drop any other.
 
         What is in the log must be applied by every replica, so nothing may get there
@@ -169,13 +169,13 @@
             CommandProposed(proposal.proposal_id, proposal.command, time.time())
         )
 
-    def ask_read(self, delivered: Delivered) -> None:
+    def start_read(self, delivered: Delivered) -> None:
         """Have a quorum confirm what the asker is told."""
-        if len(self.reads) >= MOST_READS_WAITING:
+        if len(self.pending_reads) >= MAX_PENDING_READS:
             return
-        self.reads_asked += 1
-        read_id = f"read-{self.reads_asked}"
-        self.reads[read_id] = delivered
+        self.read_count += 1
+        read_id = f"read-{self.read_count}"
+        self.pending_reads[read_id] = delivered
         self.events.append(ReadAsked(read_id))
 
     def handle_events(self) -> None:
@@ -192,7 +192,7 @@
         effects = self.replica.handle_batch(events, now, self.random)
         failure = self.make_durable(effects)
         if failure is not None:
-            effects = self.give_up_disk(effects, failure)
+            effects = self.fail_replica(effects, failure)
         routes_before = self.state.routes.document.version
         for effect in effects:
             self.perform(effect)
@@ -201,7 +201,7 @@
         if self.state.routes.document.version != routes_before:
             self.publish_routes()
         if failure is not None:
-            self.answer_what_is_left()
+            self.answer_pending()
 
     def make_durable(self, effects: list[Effect]) -> StorageError | None:
         """Write and sync; return the error of a disk that failed."""
@@ -223,7 +223,7 @@
         self.replica.sync_ended(time.monotonic() - began, with_vote)
         return None
 
-    def give_up_disk(
+    def fail_replica(
         self, dropped: list[Effect], failure: StorageError
     ) -> list[Effect]:
         """End this replica's part in the agreement; return what is still to be done.
@@ -246,7 +246,7 @@
             *self.replica.handle_batch((failed,), time.monotonic(), self.random),
         ]
 
-    def answer_what_is_left(self) -> None:
+    def answer_pending(self) -> None:
         """Answer those whose outcome went with the dropped batch.
 
         Their commands may have been committed by the other replicas, or be lost.
@@ -254,7 +254,7 @@
         for proposal_id in list(self.proposers):
             unknown = ProposalRefusal.OUTCOME_UNKNOWN
             self.answer_proposer(ProposalResult(proposal_id, 0, b"", unknown))
-        for read_id in list(self.reads):
+        for read_id in list(self.pending_reads):
             self.answer_read(read_id, confirmed=False)
 
     def perform(self, effect: Effect) -> None:
@@ -331,7 +331,7 @@
 
     def answer_read(self, read_id: str, confirmed: bool) -> None:
         """Answer a question that a quorum was asked about."""
-        asked = self.reads.pop(read_id, None)
+        asked = self.pending_reads.pop(read_id, None)
         match asked:
             case Delivered(message=FetchConfiguration()):
                 self.answer_configuration(asked, confirmed)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -85,7 +85,7 @@
     StreamLostError,
 )
 
-SHORTEST_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 
 
 class SharedRetryBudget:
@@ -137,16 +137,16 @@
         self.services = services
         self.record = record
         self.effects: deque[RequestEffect] = deque()
-        self.gone = False
+        self.caller_left = False
         self.stream: AttemptStream | PartStream | None = None
         self.frames: Iterator[Frame] = iter(())
-        self.streaming: AttemptId | None = None
+        self.streaming_attempt: AttemptId | None = None
         self.chosen: ChosenUpstream | None = None
-        self.read_from: UpstreamId | None = None
+        self.reading_upstream: UpstreamId | None = None
         """The upstream whose answer is read."""
         self.judged = judged_request(request)
         self.on_trial = False
-        self.spreads = AttemptSender(
+        self.sender = AttemptSender(
             SpreadServices(
                 services.attempts, services.cancels, record.note, self.still_wanted
             )
@@ -163,7 +163,7 @@
                 self.step()
         finally:
             self.close_stream()
-            self.spreads.release()
+            self.sender.cancel_helpers()
             self.end_trial()
 
     def step(self) -> None:
@@ -174,7 +174,7 @@
             self.read_stream()
         else:
             # Without an effect and a stream only the deadline is left to come.
-            time.sleep(max(SHORTEST_WAIT_SECONDS, self.seconds_left()))
+            time.sleep(max(MIN_WAIT_SECONDS, self.seconds_left()))
             self.handle(DeadlinePassed())
 
     def handle(self, event: RequestEvent) -> None:
@@ -216,7 +216,7 @@
 
     def choose_placement(self, effect: ChoosePlacement) -> None:
         """Ask the router and wait for its one answer."""
-        self.spreads.release()
+        self.sender.cancel_helpers()
         self.end_trial()
         verdict = self.services.suspects.claim(self.judged)
         if isinstance(verdict, HeldBack):
@@ -230,7 +230,7 @@
         if answer is None:
             self.handle(DeadlinePassed())
             return
-        self.record.placed(answer.explanation)
+        self.record.add_placement(answer.explanation)
         match answer.answer:
             case ChosenUpstream() as chosen:
                 self.chosen = chosen
@@ -244,10 +244,10 @@
             self.on_trial = False
             self.services.suspects.end_trial(self.judged)
 
-    def learn_from_end(self, end: StreamEnd) -> None:
+    def report_stream_end(self, end: StreamEnd) -> None:
         """Note whether the upstream ended under the request, or answered it."""
-        if end.upstream_ended and self.read_from is not None:
-            self.services.suspects.upstream_ended(self.judged, self.read_from)
+        if end.upstream_ended and self.reading_upstream is not None:
+            self.services.suspects.upstream_ended(self.judged, self.reading_upstream)
         elif end.refusal is None:
             self.services.suspects.answered(self.judged)
 
@@ -266,8 +266,8 @@
         """Hand an attempt over; this is its only sending."""
         self.close_stream()
         attempt_id = hand_over.attempt_id
-        self.read_from = hand_over.upstream_id
-        answer = self.spreads.hand_over(self.chosen, hand_over)
+        self.reading_upstream = hand_over.upstream_id
+        answer = self.sender.hand_over(self.chosen, hand_over)
         match answer:
             case AttemptRefused():
                 self.handle(HandOverAnswered(answer, attempt_id))
@@ -280,16 +280,16 @@
 
     def still_wanted(self) -> bool:
         """Tell whether a spread prompt that has not run yet is still waited for."""
-        self.look_for_caller()
+        self.check_caller()
         return self.seconds_left() > 0 and not self.machine.has_ended()
 
-    def end_without_part(self, lost: str) -> None:
+    def fail_without_part(self, lost: str) -> None:
         """End an attempt whose engine can't read the whole prompt any more."""
         refusal = Refusal(
             RefusalCode.FAILED, RefusalReason.UPSTREAM_FAILED, STEP, detail=lost
         )
         self.close_stream()
-        self.handle(FrameArrived(StreamEnd(0, refusal), self.streaming))
+        self.handle(FrameArrived(StreamEnd(0, refusal), self.streaming_attempt))
 
     def lost_part(self) -> str:
         """Name a lost part of an answer that may be begun again; empty for none.
@@ -299,12 +299,12 @@
         """
         if self.request.is_non_idempotent():
             return ""
-        return self.spreads.lost_part()
+        return self.sender.lost_part()
 
     def resume(self, asked: Resume) -> None:
         """Read an attempt's frames from where they were cut."""
         self.close_stream()
-        self.read_from = asked.upstream_id
+        self.reading_upstream = asked.upstream_id
         where = self.address_of(asked)
         stream = None
         if where:
@@ -342,7 +342,7 @@
         """Begin to read an attempt's frames."""
         self.stream = stream
         self.frames = iter(stream)
-        self.streaming = attempt_id
+        self.streaming_attempt = attempt_id
 
     def close_stream(self) -> None:
         """Give up the connection of the present stream."""
@@ -357,44 +357,44 @@
         except StreamLostError as error:
             self.record.note(str(error))
             self.close_stream()
-            self.handle(StreamLost(self.streaming))
+            self.handle(StreamLost(self.streaming_attempt))
             return
         match frame:
             case _ if self.seconds_left() <= 0:
                 self.handle(DeadlinePassed())
             case StreamEnd():
                 self.close_stream()
-                self.learn_from_end(frame)
-                self.handle(FrameArrived(frame, self.streaming))
+                self.report_stream_end(frame)
+                self.handle(FrameArrived(frame, self.streaming_attempt))
             case _ if lost := self.lost_part():
-                self.end_without_part(lost)
+                self.fail_without_part(lost)
             case StreamHeartbeat():
-                self.look_for_caller()
+                self.check_caller()
             case _:
-                self.handle(FrameArrived(frame, self.streaming))
+                self.handle(FrameArrived(frame, self.streaming_attempt))
 
-    def look_for_caller(self) -> None:
+    def check_caller(self) -> None:
         """Notice a caller that went away while there was nothing to write."""
-        if not self.gone and self.writer.caller_gone():
-            self.caller_has_gone("closed its connection")
+        if not self.caller_left and self.writer.caller_gone():
+            self.note_caller_left("closed its connection")
 
-    def caller_has_gone(self, detail: str) -> None:
+    def note_caller_left(self, detail: str) -> None:
         """Tell the decider, once; work that must run once goes on without a caller."""
         self.record.note(f"caller gone: {detail}")
-        if not self.gone:
-            self.gone = True
+        if not self.caller_left:
+            self.caller_left = True
             self.handle(CallerGone())
 
     def answer(
         self, effect: AnswerHead | AnswerChunk | AnswerEnd | AnswerRefusal
     ) -> None:
         """Write to the caller; one that has gone does not end the request."""
-        if self.gone and not isinstance(effect, AnswerEnd | AnswerRefusal):
+        if self.caller_left and not isinstance(effect, AnswerEnd | AnswerRefusal):
             return
         try:
             self.write(effect)
         except CallerGoneError as error:
-            self.caller_has_gone(str(error))
+            self.note_caller_left(str(error))
 
     def write(
         self, effect: AnswerHead | AnswerChunk | AnswerEnd | AnswerRefusal
@@ -404,7 +404,7 @@
             case AnswerHead(status, headers):
                 self.writer.head(status, headers)
             case AnswerChunk(data):
-                self.record.chunk_written()
+                self.record.count_chunk()
                 self.writer.chunk(data)
             case AnswerEnd():
                 self.record.end("whole")
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -165,7 +165,7 @@
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.instance = settings.instance
-        self.gone_seconds = settings.timings.owner_lease_seconds
+        self.owner_lease_seconds = settings.timings.owner_lease_seconds
         self.started_at = time.time()
         self.upstreams: dict[UpstreamId, UpstreamStatus] = {}
         self.entries: dict[InstanceId, EntryStatus] = {}
@@ -177,24 +177,24 @@
         entry = self.entries.get(instance)
         # Just after a start nobody was heard yet: that is no sign of anyone's death.
         heard_at = self.started_at if entry is None else entry.heard_at
-        return at - heard_at < self.gone_seconds
+        return at - heard_at < self.owner_lease_seconds
 
     def was_heard(self, instance: InstanceId, epoch: str, at: float) -> bool:
         """Tell whether this start of an entry was heard within the owner's lease."""
         entry = self.entries.get(instance)
         if entry is None or entry.epoch != epoch:
             return False
-        return at - entry.heard_at < self.gone_seconds
+        return at - entry.heard_at < self.owner_lease_seconds
 
-    def living_entries(self, at: float) -> frozenset[InstanceId]:
+    def live_entries(self, at: float) -> frozenset[InstanceId]:
         """Return the other entries heard lately."""
         return frozenset(
             instance
             for instance, entry in self.entries.items()
-            if at - entry.heard_at < self.gone_seconds
+            if at - entry.heard_at < self.owner_lease_seconds
         )
 
-    def note_announcement(self, announce: Announce, received: Received) -> None:
+    def record_announcement(self, announce: Announce, received: Received) -> None:
         """Keep what a sidecar said, and since when it has its configuration."""
         at = time.time()
         version = received.configuration_version
@@ -223,7 +223,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     post: Post
-    news: SuspectBroadcaster
+    broadcaster: SuspectBroadcaster
 
 
 class RoutingActor(DaemonActor):
@@ -237,11 +237,11 @@
         self.in_force = parts.in_force
         self.status = parts.status
         self.post = parts.post
-        self.news = parts.news
+        self.broadcaster = parts.broadcaster
         self.random = random.Random()
         self.replies: dict[PlacementId, SimpleQueue[PlacementAnswered]] = {}
         self.next_directory_tick = 0.0
-        self.next_word = 0.0
+        self.next_heartbeat = 0.0
 
     def on_receive(self, message: Any) -> None:
         """Turn one message into an event for a decider."""
@@ -251,32 +251,32 @@
                 self.tick(now)
             case PlacementRequest(asked=asked, reply=reply):
                 self.replies[asked.placement_id] = reply
-                self.route(asked, now)
+                self.handle_router_event(asked, now)
             case PlacementWithdrawn(placement_id=placement_id):
                 self.replies.pop(placement_id, None)
-                self.route(message, now)
+                self.handle_router_event(message, now)
             case Received():
                 self.receive(message, now)
             case FleetConfiguration():
                 self.apply(message, now)
             case _:
-                self.route(message, now)
+                self.handle_router_event(message, now)
 
     def tick(self, now: float) -> None:
         """Look at what is due."""
-        self.route(RouterTick(), now)
+        self.handle_router_event(RouterTick(), now)
         if now < self.next_directory_tick:
             return
         self.next_directory_tick = now + DIRECTORY_TICK_SECONDS
-        observers = self.status.living_entries(time.time())
-        self.direct(ObserversChanged(observers), now)
-        self.direct(DirectoryTick(), now)
+        observers = self.status.live_entries(time.time())
+        self.handle_directory_event(ObserversChanged(observers), now)
+        self.handle_directory_event(DirectoryTick(), now)
         self.forget_silent_upstreams()
-        if now >= self.next_word:
-            self.next_word = now + self.settings.timings.heartbeat_seconds
-            self.tell_others()
+        if now >= self.next_heartbeat:
+            self.next_heartbeat = now + self.settings.timings.heartbeat_seconds
+            self.send_heartbeat()
 
-    def tell_others(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell the other entries that this one is there."""
         index = self.in_force.index
         alive = EntryAlive(
@@ -286,7 +286,7 @@
             index.since,
         )
         self.post.tell_other_entries(alive)
-        self.news.repeat()
+        self.broadcaster.rebroadcast()
 
     def forget_silent_upstreams(self) -> None:
         """Drop from the status what has not been heard for many leases."""
@@ -299,19 +299,21 @@
         """Take one message from another process."""
         match received.message:
             case Announce() as announce:
-                self.status.note_announcement(announce, received)
+                self.status.record_announcement(announce, received)
                 self.answer_announcement(announce, received.sender_address)
                 event = AnnounceArrived(
                     announce, received.sender, received.sender_address
                 )
-                self.direct(event, now)
+                self.handle_directory_event(event, now)
             case Withdraw() as withdraw:
-                self.direct(WithdrawArrived(withdraw), now)
+                self.handle_directory_event(WithdrawArrived(withdraw), now)
             case Suspect() as suspect:
-                self.direct(SuspectArrived(received.sender, suspect), now)
+                self.handle_directory_event(
+                    SuspectArrived(received.sender, suspect), now
+                )
             case EntryAlive() as alive:
                 self.post.learn(received.sender, received.sender_address)
-                self.greet(received)
+                self.send_missed_reports(received)
                 self.status.entries[received.sender] = EntryStatus(
                     alive.data_centre,
                     alive.holds_replica,
@@ -321,27 +323,29 @@
                     received.sender_epoch,
                 )
 
-    def greet(self, received: Received) -> None:
+    def send_missed_reports(self, received: Received) -> None:
         """Tell an entry that was not heard for a while what it may have missed."""
         sender, epoch = received.sender, received.sender_epoch
         if not self.status.was_heard(sender, epoch, time.time()):
-            self.news.tell_all_to(received.sender_address)
+            self.broadcaster.send_all_to(received.sender_address)
 
     def answer_announcement(self, announce: Announce, address: str) -> None:
         """Tell a sidecar which entries there are."""
         upstream_id = announce.description.upstream_id
-        news = (
+        entries = (
             () if announce.entries_digest == self.post.roster else self.post.entries()
         )
-        answer = AnnounceAnswer(upstream_id, news)
+        answer = AnnounceAnswer(upstream_id, entries)
         self.post.send(address, answer)
 
     def apply(self, configuration: FleetConfiguration, now: float) -> None:
         """Take over a newer configuration."""
-        self.direct(DrainingChanged(frozenset(configuration.draining)), now)
-        self.route(ConfigurationApplied(configuration), now)
+        self.handle_directory_event(
+            DrainingChanged(frozenset(configuration.draining)), now
+        )
+        self.handle_router_event(ConfigurationApplied(configuration), now)
 
-    def direct(self, event: DirectoryEvent, now: float) -> None:
+    def handle_directory_event(self, event: DirectoryEvent, now: float) -> None:
         """Give the directory an event and pass on what it says."""
         for effect in self.directory.handle(event, now):
             match effect:
@@ -353,14 +357,14 @@
                     LOG.info("upstreams heard again", silent=silent, known=known)
                 case UpstreamAvailable(description=description):
                     LOG.info("upstream available", upstream=description.upstream_id)
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
                 case UpstreamUnavailable(upstream_id, reason):
                     LOG.info("upstream unavailable", upstream=upstream_id, why=reason)
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
                 case LoadUpdated():
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
 
-    def route(self, event: RouterEvent, now: float) -> None:
+    def handle_router_event(self, event: RouterEvent, now: float) -> None:
         """Give the router an event and deliver its answers."""
         for answered in self.router.handle(event, now, self.random):
             reply = self.replies.pop(answered.placement_id, None)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -38,7 +38,7 @@
 from cowslipshelf_fleet.attempts import AttemptsClient, HandOverFailed
 
 STEP = "spread"
-MOST_BEGINS = 3
+MAX_BEGIN_SENDS = 3
 """The word to begin is sent again where its answer is lost; repeating does no harm."""
 
 
@@ -66,8 +66,8 @@
         self.random = random.Random()
         self.services = services
         self.effects: deque[SpreadEffect] = deque()
-        self.held: dict[AttemptId, PartStream] = {}
-        self.reading: AttemptId = hand_over.attempt_id
+        self.parts: dict[AttemptId, PartStream] = {}
+        self.reading_part: AttemptId = hand_over.attempt_id
         self.result: SpreadResult | None = None
 
     def run(self) -> PartStream | AttemptRefused | HandOverFailed:
@@ -79,7 +79,7 @@
             elif not self.services.still_wanted():
                 self.handle(NoLongerWanted())
             else:
-                self.handle(self.held[self.reading].next_event())
+                self.handle(self.parts[self.reading_part].next_event())
         return self.outcome(self.result)
 
     def handle(self, event: SpreadEvent) -> None:
@@ -114,26 +114,26 @@
             case HandOverFailed(may_have_arrived, _, _, detail):
                 self.handle(PartUnanswered(attempt_id, may_have_arrived, detail))
             case _:
-                self.held[attempt_id] = PartStream(attempt_id, answer)
-                self.reading = attempt_id
+                self.parts[attempt_id] = PartStream(attempt_id, answer)
+                self.reading_part = attempt_id
                 self.handle(TimePassed())
 
     def begin(self, effect: BeginPart) -> None:
         """Tell a sidecar that a part may begin."""
         self.services.note(f"part {effect.attempt_id} begins")
-        self.reading = effect.attempt_id
-        heard = any(
+        self.reading_part = effect.attempt_id
+        acknowledged = any(
             self.services.attempts.begin(
                 effect.address, effect.attempt_id, effect.parts
             )
-            for _ in range(MOST_BEGINS)
+            for _ in range(MAX_BEGIN_SENDS)
         )
-        self.handle(BeginAnswered(effect.attempt_id, heard))
+        self.handle(BeginAnswered(effect.attempt_id, acknowledged))
 
     def cancel(self, address: str, attempt_id: AttemptId) -> None:
         """Give up a helper."""
         self.services.cancels.send(address, attempt_id)
-        part = self.held.pop(attempt_id, None)
+        part = self.parts.pop(attempt_id, None)
         if part is not None:
             part.close()
 
@@ -153,11 +153,11 @@
     ) -> PartStream | AttemptRefused | HandOverFailed:
         """Return what a hand-over to one sidecar would."""
         if isinstance(result, SpreadBegun):
-            for attempt_id, part in self.held.items():
+            for attempt_id, part in self.parts.items():
                 if attempt_id != self.last_id:
-                    part.watch()
-            return self.held[self.last_id]
-        last = self.held.pop(self.last_id, None)
+                    part.watch_for_loss()
+            return self.parts[self.last_id]
+        last = self.parts.pop(self.last_id, None)
         if last is not None:
             last.close()
         if isinstance(result, SpreadRefused):
@@ -168,9 +168,11 @@
 
     def lost_part(self) -> str:
         """Tell which helper was lost while the last part generates; empty for none."""
-        return next((part.lost for part in self.held.values() if part.lost), "")
+        return next(
+            (part.loss_reason for part in self.parts.values() if part.loss_reason), ""
+        )
 
-    def release(self) -> None:
+    def cancel_helpers(self) -> None:
         """Cancel every helper that is still held."""
         for cancel in self.machine.cancel_helpers():
             self.cancel(cancel.address, cancel.attempt_id)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -9,9 +9,9 @@
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.metrics import Metrics
 
-REPEATS = 2
+RESENDS = 2
 """Times that news is told again, since a message may be lost."""
-FORGET_WORDS = 16
+ROUNDS_PER_CLEANUP = 16
 """Words to the others between two looks for what is too old."""
 
 
@@ -20,28 +20,28 @@
 
     def __init__(self, instance: InstanceId, post: Post, metrics: Metrics) -> None:
         self.post = post
-        self.suspects = SuspectRequests(instance, metrics, self.tell)
+        self.suspects = SuspectRequests(instance, metrics, self.broadcast)
         self.lock = Lock()
         self.repeats: RepeatedNews[RequestDigest] = RepeatedNews()
-        self.words = 0
+        self.rounds = 0
 
-    def tell(self, digest: RequestDigest) -> None:
+    def broadcast(self, digest: RequestDigest) -> None:
         """Tell all other entries what is known of a request, and remember to repeat."""
         with self.lock:
-            self.repeats.add((digest,), REPEATS)
+            self.repeats.add((digest,), RESENDS)
         self.post.tell_other_entries(self.suspects.told(frozenset((digest,))))
 
-    def repeat(self) -> None:
+    def rebroadcast(self) -> None:
         """Tell the news again, with this entry's regular word to the others."""
-        self.words += 1
-        if self.words % FORGET_WORDS == 0:
+        self.rounds += 1
+        if self.rounds % ROUNDS_PER_CLEANUP == 0:
             self.suspects.forget_old()
         with self.lock:
             digests = self.repeats.take()
         if digests:
             self.post.tell_other_entries(self.suspects.told(digests))
 
-    def tell_all_to(self, address: str) -> None:
+    def send_all_to(self, address: str) -> None:
         """Tell one entry, which may know nothing, of all requests."""
         message = self.suspects.told_all()
         if message.suspects:
