--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -1,4 +1,4 @@
-"""Put an entry together, start it and take it apart in order."""
+"""Assemble the parts of an entry, and start and stop them in order."""
 
 import time
 import uuid
@@ -73,7 +73,7 @@
 
 
 class EntryActors(NamedTuple):
-    """Be the actors of one entry."""
+    """Hold the actors of one entry."""
 
     routing: ActorRef
     configuration: ActorRef
@@ -82,12 +82,12 @@
     courier: ActorRef | None
 
     def running(self) -> tuple[ActorRef, ...]:
-        """Return those that there are."""
+        """Return the actors that this entry runs."""
         return tuple(actor for actor in self if actor is not None)
 
 
 class EntryRole(NamedTuple):
-    """Be an entry that runs."""
+    """Run an entry: its actors, servers and mailbox."""
 
     settings: DaemonSettings
     actors: EntryActors
@@ -99,11 +99,11 @@
     ticker: Ticker
 
     def leave(self) -> bool:
-        """Finish what runs and go; return whether all of it finished in time.
+        """Shut down gracefully; return whether every request finished in time.
 
-        Readiness goes first, so that the balancer sends nothing more; then the door
-        closes and running requests finish; the leader hands over last, since requests
-        that finish may still have to store their answers.
+        Readiness fails first, so that the load balancer sends no more requests. Then
+        new requests are refused and running ones finish. Leadership is transferred
+        last, since requests that finish may still have to store their answers.
         """
         self.operators_handler.draining.set()
         seconds = self.settings.timings.shutdown_seconds
@@ -114,11 +114,11 @@
         return cut == 0
 
     def running_work(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return self.callers_handler.open_requests.open
 
     def stop(self) -> None:
-        """End every thread and socket."""
+        """Stop every thread and close every socket."""
         self.callers.stop(STOP_SECONDS)
         self.operators.stop()
         self.ticker.stop()
@@ -128,7 +128,7 @@
 
 
 class EntryParts(NamedTuple):
-    """Be what the parts of one entry share."""
+    """Hold what the parts of one entry share."""
 
     settings: DaemonSettings
     epoch: Epoch
@@ -142,7 +142,7 @@
 
 
 def make_router(settings: DaemonSettings) -> Router:
-    """Make the router of an entry."""
+    """Create the router of an entry from its settings."""
     limits = settings.entry.limits
     default = RouterConfig()
     config = RouterConfig(
@@ -163,7 +163,7 @@
 ) -> EntryRole:
     """Start an entry from its settings, or raise `StartError`.
 
-    A measurement gives another way to make the router, to compare the two.
+    Benchmarks pass another `make_router`, to compare routers.
     """
     metrics = EntryMetrics()
     post = make_post(settings)
@@ -227,7 +227,7 @@
 
 
 def start_actors(parts: EntryParts) -> EntryActors:
-    """Start the actors; one that is told about needs to be started before."""
+    """Start the actors; an actor starts before those that send messages to it."""
     settings = parts.settings
     routing = RoutingActor.start(
         RoutingParts(
@@ -256,7 +256,7 @@
 def make_callers_handler(
     parts: EntryParts, actors: EntryActors, gateway: ControlGateway
 ) -> EntryCallersHandler:
-    """Make what answers the callers."""
+    """Create the handler of callers' requests."""
     settings = parts.settings
     attempts = AttemptsClient.from_config(
         AttemptsClientConfig(
@@ -284,7 +284,7 @@
 def make_callers_server(
     settings: DaemonSettings, handler: EntryCallersHandler
 ) -> CallersServer:
-    """Make the server that callers reach."""
+    """Create the HTTP server for callers."""
     limits = settings.entry.limits
     config = CallersServerConfig(
         settings.entry.callers_address,
@@ -300,7 +300,7 @@
 def make_operators_server(
     settings: DaemonSettings, handler: EntryOperatorsHandler
 ) -> OperatorsServer:
-    """Make the server that operators reach."""
+    """Create the HTTP server for operators."""
     keys = tuple(
         OperatorKey(f"{OPERATOR}-{number}", key_hash)
         for number, key_hash in enumerate(settings.entry.operator_key_hashes, 1)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Hand one request's attempts over, to one sidecar or to several."""
+"""Hand over one request's attempts, each to one sidecar or to several."""
 
 from cowslipshelf_core.chosen_upstream import ChosenUpstream
 from cowslipshelf_core.messages import AttemptRefused
@@ -12,7 +12,7 @@
 
 
 class AttemptSender:
-    """Own what several sidecars hold for one request."""
+    """Hand over attempts, and track the parts of a spread prompt."""
 
     def __init__(self, services: SpreadServices) -> None:
         self.services = services
@@ -21,7 +21,7 @@
     def hand_over(
         self, chosen: ChosenUpstream, hand_over: HandOver
     ) -> AttemptStream | PartStream | AttemptRefused | HandOverFailed:
-        """Hand an attempt over; of a spread one the last part gives the answer."""
+        """Hand over an attempt; for a spread prompt, return its last part."""
         if not chosen.helpers:
             address = chosen.attempts_address
             return self.services.attempts.hand_over(address, hand_over)
@@ -29,11 +29,11 @@
         return self.spread.run()
 
     def lost_part(self) -> str:
-        """Tell which part was lost while the last one generates; empty for none."""
+        """Return why a helper's part was lost; empty if none was."""
         return self.spread.lost_part() if self.spread is not None else ""
 
     def cancel_helpers(self) -> None:
-        """Free what other sidecars hold of the prompt."""
+        """Cancel the parts of the prompt that helpers still hold."""
         if self.spread is not None:
             self.spread.cancel_helpers()
         self.spread = None
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
@@ -1,4 +1,4 @@
-"""Answer callers: check who calls and what for, then carry the request."""
+"""Answer callers: authenticate and admit each call, then run its request."""
 
 import hashlib
 import hmac
@@ -26,7 +26,7 @@
 
 
 class AdmittedCall(NamedTuple):
-    """Be a call whose customer and service are known and allowed."""
+    """Hold a call, and the customer and service that it was admitted for."""
 
     call: CallerCall
     customer: Customer
@@ -34,7 +34,7 @@
 
 
 class EntryCallersHandler:
-    """Serve the callers of one entry."""
+    """Handle the calls that reach one entry."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.open_requests = OpenRequests()
 
     def answer(self, call: CallerCall, writer: AnswerWriter) -> None:
-        """Write the call's one answer."""
+        """Write exactly one answer to the call."""
         if not self.open_requests.enter():
             writer.refusal(not_ready("this instance is shutting down"), False)
             return
@@ -60,7 +60,7 @@
             self.open_requests.leave()
 
     def admit_and_run(self, call: CallerCall, writer: AnswerWriter) -> None:
-        """Admit the call and carry it, or refuse it."""
+        """Admit the call and run its request, or refuse it."""
         index = self.in_force.index
         admitted = self.admit(call, index)
         if isinstance(admitted, Refusal):
@@ -75,7 +75,7 @@
     def admit(
         self, call: CallerCall, index: ConfigurationIndex
     ) -> AdmittedCall | Refusal:
-        """Find the call's customer and service, or say why it may not run."""
+        """Find the call's customer and service, or return why it is refused."""
         if not self.in_force.servable:
             return not_ready("no quorum has confirmed the configuration yet")
         customer = find_customer(call.customer_key, index)
@@ -89,7 +89,7 @@
     def make_request(
         self, admitted: AdmittedCall, index: ConfigurationIndex
     ) -> CallerRequest:
-        """Describe the request to its decider."""
+        """Return the request in the form that `RequestMachine` takes."""
         call, customer, service = admitted
         return CallerRequest(
             request_id=call.request_id,
@@ -128,10 +128,10 @@
 
 
 def find_customer(key: str, index: ConfigurationIndex) -> Customer | None:
-    """Find the customer whose key this is; the key is compared as its hash.
+    """Find the customer with this key, by the key's hash.
 
-    The hash finds the candidate, and the comparison in constant time decides: the time
-    that a wrong key takes says nothing of how much of it was right.
+    The hash finds the candidate and a constant-time comparison confirms it, so that the
+    time taken for a wrong key does not reveal how much of it was right.
     """
     key_hash = hashlib.sha256(key.encode()).hexdigest()
     customer = index.customers_by_key_hash.get(key_hash)
@@ -143,7 +143,7 @@
 def find_service(
     call: CallerCall, customer: Customer, index: ConfigurationIndex
 ) -> Service | Refusal:
-    """Find the service that the call is for, among those of its customer."""
+    """Find the service for the call among those of its customer."""
     if call.service is not None:
         return named_service(call, customer, index)
     services = [index.services[name] for name in customer.services]
@@ -164,10 +164,10 @@
 def named_service(
     call: CallerCall, customer: Customer, index: ConfigurationIndex
 ) -> Service | Refusal:
-    """Check that the named service exists, is the customer's and has the model."""
+    """Return the named service if it is the customer's and has the model."""
     service = index.services.get(call.service)
     if service is None or service.name not in customer.services:
-        # One answer for both: a customer learns nothing of others' services.
+        # The same answer for both, to reveal nothing about other customers' services.
         return refused(
             RefusalReason.UNKNOWN_SERVICE, f"no service {call.service!r} for you"
         )
@@ -183,16 +183,16 @@
 
 
 def refused(reason: RefusalReason, detail: str) -> Refusal:
-    """Refuse a call that was not admitted; it never ran."""
+    """Return the refusal of a call that was not admitted, and so never ran."""
     return Refusal(RefusalCode.NOT_RUN, reason, STEP, detail=detail)
 
 
 def not_ready(detail: str) -> Refusal:
-    """Refuse a call because this instance does not serve now."""
+    """Return the refusal of a call that this instance cannot serve now."""
     refusal = refused(RefusalReason.NOT_READY, detail)
     return refusal._replace(retry_after_seconds=NOT_READY_RETRY_SECONDS)
 
 
 def new_attempt_id() -> AttemptId:
-    """Return a fresh attempt id."""
+    """Return a new random attempt id."""
     return AttemptId(uuid.uuid4().hex)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_sender.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/cancel_sender.py
@@ -1,4 +1,4 @@
-"""Send cancels off the threads that carry requests."""
+"""Send cancels to sidecars from a pool of threads."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -9,12 +9,12 @@
 
 
 class CancelSender:
-    """Own the threads that wait for sidecars to take cancels.
+    """Send cancels without blocking the threads that run requests.
 
-    A request leaves a sidecar because that one is dead or silent; a cancel sent from
-    its own thread would wait there for the connection's limit before the request goes
-    on elsewhere. A cancel that is lost costs no memory for good: the sidecar gives up
-    attempts whose owner no longer reads them.
+    A request often leaves a sidecar because that sidecar is dead or silent. A cancel
+    sent from the request's own thread would wait there for a connection timeout before
+    the request could go on elsewhere. A lost cancel does not leak memory: the sidecar
+    drops attempts whose owner no longer reads them.
     """
 
     def __init__(self, attempts: AttemptsClient) -> None:
@@ -22,5 +22,5 @@
         self.executor = ThreadPoolExecutor(THREADS, thread_name_prefix="cancel")
 
     def send(self, address: str, attempt_id: AttemptId) -> None:
-        """Cancel an attempt as soon as a thread is free."""
+        """Cancel an attempt as soon as a thread of the pool is free."""
         self.executor.submit(self.attempts.cancel, address, attempt_id)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -1,4 +1,4 @@
-"""Own the view of the configuration in one entry."""
+"""Run the actor that keeps the configuration of one entry up to date."""
 
 import time
 from typing import Any, NamedTuple
@@ -31,7 +31,7 @@
 
 
 class ConfigurationParts(NamedTuple):
-    """Be what the configuration actor works with."""
+    """Hold the dependencies of the configuration actor."""
 
     view: ConfigurationView
     in_force: ConfigurationInForce
@@ -40,7 +40,7 @@
 
 
 class ConfigurationActor(DaemonActor):
-    """Put newer configurations in force in this process, and never older ones."""
+    """Apply newer configurations in this process, and never older ones."""
 
     def __init__(self, parts: ConfigurationParts) -> None:
         super().__init__()
@@ -51,7 +51,7 @@
         self.next_tick = 0.0
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for the decider."""
+        """Turn one message into an event for the configuration view."""
         now = time.monotonic()
         match message:
             case Tick() if now >= self.next_tick:
@@ -65,7 +65,7 @@
                 self.answer(question, message.sender_address)
 
     def handle(self, event: ConfigurationViewEvent, now: float) -> None:
-        """Give the decider an event and carry out what it says."""
+        """Pass an event to the configuration view and carry out its effects."""
         for effect in self.view.handle(event, now):
             match effect:
                 case AskForConfiguration(address, question):
@@ -83,7 +83,7 @@
                     )
 
     def answer(self, question: FetchConfiguration, address: str) -> None:
-        """Answer with what is in force here, which no quorum has confirmed just now."""
+        """Answer with the configuration in force here, unconfirmed by a quorum."""
         snapshot = ConfigurationSnapshot(
             self.view.in_force, confirmed_by_quorum=False, query_id=question.query_id
         )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_in_force.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_in_force.py
@@ -1,4 +1,4 @@
-"""Share the configuration in force with every thread of an entry."""
+"""Share the configuration in force among the threads of an entry."""
 
 import time
 from typing import NamedTuple
@@ -18,11 +18,11 @@
 
 
 class ConfigurationIndex(NamedTuple):
-    """Be one configuration with its parts by name; replaced whole, never changed."""
+    """Index the parts of one configuration by name; replaced, never modified."""
 
     configuration: FleetConfiguration
     since: float
-    """Seconds since 1970 at which this process put it in force."""
+    """Time at which this process applied the configuration, in seconds since 1970."""
     customers: dict[CustomerName, Customer]
     customers_by_key_hash: dict[str, Customer]
     services: dict[ServiceName, Service]
@@ -32,7 +32,7 @@
     def from_configuration(
         cls, configuration: FleetConfiguration, since: float
     ) -> "ConfigurationIndex":
-        """Index a configuration."""
+        """Return the index of a configuration."""
         return cls(
             configuration,
             since,
@@ -44,10 +44,10 @@
 
 
 class ConfigurationInForce:
-    """Hold the newest index; one actor writes it, any thread reads it.
+    """Hold the index of the newest configuration.
 
-    Readers take the attribute once and then work on that one index, so that a request
-    never sees halves of two configurations.
+    One actor replaces it, and any thread reads it. Readers read the attribute `index`
+    once and then use that value, so that no request mixes two configurations.
     """
 
     def __init__(self) -> None:
@@ -56,9 +56,9 @@
         self.servable = False
 
     def version(self) -> ConfigurationVersion:
-        """Return the version in force."""
+        """Return the version of the configuration in force."""
         return self.index.configuration.version
 
     def replace(self, configuration: FleetConfiguration) -> None:
-        """Put a newer configuration in force in this process."""
+        """Replace the configuration by a newer one."""
         self.index = ConfigurationIndex.from_configuration(configuration, time.time())
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/entry_metrics.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/entry_metrics.py
@@ -1,4 +1,4 @@
-"""Name and count what an entry shows to its operators' monitoring."""
+"""Define the Prometheus metrics of an entry."""
 
 from cowslipshelf_core.errors import Refusal
 from cowslipshelf_core.requests import CallerRequest
@@ -16,7 +16,7 @@
 UPSTREAMS = "cowslipshelf_upstreams_heard"
 
 LENGTH_BOUNDS = (2_000, 8_000, 32_000, 100_000, 400_000)
-"""Upper bounds, in prompt tokens, of the buckets by which times are shown."""
+"""Upper bounds, in prompt tokens, of the buckets that label request times."""
 LONGEST_BUCKET = "longer"
 
 HELPS = {
@@ -33,7 +33,7 @@
 
 
 def length_bucket(prompt_tokens: int) -> str:
-    """Return the bucket of a prompt's length, as its upper bound."""
+    """Return the label of the bucket for a prompt of this length."""
     for bound in LENGTH_BOUNDS:
         if prompt_tokens <= bound:
             return str(bound)
@@ -41,7 +41,7 @@
 
 
 class EntryMetrics:
-    """Count for one entry, from any thread."""
+    """Record the metrics of one entry; safe to use from any thread."""
 
     def __init__(self) -> None:
         self.metrics = Metrics()
@@ -49,18 +49,18 @@
             self.metrics.describe(name, text)
 
     def admission_refused(self, refusal: Refusal) -> None:
-        """Count a call that was refused before it was a request."""
+        """Count a call that was refused at admission."""
         self.metrics.count(ADMISSION_REFUSED, reason=refusal.reason)
 
     def first_chunk(self, request: CallerRequest, seconds: float) -> None:
-        """Record the time to the first piece of an answer."""
+        """Record the time to the first chunk of an answer."""
         bucket = length_bucket(request.prompt_tokens)
         self.metrics.record_seconds(
             FIRST_CHUNK, seconds, service=request.service, prompt_up_to=bucket
         )
 
     def ended(self, request: CallerRequest, outcome: str, seconds: float) -> None:
-        """Count a request's end and record its time."""
+        """Count a request that has ended, and record its duration."""
         self.metrics.count(REQUESTS, service=request.service, outcome=outcome)
         bucket = length_bucket(request.prompt_tokens)
         self.metrics.record_seconds(
@@ -68,21 +68,21 @@
         )
 
     def retry(self, allowed: bool) -> None:
-        """Count a question for the retry budget."""
+        """Count a request for a retry, and whether the retry budget allowed it."""
         self.metrics.count(RETRIES, allowed=str(allowed).lower())
 
     def mailbox(self, mailbox: Mailbox) -> None:
-        """Show the mailbox's counters as they are now."""
+        """Set the gauges of the mailbox to its current counters."""
         for what, number in mailbox.counters._asdict().items():
             if isinstance(number, int):
                 self.metrics.gauge(MAILBOX, number, what=what)
 
     def state(self, open_requests: int, version: int, upstreams: int) -> None:
-        """Show what the process holds now."""
+        """Set the gauges of the process to its current state."""
         self.metrics.gauge(OPEN_REQUESTS, open_requests)
         self.metrics.gauge(CONFIGURATION_VERSION, version)
         self.metrics.gauge(UPSTREAMS, upstreams)
 
     def text(self) -> str:
-        """Write everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return self.metrics.prometheus_text()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
@@ -1,4 +1,4 @@
-"""Keep what happened to recent requests, for `explain`."""
+"""Record what happened to recent requests, for `explain`."""
 
 import threading
 import time
@@ -14,7 +14,7 @@
 
 
 class RequestRecord:
-    """Collect what happened to one request; written by its own thread."""
+    """Record what happened to one request; written by the request's thread alone."""
 
     def __init__(self, request: CallerRequest, metrics: EntryMetrics) -> None:
         self.request = request
@@ -29,30 +29,30 @@
         self.outcome = "running"
 
     def note(self, text: str) -> None:
-        """Add a line, as long as there is room."""
+        """Add a line with its time, unless there are `MAX_NOTES` already."""
         if len(self.notes) < MAX_NOTES:
             self.notes.append(f"{time.monotonic() - self.started:.3f} s: {text}")
 
     def add_placement(self, explanation: PlacementExplanation) -> None:
-        """Keep why an upstream was chosen."""
+        """Record why an upstream was chosen."""
         if len(self.placements) < MAX_NOTES:
             self.placements.append(explanation)
 
     def count_chunk(self) -> None:
-        """Count a piece of the answer."""
+        """Count a chunk of the answer, and time the first one."""
         self.chunks += 1
         if self.first_chunk_seconds is None:
             self.first_chunk_seconds = time.monotonic() - self.started
             self.metrics.first_chunk(self.request, self.first_chunk_seconds)
 
     def end(self, outcome: str) -> None:
-        """Keep how the request ended."""
+        """Record the outcome and the duration of the request."""
         self.outcome = outcome
         self.seconds = time.monotonic() - self.started
         self.metrics.ended(self.request, outcome, self.seconds)
 
     def lines(self) -> tuple[str, ...]:
-        """Tell in lines of text what happened, the oldest first."""
+        """Describe what happened in lines of text, the oldest first."""
         request = self.request
         what = f"{request.prompt_tokens} prompt tokens for {request.model or 'a call'}"
         head = f"customer {request.customer}, service {request.service}, {what}"
@@ -62,7 +62,7 @@
         return (head, *placements, *self.notes, self.last_line())
 
     def last_line(self) -> str:
-        """Tell how the request ended, or that it runs."""
+        """Describe the outcome of the request, or that it is running."""
         first = self.first_chunk_seconds
         waited = (
             "nothing written yet" if first is None else f"first after {first:.3f} s"
@@ -72,7 +72,7 @@
 
 
 def placement_lines(placement: PlacementExplanation) -> list[str]:
-    """Tell where an attempt went, what was expected there and what else there was."""
+    """Describe where an attempt was placed and which upstreams were considered."""
     where = placement.chosen or "nowhere"
     head = (
         f"attempt {placement.attempt_id} placed on {where} after "
@@ -88,7 +88,7 @@
 
 
 class RequestRecords:
-    """Keep the newest records; safe between threads."""
+    """Keep the records of the most recent requests; thread-safe."""
 
     def __init__(self, metrics: EntryMetrics) -> None:
         self.metrics = metrics
@@ -96,7 +96,7 @@
         self.lock = threading.Lock()
 
     def begin(self, request: CallerRequest) -> RequestRecord:
-        """Begin the record of a request; the oldest goes where there are too many."""
+        """Add a record for a request; evict the oldest beyond `MAX_RECORDS`."""
         record = RequestRecord(request, self.metrics)
         with self.lock:
             self.records[request.request_id] = record
@@ -105,6 +105,6 @@
         return record
 
     def find(self, request_id: RequestId) -> RequestRecord | None:
-        """Return the record of a request that this entry carried lately."""
+        """Return the record of a request, if this entry ran it recently."""
         with self.lock:
             return self.records.get(request_id)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sort the messages that arrive at an entry to the actors they are for."""
+"""Dispatch the messages that arrive at an entry to its actors."""
 
 from typing import NamedTuple
 
@@ -24,7 +24,7 @@
 
 
 class MessageDispatcher(NamedTuple):
-    """Know the actors of one entry."""
+    """Dispatch messages to the actors of one entry."""
 
     routing: ActorRef
     configuration: ActorRef
@@ -34,7 +34,7 @@
     suspects: SuspectRequests
 
     def receive(self, received: Received) -> None:
-        """Take a message from another process; runs on the mailbox's thread."""
+        """Dispatch a message from another process; runs on the mailbox's thread."""
         version = received.configuration_version
         if version > self.in_force.index.configuration.version:
             seen = VersionSeen(received.sender_address, version)
@@ -49,7 +49,7 @@
                 self.deliver(delivered)
 
     def deliver(self, delivered: Delivered) -> None:
-        """Take a message for an actor, from this process or another."""
+        """Dispatch a message from this process or another to its actor."""
         match delivered.message:
             case ConfigurationSnapshot():
                 self.configuration.tell(delivered)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/open_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/open_requests.py
@@ -1,10 +1,10 @@
-"""Count the requests that run, for a graceful shutdown."""
+"""Count the running requests, for a graceful shutdown."""
 
 import threading
 
 
 class OpenRequests:
-    """Count the requests that run, and close the door for a shutdown."""
+    """Count the running requests, and admit no more once closed; thread-safe."""
 
     def __init__(self) -> None:
         self.open = 0
@@ -12,7 +12,7 @@
         self.changed = threading.Condition()
 
     def enter(self) -> bool:
-        """Count a request in, unless the door is closed."""
+        """Count a request that starts; return False if closed."""
         with self.changed:
             if self.closed:
                 return False
@@ -20,13 +20,13 @@
             return True
 
     def leave(self) -> None:
-        """Count a request out."""
+        """Count a request that has ended."""
         with self.changed:
             self.open -= 1
             self.changed.notify_all()
 
     def close_and_wait(self, seconds: float) -> int:
-        """Let nobody in any more and wait; return how many still run."""
+        """Admit no more requests and wait; return how many still run."""
         with self.changed:
             self.closed = True
             self.changed.wait_for(lambda: self.open == 0, seconds)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -1,4 +1,4 @@
-"""Answer operators from what this entry knows and the replicated state."""
+"""Answer operators from this entry's knowledge and the replicated state."""
 
 import threading
 import time
@@ -55,17 +55,17 @@
 from cowslipshelf_operators.errors import HandlerError
 
 COMMAND_SECONDS = 8.0
-"""Time for a change to be committed, below the 10 s that operators' programs wait at
-least. A change has no deadline, and one whose outcome is unknown has to be sent again:
-bounded like a caller's wait, by five elections of 0.3 s, a pause of the quorum of 1.3 s
-left the operator without the outcome of a change that was in force 0.2 s later."""
+"""Timeout for committing a change, below the 10 s that operators' clients wait at
+least. A change has no deadline, and must be sent again if its outcome is unknown. With
+the shorter timeout for callers, five election timeouts of 0.3 s, a pause of the quorum
+of 1.3 s hid the outcome of a change that was in force 0.2 s later."""
 READ_SECONDS = 5.0
 SLOW_SYNC_SECONDS = 0.25
-"""Time of a sync from which on operators are told of it."""
+"""Duration of a disk sync from which operators see a note about it."""
 
 
 class OperatorsParts(NamedTuple):
-    """Be what the operators' handler works with."""
+    """Hold the dependencies of the operators' handler."""
 
     settings: DaemonSettings
     in_force: ConfigurationInForce
@@ -80,7 +80,7 @@
 
 
 class ControlView(NamedTuple):
-    """Be what the local replica tells about the control state."""
+    """Hold what the local replica reports about the control state."""
 
     replica: ReplicaStatus
     open_orders: tuple[OrderGranted, ...]
@@ -88,7 +88,7 @@
 
 
 class EntryOperatorsHandler:
-    """Serve the operators of one entry."""
+    """Handle the operators' calls to one entry."""
 
     def __init__(self, parts: OperatorsParts) -> None:
         self.parts = parts
@@ -97,7 +97,7 @@
     def plan(
         self, operator: OperatorName, document: PlanDocument
     ) -> PlanRecorded | PlanOutdated | PlanRefused:
-        """Record a plan through the replicated state."""
+        """Record a plan in the replicated state."""
         descriptions = tuple(
             status.description for status in self.parts.status.upstreams.values()
         )
@@ -108,12 +108,12 @@
     def confirm(
         self, operator: OperatorName, plan_id: PlanId, document: ConfirmDocument
     ) -> PlanConfirmed | PlanOutdated | PlanUnknown | PlanRefused:
-        """Put a plan in force through the replicated state."""
+        """Confirm a plan in the replicated state, which applies its change."""
         command = ConfirmPlan(plan_id, operator, document.change_id)
         return self.commit("confirm plan", command)
 
     def commit(self, step: str, command: ControlCommand) -> ControlOutcome:
-        """Commit a command, or say what is known of it."""
+        """Commit a command; raise `HandlerError` if it got no outcome in time."""
         outcome = self.parts.gateway.ask_within(command, COMMAND_SECONDS)
         if not isinstance(outcome, Refusal):
             return outcome
@@ -127,7 +127,7 @@
         )
 
     def state(self) -> StateAnswer:
-        """Describe the fleet as this process knows it."""
+        """Describe the fleet as seen by this process."""
         index = self.parts.in_force.index
         view = self.control_view()
         return StateAnswer(
@@ -140,7 +140,7 @@
         )
 
     def control_view(self) -> ControlView | None:
-        """Read the local replica, where there is one."""
+        """Read the local replica; return None if this entry has none."""
         if self.parts.replica is None:
             return None
         return self.read("read state", view_of)
@@ -148,7 +148,7 @@
     def read(
         self, step: str, read: Callable[[ControlState, ReplicaStatus], Any]
     ) -> Any:
-        """Read something from the local replica's state."""
+        """Apply `read` to the state of the local replica and return its result."""
         if self.parts.replica is None:
             holders = [
                 entry.instance for entry in self.parts.settings.entries if entry.replica
@@ -163,7 +163,7 @@
             raise HandlerError(step, "replica", "no answer in time") from error
 
     def instances(self, view: ControlView | None) -> tuple[InstanceStatus, ...]:
-        """Describe this entry, the others it hears, and the sidecars."""
+        """Describe this entry, and the entries and sidecars that it hears from."""
         leader = None if view is None else view.replica.leader
         entries = [
             InstanceStatus(
@@ -204,7 +204,7 @@
         )
 
     def upstreams(self) -> tuple[UpstreamStatus, ...]:
-        """Describe the upstreams that were heard lately."""
+        """Describe the upstreams that were announced recently."""
         draining = self.parts.in_force.index.configuration.draining
         lease = self.parts.settings.timings.lease_seconds
         at = time.time()
@@ -225,7 +225,7 @@
         )
 
     def notes(self, view: ControlView | None) -> tuple[str, ...]:
-        """Say what an operator should know."""
+        """Return notes for the operator on the state of the replica."""
         if view is None:
             return ("this entry holds no replica",)
         members = replica_notes(view.replica)
@@ -245,7 +245,7 @@
         return self.read("read audit", lambda state, _: state.audit(since_index, limit))
 
     def explain(self, kind: ExplainKind, name: str) -> ExplainAnswer | None:
-        """Tell what happened to a request, an upstream or a change."""
+        """Describe what happened to a request, an upstream or a change."""
         match kind:
             case "request":
                 record = self.parts.records.find(RequestId(name))
@@ -257,7 +257,7 @@
         return ExplainAnswer(kind, name, lines) if lines else None
 
     def upstream_lines(self, name: str) -> tuple[str, ...]:
-        """Tell what is known of an upstream."""
+        """Describe what is known of an upstream."""
         known = [status for status in self.upstreams() if status.upstream_id == name]
         return tuple(
             f"{field}: {getattr(status, field)}"
@@ -266,7 +266,7 @@
         )
 
     def change_lines(self, change_id: ChangeId) -> tuple[str, ...]:
-        """Tell what became of a change."""
+        """Describe what became of a change."""
         explained = self.read(
             "explain change", lambda state, _: state.explain_change(change_id)
         )
@@ -282,7 +282,7 @@
         return (first, *records)
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests under which upstreams ended."""
+        """List the requests that upstreams exited under."""
         listed = self.parts.suspects.listed()
         suspects = tuple(
             SuspectStatus(
@@ -297,18 +297,18 @@
         return SuspectsAnswer(self.parts.settings.instance, suspects)
 
     def release(self, operator: OperatorName, digest: str) -> bool:
-        """Let a request go that is held back."""
+        """Release a request that is held back."""
         return self.parts.suspects.release(RequestDigest(digest), operator)
 
     def health(self) -> HealthAnswer:
-        """Tell whether the process works at all."""
+        """Tell whether the process is healthy."""
         view = self.control_view()
         if view is not None and view.replica.failure:
             return HealthAnswer(False, (view.replica.failure,))
         return HealthAnswer(True)
 
     def ready(self) -> HealthAnswer:
-        """Tell whether the process should get callers."""
+        """Tell whether the process is ready for callers."""
         if self.draining.is_set():
             return HealthAnswer(False, ("shutting down",))
         if not self.parts.in_force.servable:
@@ -316,7 +316,7 @@
         return HealthAnswer(True)
 
     def metrics_text(self) -> str:
-        """Write the metrics in the Prometheus text format."""
+        """Return the current metrics in the Prometheus text format."""
         parts = self.parts
         version = parts.in_force.index.configuration.version
         upstreams = len(parts.status.upstreams)
@@ -326,13 +326,13 @@
 
 
 def view_of(state: ControlState, replica: ReplicaStatus) -> ControlView:
-    """Read what operators see of the control state."""
+    """Return what operators see of the control state."""
     version = state.configuration.version
     return ControlView(replica, state.open_orders(), version)
 
 
 def replica_notes(replica: ReplicaStatus) -> tuple[str, ...]:
-    """Tell who holds a replica, and what the local one has."""
+    """Describe the members of the cluster and the local replica."""
     membership = replica.membership
     voters = tuple(f"voter {one.instance} {one.folder}" for one in membership.voters)
     learners = tuple(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
@@ -1,4 +1,4 @@
-"""Bring open orders to the sidecars of their upstreams, while this entry leads."""
+"""Send open orders to the sidecars of their upstreams while this entry leads."""
 
 import time
 from queue import Empty, SimpleQueue
@@ -23,7 +23,7 @@
 
 
 class OrderCourierParts(NamedTuple):
-    """Be what the courier works with."""
+    """Hold the dependencies of the courier."""
 
     replica: ActorRef
     status: FleetStatus
@@ -31,11 +31,11 @@
 
 
 class OrderCourier(DaemonActor):
-    """Send every open order again and again until it is closed.
+    """Send every open order repeatedly until it is closed.
 
-    An order is closed through the log by the sidecar that gave it. Sending it more
-    than once is safe: the sidecar gives each fencing number once, and an isolated
-    leader that still sends finds its numbers refused as old.
+    The sidecar that ran an order closes it through the replicated log. Sending an order
+    more than once is safe: the sidecar runs each fencing number once, and an isolated
+    leader that still sends has its numbers refused as old.
     """
 
     def __init__(self, parts: OrderCourierParts) -> None:
@@ -44,7 +44,7 @@
         self.next_send = 0.0
 
     def on_receive(self, message: Any) -> None:
-        """Send what is open, from time to time."""
+        """Send all open orders every `RESEND_SECONDS`."""
         now = time.monotonic()
         if isinstance(message, Tick) and now >= self.next_send:
             self.next_send = now + RESEND_SECONDS
@@ -52,7 +52,7 @@
                 self.send(order)
 
     def read_open_orders(self) -> tuple[OrderGranted, ...]:
-        """Read the open orders of a leader; nobody else sends any."""
+        """Read the open orders if this replica leads; only the leader sends any."""
         reply: SimpleQueue[tuple[OrderGranted, ...]] = SimpleQueue()
         try:
             self.parts.replica.tell(ControlStateQuery(open_orders_of_leader, reply))
@@ -61,7 +61,7 @@
             return ()
 
     def send(self, order: OrderGranted) -> None:
-        """Send one order, if its upstream is known."""
+        """Send one order if its upstream is known."""
         status = self.parts.status.upstreams.get(order.upstream_id)
         if status is None:
             return
@@ -78,5 +78,5 @@
 def open_orders_of_leader(
     state: ControlState, replica: ReplicaStatus
 ) -> tuple[OrderGranted, ...]:
-    """Return the open orders, or none where the replica does not lead."""
+    """Return the open orders, or none if the replica does not lead."""
     return state.open_orders() if leads(replica) else ()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/part_stream.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/part_stream.py
@@ -1,4 +1,4 @@
-"""Hold the frames of one part of a spread prompt."""
+"""Read the frames of one part of a spread prompt."""
 
 from collections.abc import Iterator
 from threading import Thread
@@ -21,20 +21,20 @@
 
 
 class PartStream:
-    """Own the stream of one accepted part."""
+    """Read the stream of one part that a sidecar has accepted."""
 
     def __init__(self, attempt_id: AttemptId, stream: AttemptStream) -> None:
         self.attempt_id = attempt_id
         self.stream = stream
         self.frames = iter(stream)
         self.loss_reason = ""
-        """Why the part was lost after it was prefilled; empty while it is held."""
+        """Why the part was lost after its prefill; empty as long as it is not lost."""
 
     def __iter__(self) -> Iterator[Frame]:
         return self.frames
 
     def next_event(self) -> SpreadEvent:
-        """Wait for the next frame; heartbeats bound the wait."""
+        """Wait for the next frame; heartbeat frames bound the wait."""
         try:
             frame = next(self.frames)
         except StreamLostError as error:
@@ -50,12 +50,12 @@
                 return TimePassed()
 
     def watch_for_loss(self) -> None:
-        """Notice on a thread of its own when a prefilled part is lost."""
+        """Watch on a separate thread for the loss of a prefilled part."""
         name = f"part-{self.attempt_id}"
         Thread(target=self.read_to_end, name=name, daemon=True).start()
 
     def read_to_end(self) -> None:
-        """Read to the end, which comes only where the part is given up."""
+        """Read to the stream's end, which comes only if the sidecar drops the part."""
         try:
             for frame in self.frames:
                 if isinstance(frame, StreamEnd):
@@ -66,5 +66,5 @@
         self.loss_reason = f"{self.stream.peer} gave its part of the prompt up"
 
     def close(self) -> None:
-        """Give up the connection; the part itself is ended by a cancel."""
+        """Close the connection; only a cancel ends the part itself."""
         self.stream.close()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -1,4 +1,4 @@
-"""Own one replica of the control state: its decider, its disk, what it applies."""
+"""Run one replica of the control state: its consensus, its disk, its state."""
 
 import random
 import time
@@ -68,20 +68,20 @@
 
 MAX_EVENTS_PER_SYNC = 512
 SLOW_BATCH_SECONDS = 0.1
-"""Time for one batch, its sync included, above which it is logged. A leader whose
-batches take longer than its followers' patience is replaced, without any error."""
+"""Duration of a batch, including its sync, from which it is logged. A leader whose
+batches take longer than an election timeout is replaced, without any error."""
 MAX_PENDING_READS = 4096
 
 
 class ControlStateQuery(NamedTuple):
-    """Ask for something that only the replicated state knows."""
+    """Ask for a value computed from the replicated state."""
 
     read: Callable[[ControlState, ReplicaStatus], Any]
     reply: "SimpleQueue[Any]"
 
 
 class ReplicaParts(NamedTuple):
-    """Be what the replica's actor works with."""
+    """Hold the dependencies of the replica's actor."""
 
     replica: Replica
     storage: ReplicaStorage | VolatileStorage
@@ -92,11 +92,11 @@
 
 
 class ReplicaActor(DaemonActor):
-    """Take part in the agreement; the only owner of the data folder.
+    """Run one replica; the only user of the data folder.
 
-    Whatever waits in the inbox is handled as one batch, with one sync for all of it:
-    group commit. Nothing that a batch decides leaves this actor before the sync, so
-    that no answer or vote can be forgotten by a crash after it was given.
+    All messages waiting in the inbox are handled as one batch with one sync (group
+    commit). No effect of a batch leaves this actor before the sync, so that a crash
+    cannot lose an answer or a vote after it was sent.
     """
 
     def __init__(self, parts: ReplicaParts) -> None:
@@ -110,17 +110,17 @@
         self.random = random.Random()
         self.events: list[Event] = []
         self.proposers: dict[str, str] = {}
-        """Mailbox addresses of those that wait for the outcome of a proposal."""
+        """Mailbox addresses of proposers that wait for an outcome, by proposal id."""
         self.pending_reads: dict[str, Delivered] = {}
         self.read_count = 0
 
     def on_start(self) -> None:
-        """Put what the stored snapshot holds before this process."""
+        """Publish the configuration and the routes of the stored snapshot."""
         self.publish_configuration()
         self.publish_routes()
 
     def on_receive(self, message: Any) -> None:
-        """Collect events as long as more are waiting, then handle them together."""
+        """Collect events while more messages wait, then handle them as one batch."""
         match message:
             case Tick():
                 self.events.append(TickElapsed())
@@ -154,10 +154,10 @@
                 self.events.append(PeerMessageArrived(delivered.sender, message))
 
     def handle_proposal(self, proposal: Propose, proposer: str) -> None:
-        """Propose a command that this version understands; drop any other.
+        """Propose a command that this version can decode; drop any other.
 
-        What is in the log must be applied by every replica, so nothing may get there
-        that none of them can read.
+        Every replica must apply every command in the log, so no command may get there
+        that none of them can decode.
         """
         try:
             decode_command(proposal.command)
@@ -170,7 +170,7 @@
         )
 
     def start_read(self, delivered: Delivered) -> None:
-        """Have a quorum confirm what the asker is told."""
+        """Have a quorum confirm that the answer to a query is up to date."""
         if len(self.pending_reads) >= MAX_PENDING_READS:
             return
         self.read_count += 1
@@ -179,7 +179,7 @@
         self.events.append(ReadAsked(read_id))
 
     def handle_events(self) -> None:
-        """Handle what was collected, make it durable, and only then act on it."""
+        """Handle the collected events as one batch; log the batch if it is slow."""
         events, self.events = self.events, []
         now = time.monotonic()
         self.handle_batch(events, now)
@@ -188,7 +188,7 @@
             LOG.warning("Slow batch.", events=len(events), seconds=round(took, 3))
 
     def handle_batch(self, events: list[Event], now: float) -> None:
-        """Handle one batch of events at `now` (monotonic seconds)."""
+        """Handle one batch: make its effects durable, and only then perform them."""
         effects = self.replica.handle_batch(events, now, self.random)
         failure = self.make_durable(effects)
         if failure is not None:
@@ -197,14 +197,14 @@
         for effect in effects:
             self.perform(effect)
         # Once for a batch: a replica that starts applies its whole log at once, and
-        # each configuration in it would be decoded in vain.
+        # all configurations in it but the last would be decoded in vain.
         if self.state.routes.document.version != routes_before:
             self.publish_routes()
         if failure is not None:
             self.answer_pending()
 
     def make_durable(self, effects: list[Effect]) -> StorageError | None:
-        """Write and sync; return the error of a disk that failed."""
+        """Write and sync the effects to disk; return the error if the disk failed."""
         writes = [
             effect for effect in effects if isinstance(effect, Persist | SaveSnapshot)
         ]
@@ -226,13 +226,13 @@
     def fail_replica(
         self, dropped: list[Effect], failure: StorageError
     ) -> list[Effect]:
-        """End this replica's part in the agreement; return what is still to be done.
+        """Stop taking part in the consensus after a disk failure.
 
-        What follows from unsynced bytes is dropped: had it been sent, a vote or an
-        answer would stand on what a restart does not find. Refusals of the same batch
-        stand on nothing that was written. With what the replica says of its failure
-        they tell proposers, readers and this process's gateway to turn elsewhere;
-        else each would wait here for its whole time.
+        Return the effects that are still to be performed. Those that depend on unsynced
+        bytes are dropped: a vote or an answer might rest on data that a restart does
+        not find. Refusals of the same batch depend on no write. They and the effects
+        of `DiskFailed` tell proposers, readers and this process's proposal client to
+        try another replica, rather than wait here until they time out.
         """
         LOG.error("Disk failed.", error=str(failure))
         refusals = [
@@ -247,9 +247,9 @@
         ]
 
     def answer_pending(self) -> None:
-        """Answer those whose outcome went with the dropped batch.
+        """Answer the proposers and readers whose outcome is lost with a dropped batch.
 
-        Their commands may have been committed by the other replicas, or be lost.
+        The other replicas may have committed their commands, or not.
         """
         for proposal_id in list(self.proposers):
             unknown = ProposalRefusal.OUTCOME_UNKNOWN
@@ -258,7 +258,7 @@
             self.answer_read(read_id, confirmed=False)
 
     def perform(self, effect: Effect) -> None:
-        """Carry out one effect that is safe to carry out."""
+        """Perform one effect, after the sync of its batch."""
         match effect:
             case SendTo(instance, message):
                 self.post.send_to_instance(instance, message)
@@ -289,13 +289,13 @@
                 self.gateway.tell(LeaderSeen(leader))
 
     def apply(self, index: int, entry: Entry) -> None:
-        """Apply a committed command and answer whoever proposed it here."""
+        """Apply a committed command and answer its proposer if it was proposed here."""
         if entry.kind is not EntryKind.COMMAND:
             self.audit_forced_members(index, entry)
             return
-        # A leader of a newer version may commit a command that this one can't read.
-        # Skipped here, it would be missing from this replica's state for good, and
-        # from every snapshot it sends. The error ends the process, to be updated.
+        # A leader of a newer version may commit a command that this version can't
+        # decode. If it were skipped, this replica's state and every snapshot it sends
+        # would lack it for good. The error ends the process, which has to be updated.
         command = decode_command(entry.payload)
         before = self.state.configuration.version
         outcome = self.state.apply(command, index, entry.at)
@@ -306,9 +306,9 @@
             self.answer_proposer(ProposalResult(entry.proposal_id, index, encoded))
 
     def audit_forced_members(self, index: int, entry: Entry) -> None:
-        """Note who forced the members of the cluster.
+        """Record in the audit trail who forced the members of the cluster.
 
-        The record is made from the log's own entry, so every replica makes the same.
+        The record is built from the log entry alone, so every replica makes the same.
         """
         operator = forced_by(entry)
         if operator is None:
@@ -320,17 +320,17 @@
             self.state.apply(record, index, entry.at)
 
     def answer_proposer(self, result: ProposalResult) -> None:
-        """Send a result to whoever proposed through this replica.
+        """Send a result to its proposer if it was proposed through this replica.
 
-        It goes to the address that the proposal came from: the post knows entry
-        instances by name, but not sidecars, which ask for load grants.
+        It goes to the address that the proposal came from, since the post knows the
+        addresses of entries but not of sidecars, which propose for load grants.
         """
         address = self.proposers.pop(result.proposal_id, None)
         if address is not None:
             self.post.send(address, result)
 
     def answer_read(self, read_id: str, confirmed: bool) -> None:
-        """Answer a question that a quorum was asked about."""
+        """Answer a query once its quorum read has succeeded or failed."""
         asked = self.pending_reads.pop(read_id, None)
         match asked:
             case Delivered(message=FetchConfiguration()):
@@ -341,23 +341,24 @@
                 self.answer_fencing(asked, question)
 
     def answer_fencing(self, asked: Delivered, question: FencingAsked) -> None:
-        """Send an upstream's newest fencing number, which a quorum has confirmed."""
+        """Send an upstream's newest fencing number, confirmed by a quorum."""
         fencing = self.state.current_fencing(question.upstream_id)
         answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
         self.post.send(asked.sender_address, answer)
 
     def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
-        """Send the configuration as it is applied here."""
+        """Send the configuration that is applied here."""
         snapshot = ConfigurationSnapshot(
             self.state.configuration, confirmed, asked.message.query_id
         )
         self.post.send(asked.sender_address, snapshot)
 
     def answer_routes(self, asked: Delivered, confirmed: bool) -> None:
-        """Send the routed configuration as it is applied here.
+        """Send the gateways' configuration that is applied here.
 
-        An asker that has it gets its version and digest alone: whole, it takes a slow
-        link longer than a read may take, and could then be read nowhere.
+        An asker that has this version gets its version and digest alone. On a slow link
+        the whole document takes longer than a read may take, so that no read of it
+        would ever succeed.
         """
         document = self.state.routes.document
         if confirmed and asked.message.have_version == document.version:
@@ -366,14 +367,14 @@
         self.post.send(asked.sender_address, snapshot)
 
     def publish_routes(self) -> None:
-        """Put the applied routed configuration before this process's view."""
+        """Send the applied gateways' configuration to this process's view."""
         snapshot = RoutesSnapshot(self.state.routes.document, confirmed_by_quorum=False)
         self.configuration.tell(
             Delivered(self.post.instance, self.post.address, snapshot)
         )
 
     def publish_configuration(self) -> None:
-        """Put the applied configuration before this process's view."""
+        """Send the applied configuration to this process's view."""
         snapshot = ConfigurationSnapshot(
             self.state.configuration, confirmed_by_quorum=False
         )
@@ -382,7 +383,7 @@
         )
 
     def on_stop(self) -> None:
-        """Let go of the data folder."""
+        """Close the data folder."""
         self.storage.close()
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
@@ -1,4 +1,4 @@
-"""Load a data folder and start the replica that it holds."""
+"""Start a replica from its data folder."""
 
 from pathlib import Path
 
@@ -23,7 +23,7 @@
 def start_replica(
     settings: DaemonSettings, post: Post, configuration: ActorRef, gateway: ActorRef
 ) -> ActorRef:
-    """Load the data folder and start the replica that it holds."""
+    """Load the data folder and start the actor of its replica."""
     storage = open_storage(settings)
     stored = load_stored(storage)
     election = settings.timings.election_seconds
@@ -43,7 +43,7 @@
 
 
 def open_storage(settings: DaemonSettings) -> ReplicaStorage:
-    """Open the data folder, or raise `StartError`."""
+    """Open the data folder; raise `StartError` on failure."""
     folder = Path(settings.entry.data_folder)
     config = ReplicaStorageConfig(folder, settings.instance)
     match ReplicaStorage.from_config(config):
@@ -54,7 +54,7 @@
 
 
 def load_stored(storage: ReplicaStorage) -> StoredState:
-    """Load what the data folder holds, or raise `StartError`."""
+    """Load the stored state; raise `StartError` on failure."""
     match storage.load():
         case Ok(stored):
             return stored
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -1,4 +1,4 @@
-"""Drive one caller's request: carry out what its decider says, one step at a time."""
+"""Run one caller's request: perform the effects of its `RequestMachine`."""
 
 import random
 import threading
@@ -89,25 +89,25 @@
 
 
 class SharedRetryBudget:
-    """Guard the process's one retry budget, which every request's thread asks."""
+    """Share the process's retry budget among the threads of its requests."""
 
     def __init__(self, budget: RetryBudget) -> None:
         self.budget = budget
         self.lock = threading.Lock()
 
     def request_started(self, now: float) -> None:
-        """Count a first attempt."""
+        """Count the first attempt of a request."""
         with self.lock:
             self.budget.count_first_attempt(now)
 
     def allows(self, now: float) -> bool:
-        """Spend a retry where there is one to spend."""
+        """Spend a retry if the budget allows one; return whether it did."""
         with self.lock:
             return self.budget.try_retry(now)
 
 
 class DriverServices(NamedTuple):
-    """Be what every request of one entry uses."""
+    """Hold the services that all requests of one entry share."""
 
     instance: InstanceId
     routing: RoutingClient
@@ -121,7 +121,7 @@
 
 
 class RequestDriver:
-    """Own the sockets of one request, on the thread of its caller's connection."""
+    """Run one request, and its sockets, on the thread of its caller's connection."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         self.streaming_attempt: AttemptId | None = None
         self.chosen: ChosenUpstream | None = None
         self.reading_upstream: UpstreamId | None = None
-        """The upstream whose answer is read."""
+        """The upstream whose answer is being read."""
         self.judged = judged_request(request)
         self.on_trial = False
         self.sender = AttemptSender(
@@ -154,11 +154,11 @@
         self.deadline_at = time.monotonic() + request.deadline_seconds
 
     def run(self) -> None:
-        """Drive the request to its one final answer."""
+        """Run the request to its one final answer."""
         self.services.retry_budget.request_started(time.monotonic())
         self.handle(Started())
         try:
-            # What follows the final answer, such as a cancel, is carried out as well.
+            # Effects after the final answer, such as a cancel, are performed too.
             while self.effects or not self.machine.has_ended():
                 self.step()
         finally:
@@ -167,26 +167,26 @@
             self.end_trial()
 
     def step(self) -> None:
-        """Carry out the next effect, or else read the open stream."""
+        """Perform the next effect, or else read the open stream."""
         if self.effects:
             self.perform(self.effects.popleft())
         elif self.stream is not None:
             self.read_stream()
         else:
-            # Without an effect and a stream only the deadline is left to come.
+            # Without an effect or a stream, only the deadline can follow.
             time.sleep(max(MIN_WAIT_SECONDS, self.seconds_left()))
             self.handle(DeadlinePassed())
 
     def handle(self, event: RequestEvent) -> None:
-        """Give the decider an event and queue what it wants done."""
+        """Pass an event to the machine and queue its effects."""
         self.effects.extend(self.machine.handle(event, time.monotonic()))
 
     def seconds_left(self) -> float:
-        """Return the time left of the caller's deadline, in seconds."""
+        """Return the time left until the caller's deadline, in seconds."""
         return self.deadline_at - time.monotonic()
 
     def perform(self, effect: RequestEffect) -> None:
-        """Carry out one effect."""
+        """Perform one effect."""
         match effect:
             case ChoosePlacement():
                 self.choose_placement(effect)
@@ -215,7 +215,7 @@
                 self.answer(effect)
 
     def choose_placement(self, effect: ChoosePlacement) -> None:
-        """Ask the router and wait for its one answer."""
+        """Ask the router for a placement and wait for its answer."""
         self.sender.cancel_helpers()
         self.end_trial()
         verdict = self.services.suspects.claim(self.judged)
@@ -239,31 +239,31 @@
                 self.handle(PlacementRefused(refusal))
 
     def end_trial(self) -> None:
-        """Let the request be tried elsewhere, if it was tried here."""
+        """End the trial of a suspect request, so that it may be tried elsewhere."""
         if self.on_trial:
             self.on_trial = False
             self.services.suspects.end_trial(self.judged)
 
     def report_stream_end(self, end: StreamEnd) -> None:
-        """Note whether the upstream ended under the request, or answered it."""
+        """Record whether the upstream exited under the request or answered it."""
         if end.upstream_ended and self.reading_upstream is not None:
             self.services.suspects.upstream_ended(self.judged, self.reading_upstream)
         elif end.refusal is None:
             self.services.suspects.answered(self.judged)
 
     def ask_claim(self, claim: Message) -> None:
-        """Put a claim to the replicated state."""
+        """Submit a claim command to the replicated state."""
         match self.services.control.ask(claim, self.seconds_left()):
             case ClaimHeld(owner=owner) as held:
-                gone = not self.services.routing.entry_is_alive(owner)
-                self.handle(ClaimAnswered(held, gone))
+                owner_gone = not self.services.routing.entry_is_alive(owner)
+                self.handle(ClaimAnswered(held, owner_gone))
             case (ClaimGranted() | ClaimRefused() | ClaimAbsent()) as answer:
                 self.handle(ClaimAnswered(answer))
             case Refusal() as refusal:
                 self.handle(ClaimUnavailable(refusal))
 
     def send_hand_over(self, hand_over: HandOver) -> None:
-        """Hand an attempt over; this is its only sending."""
+        """Hand over an attempt to its sidecar; it is never sent again."""
         self.close_stream()
         attempt_id = hand_over.attempt_id
         self.reading_upstream = hand_over.upstream_id
@@ -279,12 +279,12 @@
                 self.handle(HandOverAnswered(None, attempt_id))
 
     def still_wanted(self) -> bool:
-        """Tell whether a spread prompt that has not run yet is still waited for."""
+        """Tell whether the caller still waits for a prompt that is being spread."""
         self.check_caller()
         return self.seconds_left() > 0 and not self.machine.has_ended()
 
     def fail_without_part(self, lost: str) -> None:
-        """End an attempt whose engine can't read the whole prompt any more."""
+        """Fail an attempt whose engine can no longer read the whole prompt."""
         refusal = Refusal(
             RefusalCode.FAILED, RefusalReason.UPSTREAM_FAILED, STEP, detail=lost
         )
@@ -292,46 +292,46 @@
         self.handle(FrameArrived(StreamEnd(0, refusal), self.streaming_attempt))
 
     def lost_part(self) -> str:
-        """Name a lost part of an answer that may be begun again; empty for none.
+        """Return why a part was lost, if the request may be retried; else empty.
 
-        What must run at most once goes on: its engine alone can tell what it still
-        needs of the part, and an end here would leave the outcome unknown for sure.
+        A request that must run at most once continues: only its engine can tell whether
+        it still needs the part, and a failure here would leave the outcome unknown.
         """
         if self.request.is_non_idempotent():
             return ""
         return self.sender.lost_part()
 
     def resume(self, asked: Resume) -> None:
-        """Read an attempt's frames from where they were cut."""
+        """Resume an attempt's stream after the last frame that was received."""
         self.close_stream()
         self.reading_upstream = asked.upstream_id
-        where = self.address_of(asked)
+        address = self.address_of(asked)
         stream = None
-        if where:
+        if address:
             stream = self.services.attempts.resume(
-                where, asked.attempt_id, asked.after_sequence
+                address, asked.attempt_id, asked.after_sequence
             )
         if stream is not None:
             self.open_stream(stream, asked.attempt_id)
         self.handle(ResumeAnswered(stream is not None, asked.attempt_id))
 
     def address_of(self, asked: Resume | Revoke) -> str | None:
-        """Find the sidecar of an attempt that another entry may have placed."""
+        """Return the sidecar's address, also for attempts placed by other entries."""
         routing = self.services.routing
         return asked.address or routing.attempts_address(asked.upstream_id)
 
     def revoke(self, asked: Revoke) -> None:
-        """Ask a sidecar for the promise that an attempt never runs."""
-        where = self.address_of(asked)
+        """Ask a sidecar to promise that an attempt never runs."""
+        address = self.address_of(asked)
         answer = None
-        if where:
+        if address:
             answer = self.services.attempts.revoke(
-                where, asked.attempt_id, asked.epoch, asked.load_sequence
+                address, asked.attempt_id, asked.epoch, asked.load_sequence
             )
         self.handle(RevokeAnswered(answer, asked.attempt_id))
 
     def ask_retry_budget(self) -> None:
-        """Ask whether this process may spend a retry."""
+        """Ask the retry budget of this process for a retry."""
         allowed = self.services.retry_budget.allows(time.monotonic())
         self.services.metrics.retry(allowed)
         self.handle(RetryAnswered(allowed, random.random()))
@@ -339,19 +339,19 @@
     def open_stream(
         self, stream: AttemptStream | PartStream, attempt_id: AttemptId
     ) -> None:
-        """Begin to read an attempt's frames."""
+        """Start reading an attempt's frames."""
         self.stream = stream
         self.frames = iter(stream)
         self.streaming_attempt = attempt_id
 
     def close_stream(self) -> None:
-        """Give up the connection of the present stream."""
+        """Close the connection of the current stream."""
         if self.stream is not None:
             self.stream.close()
         self.stream = None
 
     def read_stream(self) -> None:
-        """Take the next frame; heartbeats bound the wait, and show the deadline."""
+        """Read the next frame; heartbeats bound the wait, so deadlines are noticed."""
         try:
             frame = next(self.frames)
         except StreamLostError as error:
@@ -374,12 +374,12 @@
                 self.handle(FrameArrived(frame, self.streaming_attempt))
 
     def check_caller(self) -> None:
-        """Notice a caller that went away while there was nothing to write."""
+        """Check whether the caller has closed its connection."""
         if not self.caller_left and self.writer.caller_gone():
             self.note_caller_left("closed its connection")
 
     def note_caller_left(self, detail: str) -> None:
-        """Tell the decider, once; work that must run once goes on without a caller."""
+        """Tell the machine once; work that must run at most once continues."""
         self.record.note(f"caller gone: {detail}")
         if not self.caller_left:
             self.caller_left = True
@@ -388,7 +388,7 @@
     def answer(
         self, effect: AnswerHead | AnswerChunk | AnswerEnd | AnswerRefusal
     ) -> None:
-        """Write to the caller; one that has gone does not end the request."""
+        """Write to the caller; a caller that has gone does not end the request."""
         if self.caller_left and not isinstance(effect, AnswerEnd | AnswerRefusal):
             return
         try:
@@ -399,7 +399,7 @@
     def write(
         self, effect: AnswerHead | AnswerChunk | AnswerEnd | AnswerRefusal
     ) -> None:
-        """Write one piece of the answer."""
+        """Write one part of the answer."""
         match effect:
             case AnswerHead(status, headers):
                 self.writer.head(status, headers)
@@ -415,9 +415,9 @@
 
 
 def judged_request(request: CallerRequest) -> JudgedRequest:
-    """Return what the ends of upstreams are noted by.
+    """Return the identity under which exits of upstreams are recorded.
 
-    The body's digest takes in method, service, path and body.
+    The request's `body_digest` covers method, service, path and body.
     """
     digest = request_digest(
         request.customer,
@@ -430,9 +430,9 @@
 
 
 def refusal_of(verdict: HeldBack) -> Refusal:
-    """Refuse a request under which upstreams ended; it did not run again.
+    """Return the refusal of a request that upstreams exited under; it did not run.
 
-    Without a time to come back the reason is one whose status invites no retry.
+    Without a time to retry after, its reason has a status that invites no retry.
     """
     again = verdict.retry_after_seconds
     reason = RefusalReason.UPSTREAM_FAILED if again is None else RefusalReason.BUSY
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -1,4 +1,4 @@
-"""Own the directory of upstreams and the router of one entry."""
+"""Run the actor that keeps the directory and the router of one entry."""
 
 import random
 import time
@@ -68,7 +68,7 @@
 
 
 class UpstreamStatus(NamedTuple):
-    """Tell what an entry knows of one upstream."""
+    """Hold what an entry knows of one upstream."""
 
     description: UpstreamDescription
     mailbox_address: str
@@ -78,12 +78,12 @@
     running: int
     configuration_version: ConfigurationVersion
     version_since: float
-    """Seconds since 1970 at which the sidecar first showed that version here."""
+    """Time at which the sidecar first reported that version, seconds since 1970."""
     heard_at: float
 
 
 class EntryStatus(NamedTuple):
-    """Tell what an entry knows of another one, from its last word."""
+    """Hold what an entry knows of another entry, from its last `EntryAlive`."""
 
     data_centre: str
     holds_replica: bool
@@ -94,14 +94,14 @@
 
 
 class PlacementRequest(NamedTuple):
-    """Ask for a placement, with the place for its one answer."""
+    """Ask the routing actor for a placement; the answer is put on `reply`."""
 
     asked: PlacementAsked
     reply: "SimpleQueue[PlacementAnswered]"
 
 
 class RoutingClient:
-    """Offer the routing actor's decisions to the threads that carry requests."""
+    """Give the threads of requests access to the routing actor."""
 
     def __init__(self, actor: ActorRef, status: "FleetStatus") -> None:
         self.actor = actor
@@ -114,7 +114,7 @@
         excluded: frozenset[UpstreamId],
         seconds: float,
     ) -> PlacementAnswered | None:
-        """Wait for a placement, until the deadline; None where none came."""
+        """Wait for a placement; return None if none came by the deadline."""
         reply: SimpleQueue[PlacementAnswered] = SimpleQueue()
         facts = PlacementFacts(
             request.request_id,
@@ -137,31 +137,31 @@
             return None
 
     def withdraw(self, placement_id: PlacementId) -> None:
-        """Say that nobody waits for a placement any more."""
+        """Withdraw a request for a placement."""
         try:
             self.actor.tell(PlacementWithdrawn(placement_id))
         except ActorDeadError:
             return
 
     def report(self, event: RouterFeedback) -> None:
-        """Tell the router what came of its choice."""
+        """Report the result of a placement to the router."""
         try:
             self.actor.tell(event)
         except ActorDeadError:
             return
 
     def entry_is_alive(self, instance: InstanceId) -> bool:
-        """Tell whether an entry instance was heard lately, or is this one."""
+        """Tell whether an entry was heard within the owner's lease, or is this one."""
         return self.status.entry_is_alive(instance, time.time())
 
     def attempts_address(self, upstream_id: UpstreamId) -> str:
-        """Return where an upstream's sidecar takes attempts; empty if unknown."""
+        """Return the attempts address of an upstream's sidecar; empty if unknown."""
         status = self.status.upstreams.get(upstream_id)
         return status.description.attempts_address if status else ""
 
 
 class FleetStatus:
-    """Hold what this entry knows of the fleet; the routing actor alone writes it."""
+    """Hold what this entry knows of the fleet; written by the routing actor alone."""
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.instance = settings.instance
@@ -171,23 +171,23 @@
         self.entries: dict[InstanceId, EntryStatus] = {}
 
     def entry_is_alive(self, instance: InstanceId, at: float) -> bool:
-        """Tell whether an entry was heard within the owner's lease."""
+        """Tell whether an entry was heard within the owner's lease, or is this one."""
         if instance == self.instance:
             return True
         entry = self.entries.get(instance)
-        # Just after a start nobody was heard yet: that is no sign of anyone's death.
+        # Right after a start no entry was heard yet, which does not mean it is dead.
         heard_at = self.started_at if entry is None else entry.heard_at
         return at - heard_at < self.owner_lease_seconds
 
     def was_heard(self, instance: InstanceId, epoch: str, at: float) -> bool:
-        """Tell whether this start of an entry was heard within the owner's lease."""
+        """Tell whether an entry with this epoch was heard within the owner's lease."""
         entry = self.entries.get(instance)
         if entry is None or entry.epoch != epoch:
             return False
         return at - entry.heard_at < self.owner_lease_seconds
 
     def live_entries(self, at: float) -> frozenset[InstanceId]:
-        """Return the other entries heard lately."""
+        """Return the other entries heard within the owner's lease."""
         return frozenset(
             instance
             for instance, entry in self.entries.items()
@@ -195,7 +195,7 @@
         )
 
     def record_announcement(self, announce: Announce, received: Received) -> None:
-        """Keep what a sidecar said, and since when it has its configuration."""
+        """Record a sidecar's announcement, and since when it has its configuration."""
         at = time.time()
         version = received.configuration_version
         upstream_id = announce.description.upstream_id
@@ -215,7 +215,7 @@
 
 
 class RoutingParts(NamedTuple):
-    """Be what the routing actor works with."""
+    """Hold the dependencies of the routing actor."""
 
     settings: DaemonSettings
     directory: Directory
@@ -227,7 +227,7 @@
 
 
 class RoutingActor(DaemonActor):
-    """Decide where attempts go; the only owner of that state."""
+    """Place attempts on upstreams; the only owner of directory and router."""
 
     def __init__(self, parts: RoutingParts) -> None:
         super().__init__()
@@ -244,7 +244,7 @@
         self.next_heartbeat = 0.0
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for a decider."""
+        """Turn one message into an event for the directory or the router."""
         now = time.monotonic()
         match message:
             case Tick():
@@ -277,7 +277,7 @@
             self.send_heartbeat()
 
     def send_heartbeat(self) -> None:
-        """Tell the other entries that this one is there."""
+        """Tell the other entries that this one is alive; resend suspect reports."""
         index = self.in_force.index
         alive = EntryAlive(
             self.settings.data_centre,
@@ -289,14 +289,14 @@
         self.broadcaster.rebroadcast()
 
     def forget_silent_upstreams(self) -> None:
-        """Drop from the status what has not been heard for many leases."""
+        """Drop upstreams that were silent for `FORGET_AFTER_LEASES` leases."""
         limit = time.time() - self.settings.timings.lease_seconds * FORGET_AFTER_LEASES
         for upstream_id, status in list(self.status.upstreams.items()):
             if status.heard_at < limit:
                 del self.status.upstreams[upstream_id]
 
     def receive(self, received: Received, now: float) -> None:
-        """Take one message from another process."""
+        """Handle one message from another process."""
         match received.message:
             case Announce() as announce:
                 self.status.record_announcement(announce, received)
@@ -324,13 +324,13 @@
                 )
 
     def send_missed_reports(self, received: Received) -> None:
-        """Tell an entry that was not heard for a while what it may have missed."""
+        """Send all suspect reports to an entry that is new or was silent."""
         sender, epoch = received.sender, received.sender_epoch
         if not self.status.was_heard(sender, epoch, time.time()):
             self.broadcaster.send_all_to(received.sender_address)
 
     def answer_announcement(self, announce: Announce, address: str) -> None:
-        """Tell a sidecar which entries there are."""
+        """Answer a sidecar, with the list of entries if the sidecar's is outdated."""
         upstream_id = announce.description.upstream_id
         entries = (
             () if announce.entries_digest == self.post.roster else self.post.entries()
@@ -339,14 +339,14 @@
         self.post.send(address, answer)
 
     def apply(self, configuration: FleetConfiguration, now: float) -> None:
-        """Take over a newer configuration."""
+        """Apply a newer configuration to the directory and the router."""
         self.handle_directory_event(
             DrainingChanged(frozenset(configuration.draining)), now
         )
         self.handle_router_event(ConfigurationApplied(configuration), now)
 
     def handle_directory_event(self, event: DirectoryEvent, now: float) -> None:
-        """Give the directory an event and pass on what it says."""
+        """Pass an event to the directory and carry out its effects."""
         for effect in self.directory.handle(event, now):
             match effect:
                 case SendSuspicion(suspect):
@@ -365,7 +365,7 @@
                     self.handle_router_event(effect, now)
 
     def handle_router_event(self, event: RouterEvent, now: float) -> None:
-        """Give the router an event and deliver its answers."""
+        """Pass an event to the router and deliver its answers."""
         for answered in self.router.handle(event, now, self.random):
             reply = self.replies.pop(answered.placement_id, None)
             if reply is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -1,4 +1,4 @@
-"""Carry out what the decider of a spread prompt says, on its request's thread."""
+"""Perform the effects of a `SpreadMachine`, on the thread of its request."""
 
 import random
 import time
@@ -39,21 +39,21 @@
 
 STEP = "spread"
 MAX_BEGIN_SENDS = 3
-"""The word to begin is sent again where its answer is lost; repeating does no harm."""
+"""Times that a begin message is sent if its answer is lost; resending is safe."""
 
 
 class SpreadServices(NamedTuple):
-    """Be what the hand-over of a spread prompt uses."""
+    """Hold the dependencies of a spread hand-over."""
 
     attempts: AttemptsClient
     cancels: CancelSender
     note: Callable[[str], None]
     still_wanted: Callable[[], bool]
-    """Whether the caller still waits and its deadline has not passed."""
+    """Tells whether the caller still waits and its deadline has not passed."""
 
 
 class SpreadHandOver:
-    """Own the streams of one attempt's parts."""
+    """Hand over the parts of one attempt, and own their streams."""
 
     def __init__(
         self, chosen: ChosenUpstream, hand_over: HandOver, services: SpreadServices
@@ -71,7 +71,7 @@
         self.result: SpreadResult | None = None
 
     def run(self) -> PartStream | AttemptRefused | HandOverFailed:
-        """Return the last part, which generates, or why there is none."""
+        """Return the stream of the last part, which generates, or the failure."""
         self.handle(SpreadStarted())
         while self.result is None or self.effects:
             if self.effects:
@@ -83,12 +83,12 @@
         return self.outcome(self.result)
 
     def handle(self, event: SpreadEvent) -> None:
-        """Give the decider an event and queue what it wants done."""
+        """Pass an event to the machine and queue its effects."""
         now = time.monotonic()
         self.effects.extend(self.machine.handle(event, now, self.random))
 
     def perform(self, effect: SpreadEffect) -> None:
-        """Carry out one effect."""
+        """Perform one effect."""
         match effect:
             case HandOverPart():
                 self.hand_over_part(effect)
@@ -105,7 +105,7 @@
                 self.result = effect
 
     def hand_over_part(self, effect: HandOverPart) -> None:
-        """Hand a part over; this is its only sending."""
+        """Hand over a part to its sidecar; it is never sent again."""
         attempt_id = effect.hand_over.attempt_id
         answer = self.services.attempts.hand_over(effect.address, effect.hand_over)
         match answer:
@@ -119,7 +119,7 @@
                 self.handle(TimePassed())
 
     def begin(self, effect: BeginPart) -> None:
-        """Tell a sidecar that a part may begin."""
+        """Tell a sidecar to begin its part."""
         self.services.note(f"part {effect.attempt_id} begins")
         self.reading_part = effect.attempt_id
         acknowledged = any(
@@ -131,14 +131,14 @@
         self.handle(BeginAnswered(effect.attempt_id, acknowledged))
 
     def cancel(self, address: str, attempt_id: AttemptId) -> None:
-        """Give up a helper."""
+        """Cancel the part of a helper."""
         self.services.cancels.send(address, attempt_id)
         part = self.parts.pop(attempt_id, None)
         if part is not None:
             part.close()
 
     def revoke_last(self, address: str, hand_over: HandOver) -> None:
-        """Ask for the promise that the last part never runs."""
+        """Ask the last part's sidecar to promise that it never runs."""
         answer = self.services.attempts.revoke(
             address,
             hand_over.attempt_id,
@@ -151,7 +151,7 @@
     def outcome(
         self, result: SpreadResult
     ) -> PartStream | AttemptRefused | HandOverFailed:
-        """Return what a hand-over to one sidecar would."""
+        """Return the result in the form of a hand-over to a single sidecar."""
         if isinstance(result, SpreadBegun):
             for attempt_id, part in self.parts.items():
                 if attempt_id != self.last_id:
@@ -167,12 +167,12 @@
         )
 
     def lost_part(self) -> str:
-        """Tell which helper was lost while the last part generates; empty for none."""
+        """Return why a helper's part was lost; empty if none was."""
         return next(
             (part.loss_reason for part in self.parts.values() if part.loss_reason), ""
         )
 
     def cancel_helpers(self) -> None:
-        """Cancel every helper that is still held."""
+        """Cancel the parts that helpers still hold."""
         for cancel in self.machine.cancel_helpers():
             self.cancel(cancel.address, cancel.attempt_id)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -1,4 +1,4 @@
-"""Tell the other entries of requests under which upstreams ended."""
+"""Report suspect requests, which upstreams exited under, to the other entries."""
 
 from threading import Lock
 
@@ -10,13 +10,13 @@
 from cowslipshelf_host.metrics import Metrics
 
 RESENDS = 2
-"""Times that news is told again, since a message may be lost."""
+"""Times that each report is sent again, since a message may be lost."""
 ROUNDS_PER_CLEANUP = 16
-"""Words to the others between two looks for what is too old."""
+"""Heartbeats to the other entries between two removals of old records."""
 
 
 class SuspectBroadcaster:
-    """Own what waits to be told again; any thread may use it."""
+    """Send reports of suspect requests, and repeat them; thread-safe."""
 
     def __init__(self, instance: InstanceId, post: Post, metrics: Metrics) -> None:
         self.post = post
@@ -26,13 +26,13 @@
         self.rounds = 0
 
     def broadcast(self, digest: RequestDigest) -> None:
-        """Tell all other entries what is known of a request, and remember to repeat."""
+        """Send the report of a request to all other entries, and queue its resends."""
         with self.lock:
             self.repeats.add((digest,), RESENDS)
         self.post.tell_other_entries(self.suspects.told(frozenset((digest,))))
 
     def rebroadcast(self) -> None:
-        """Tell the news again, with this entry's regular word to the others."""
+        """Resend queued reports; called with each heartbeat to the other entries."""
         self.rounds += 1
         if self.rounds % ROUNDS_PER_CLEANUP == 0:
             self.suspects.forget_old()
@@ -42,7 +42,7 @@
             self.post.tell_other_entries(self.suspects.told(digests))
 
     def send_all_to(self, address: str) -> None:
-        """Tell one entry, which may know nothing, of all requests."""
+        """Send all reports to one entry, which may have none of them."""
         message = self.suspects.told_all()
         if message.suspects:
             self.post.send(address, message)
