--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -1,4 +1,4 @@
-"""Own the directory of upstreams and the router of one entry."""
+"""Run the actor that keeps the directory and the router of one entry."""
 
 import random
 import time
@@ -68,7 +68,7 @@
 
 
 class UpstreamStatus(NamedTuple):
-    """Tell what an entry knows of one upstream."""
+    """Hold what an entry knows of one upstream."""
 
     description: UpstreamDescription
     mailbox_address: str
@@ -78,12 +78,12 @@
     running: int
     configuration_version: ConfigurationVersion
     version_since: float
-    """Seconds since 1970 at which the sidecar first showed that version here."""
+    """Time at which the sidecar first reported that version, seconds since 1970."""
     heard_at: float
 
 
 class EntryStatus(NamedTuple):
-    """Tell what an entry knows of another one, from its last word."""
+    """Hold what an entry knows of another entry, from its last `EntryAlive`."""
 
     data_centre: str
     holds_replica: bool
@@ -94,14 +94,14 @@
 
 
 class PlacementRequest(NamedTuple):
-    """Ask for a placement, with the place for its one answer."""
+    """Ask the routing actor for a placement; the answer is put on `reply`."""
 
     asked: PlacementAsked
     reply: "SimpleQueue[PlacementAnswered]"
 
 
 class RoutingClient:
-    """Offer the routing actor's decisions to the threads that carry requests."""
+    """Give the threads of requests access to the routing actor."""
 
     def __init__(self, actor: ActorRef, status: "FleetStatus") -> None:
         self.actor = actor
@@ -114,7 +114,7 @@
         excluded: frozenset[UpstreamId],
         seconds: float,
     ) -> PlacementAnswered | None:
-        """Wait for a placement, until the deadline; None where none came."""
+        """Wait for a placement; return None if none came by the deadline."""
         reply: SimpleQueue[PlacementAnswered] = SimpleQueue()
         facts = PlacementFacts(
             request.request_id,
@@ -137,65 +137,65 @@
             return None
 
     def withdraw(self, placement_id: PlacementId) -> None:
-        """Say that nobody waits for a placement any more."""
+        """Withdraw a request for a placement."""
         try:
             self.actor.tell(PlacementWithdrawn(placement_id))
         except ActorDeadError:
             return
 
     def report(self, event: RouterFeedback) -> None:
-        """Tell the router what came of its choice."""
+        """Report the result of a placement to the router."""
         try:
             self.actor.tell(event)
         except ActorDeadError:
             return
 
     def entry_is_alive(self, instance: InstanceId) -> bool:
-        """Tell whether an entry instance was heard lately, or is this one."""
+        """Tell whether an entry was heard within the owner's lease, or is this one."""
         return self.status.entry_is_alive(instance, time.time())
 
     def attempts_address(self, upstream_id: UpstreamId) -> str:
-        """Return where an upstream's sidecar takes attempts; empty if unknown."""
+        """Return the attempts address of an upstream's sidecar; empty if unknown."""
         status = self.status.upstreams.get(upstream_id)
         return status.description.attempts_address if status else ""
 
 
 class FleetStatus:
-    """Hold what this entry knows of the fleet; the routing actor alone writes it."""
+    """Hold what this entry knows of the fleet; written by the routing actor alone."""
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.instance = settings.instance
-        self.gone_seconds = settings.timings.owner_lease_seconds
+        self.owner_lease_seconds = settings.timings.owner_lease_seconds
         self.started_at = time.time()
         self.upstreams: dict[UpstreamId, UpstreamStatus] = {}
         self.entries: dict[InstanceId, EntryStatus] = {}
 
     def entry_is_alive(self, instance: InstanceId, at: float) -> bool:
-        """Tell whether an entry was heard within the owner's lease."""
+        """Tell whether an entry was heard within the owner's lease, or is this one."""
         if instance == self.instance:
             return True
         entry = self.entries.get(instance)
-        # Just after a start nobody was heard yet: that is no sign of anyone's death.
+        # Right after a start no entry was heard yet, which does not mean it is dead.
         heard_at = self.started_at if entry is None else entry.heard_at
-        return at - heard_at < self.gone_seconds
+        return at - heard_at < self.owner_lease_seconds
 
     def was_heard(self, instance: InstanceId, epoch: str, at: float) -> bool:
-        """Tell whether this start of an entry was heard within the owner's lease."""
+        """Tell whether an entry with this epoch was heard within the owner's lease."""
         entry = self.entries.get(instance)
         if entry is None or entry.epoch != epoch:
             return False
-        return at - entry.heard_at < self.gone_seconds
+        return at - entry.heard_at < self.owner_lease_seconds
 
-    def living_entries(self, at: float) -> frozenset[InstanceId]:
-        """Return the other entries heard lately."""
+    def live_entries(self, at: float) -> frozenset[InstanceId]:
+        """Return the other entries heard within the owner's lease."""
         return frozenset(
             instance
             for instance, entry in self.entries.items()
-            if at - entry.heard_at < self.gone_seconds
+            if at - entry.heard_at < self.owner_lease_seconds
         )
 
-    def note_announcement(self, announce: Announce, received: Received) -> None:
-        """Keep what a sidecar said, and since when it has its configuration."""
+    def record_announcement(self, announce: Announce, received: Received) -> None:
+        """Record a sidecar's announcement, and since when it has its configuration."""
         at = time.time()
         version = received.configuration_version
         upstream_id = announce.description.upstream_id
@@ -215,7 +215,7 @@
 
 
 class RoutingParts(NamedTuple):
-    """Be what the routing actor works with."""
+    """Hold the dependencies of the routing actor."""
 
     settings: DaemonSettings
     directory: Directory
@@ -223,11 +223,11 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     post: Post
-    news: SuspectBroadcaster
+    broadcaster: SuspectBroadcaster
 
 
 class RoutingActor(DaemonActor):
-    """Decide where attempts go; the only owner of that state."""
+    """Place attempts on upstreams; the only owner of directory and router."""
 
     def __init__(self, parts: RoutingParts) -> None:
         super().__init__()
@@ -237,47 +237,47 @@
         self.in_force = parts.in_force
         self.status = parts.status
         self.post = parts.post
-        self.news = parts.news
+        self.broadcaster = parts.broadcaster
         self.random = random.Random()
         self.replies: dict[PlacementId, SimpleQueue[PlacementAnswered]] = {}
         self.next_directory_tick = 0.0
-        self.next_word = 0.0
+        self.next_heartbeat = 0.0
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for a decider."""
+        """Turn one message into an event for the directory or the router."""
         now = time.monotonic()
         match message:
             case Tick():
                 self.tick(now)
             case PlacementRequest(asked=asked, reply=reply):
                 self.replies[asked.placement_id] = reply
-                self.route(asked, now)
+                self.handle_router_event(asked, now)
             case PlacementWithdrawn(placement_id=placement_id):
                 self.replies.pop(placement_id, None)
-                self.route(message, now)
+                self.handle_router_event(message, now)
             case Received():
                 self.receive(message, now)
             case FleetConfiguration():
                 self.apply(message, now)
             case _:
-                self.route(message, now)
+                self.handle_router_event(message, now)
 
     def tick(self, now: float) -> None:
         """Look at what is due."""
-        self.route(RouterTick(), now)
+        self.handle_router_event(RouterTick(), now)
         if now < self.next_directory_tick:
             return
         self.next_directory_tick = now + DIRECTORY_TICK_SECONDS
-        observers = self.status.living_entries(time.time())
-        self.direct(ObserversChanged(observers), now)
-        self.direct(DirectoryTick(), now)
+        observers = self.status.live_entries(time.time())
+        self.handle_directory_event(ObserversChanged(observers), now)
+        self.handle_directory_event(DirectoryTick(), now)
         self.forget_silent_upstreams()
-        if now >= self.next_word:
-            self.next_word = now + self.settings.timings.heartbeat_seconds
-            self.tell_others()
+        if now >= self.next_heartbeat:
+            self.next_heartbeat = now + self.settings.timings.heartbeat_seconds
+            self.send_heartbeat()
 
-    def tell_others(self) -> None:
-        """Tell the other entries that this one is there."""
+    def send_heartbeat(self) -> None:
+        """Tell the other entries that this one is alive; resend suspect reports."""
         index = self.in_force.index
         alive = EntryAlive(
             self.settings.data_centre,
@@ -286,32 +286,34 @@
             index.since,
         )
         self.post.tell_other_entries(alive)
-        self.news.repeat()
+        self.broadcaster.rebroadcast()
 
     def forget_silent_upstreams(self) -> None:
-        """Drop from the status what has not been heard for many leases."""
+        """Drop upstreams that were silent for `FORGET_AFTER_LEASES` leases."""
         limit = time.time() - self.settings.timings.lease_seconds * FORGET_AFTER_LEASES
         for upstream_id, status in list(self.status.upstreams.items()):
             if status.heard_at < limit:
                 del self.status.upstreams[upstream_id]
 
     def receive(self, received: Received, now: float) -> None:
-        """Take one message from another process."""
+        """Handle one message from another process."""
         match received.message:
             case Announce() as announce:
-                self.status.note_announcement(announce, received)
+                self.status.record_announcement(announce, received)
                 self.answer_announcement(announce, received.sender_address)
                 event = AnnounceArrived(
                     announce, received.sender, received.sender_address
                 )
-                self.direct(event, now)
+                self.handle_directory_event(event, now)
             case Withdraw() as withdraw:
-                self.direct(WithdrawArrived(withdraw), now)
+                self.handle_directory_event(WithdrawArrived(withdraw), now)
             case Suspect() as suspect:
-                self.direct(SuspectArrived(received.sender, suspect), now)
+                self.handle_directory_event(
+                    SuspectArrived(received.sender, suspect), now
+                )
             case EntryAlive() as alive:
                 self.post.learn(received.sender, received.sender_address)
-                self.greet(received)
+                self.send_missed_reports(received)
                 self.status.entries[received.sender] = EntryStatus(
                     alive.data_centre,
                     alive.holds_replica,
@@ -321,28 +323,30 @@
                     received.sender_epoch,
                 )
 
-    def greet(self, received: Received) -> None:
-        """Tell an entry that was not heard for a while what it may have missed."""
+    def send_missed_reports(self, received: Received) -> None:
+        """Send all suspect reports to an entry that is new or was silent."""
         sender, epoch = received.sender, received.sender_epoch
         if not self.status.was_heard(sender, epoch, time.time()):
-            self.news.tell_all_to(received.sender_address)
+            self.broadcaster.send_all_to(received.sender_address)
 
     def answer_announcement(self, announce: Announce, address: str) -> None:
-        """Tell a sidecar which entries there are."""
+        """Answer a sidecar, with the list of entries if the sidecar's is outdated."""
         upstream_id = announce.description.upstream_id
-        news = (
+        entries = (
             () if announce.entries_digest == self.post.roster else self.post.entries()
         )
-        answer = AnnounceAnswer(upstream_id, news)
+        answer = AnnounceAnswer(upstream_id, entries)
         self.post.send(address, answer)
 
     def apply(self, configuration: FleetConfiguration, now: float) -> None:
-        """Take over a newer configuration."""
-        self.direct(DrainingChanged(frozenset(configuration.draining)), now)
-        self.route(ConfigurationApplied(configuration), now)
+        """Apply a newer configuration to the directory and the router."""
+        self.handle_directory_event(
+            DrainingChanged(frozenset(configuration.draining)), now
+        )
+        self.handle_router_event(ConfigurationApplied(configuration), now)
 
-    def direct(self, event: DirectoryEvent, now: float) -> None:
-        """Give the directory an event and pass on what it says."""
+    def handle_directory_event(self, event: DirectoryEvent, now: float) -> None:
+        """Pass an event to the directory and carry out its effects."""
         for effect in self.directory.handle(event, now):
             match effect:
                 case SendSuspicion(suspect):
@@ -353,15 +357,15 @@
                     LOG.info("upstreams heard again", silent=silent, known=known)
                 case UpstreamAvailable(description=description):
                     LOG.info("upstream available", upstream=description.upstream_id)
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
                 case UpstreamUnavailable(upstream_id, reason):
                     LOG.info("upstream unavailable", upstream=upstream_id, why=reason)
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
                 case LoadUpdated():
-                    self.route(effect, now)
+                    self.handle_router_event(effect, now)
 
-    def route(self, event: RouterEvent, now: float) -> None:
-        """Give the router an event and deliver its answers."""
+    def handle_router_event(self, event: RouterEvent, now: float) -> None:
+        """Pass an event to the router and deliver its answers."""
         for answered in self.router.handle(event, now, self.random):
             reply = self.replies.pop(answered.placement_id, None)
             if reply is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -1,4 +1,4 @@
-"""Carry out what the decider of a spread prompt says, on its request's thread."""
+"""Perform the effects of a `SpreadMachine`, on the thread of its request."""
 
 import random
 import time
@@ -38,22 +38,22 @@
 from cowslipshelf_fleet.attempts import AttemptsClient, HandOverFailed
 
 STEP = "spread"
-MOST_BEGINS = 3
-"""The word to begin is sent again where its answer is lost; repeating does no harm."""
+MAX_BEGIN_SENDS = 3
+"""Times that a begin message is sent if its answer is lost; resending is safe."""
 
 
 class SpreadServices(NamedTuple):
-    """Be what the hand-over of a spread prompt uses."""
+    """Hold the dependencies of a spread hand-over."""
 
     attempts: AttemptsClient
     cancels: CancelSender
     note: Callable[[str], None]
     still_wanted: Callable[[], bool]
-    """Whether the caller still waits and its deadline has not passed."""
+    """Tells whether the caller still waits and its deadline has not passed."""
 
 
 class SpreadHandOver:
-    """Own the streams of one attempt's parts."""
+    """Hand over the parts of one attempt, and own their streams."""
 
     def __init__(
         self, chosen: ChosenUpstream, hand_over: HandOver, services: SpreadServices
@@ -66,12 +66,12 @@
         self.random = random.Random()
         self.services = services
         self.effects: deque[SpreadEffect] = deque()
-        self.held: dict[AttemptId, PartStream] = {}
-        self.reading: AttemptId = hand_over.attempt_id
+        self.parts: dict[AttemptId, PartStream] = {}
+        self.reading_part: AttemptId = hand_over.attempt_id
         self.result: SpreadResult | None = None
 
     def run(self) -> PartStream | AttemptRefused | HandOverFailed:
-        """Return the last part, which generates, or why there is none."""
+        """Return the stream of the last part, which generates, or the failure."""
         self.handle(SpreadStarted())
         while self.result is None or self.effects:
             if self.effects:
@@ -79,16 +79,16 @@
             elif not self.services.still_wanted():
                 self.handle(NoLongerWanted())
             else:
-                self.handle(self.held[self.reading].next_event())
+                self.handle(self.parts[self.reading_part].next_event())
         return self.outcome(self.result)
 
     def handle(self, event: SpreadEvent) -> None:
-        """Give the decider an event and queue what it wants done."""
+        """Pass an event to the machine and queue its effects."""
         now = time.monotonic()
         self.effects.extend(self.machine.handle(event, now, self.random))
 
     def perform(self, effect: SpreadEffect) -> None:
-        """Carry out one effect."""
+        """Perform one effect."""
         match effect:
             case HandOverPart():
                 self.hand_over_part(effect)
@@ -105,7 +105,7 @@
                 self.result = effect
 
     def hand_over_part(self, effect: HandOverPart) -> None:
-        """Hand a part over; this is its only sending."""
+        """Hand over a part to its sidecar; it is never sent again."""
         attempt_id = effect.hand_over.attempt_id
         answer = self.services.attempts.hand_over(effect.address, effect.hand_over)
         match answer:
@@ -114,31 +114,31 @@
             case HandOverFailed(may_have_arrived, _, _, detail):
                 self.handle(PartUnanswered(attempt_id, may_have_arrived, detail))
             case _:
-                self.held[attempt_id] = PartStream(attempt_id, answer)
-                self.reading = attempt_id
+                self.parts[attempt_id] = PartStream(attempt_id, answer)
+                self.reading_part = attempt_id
                 self.handle(TimePassed())
 
     def begin(self, effect: BeginPart) -> None:
-        """Tell a sidecar that a part may begin."""
+        """Tell a sidecar to begin its part."""
         self.services.note(f"part {effect.attempt_id} begins")
-        self.reading = effect.attempt_id
-        heard = any(
+        self.reading_part = effect.attempt_id
+        acknowledged = any(
             self.services.attempts.begin(
                 effect.address, effect.attempt_id, effect.parts
             )
-            for _ in range(MOST_BEGINS)
+            for _ in range(MAX_BEGIN_SENDS)
         )
-        self.handle(BeginAnswered(effect.attempt_id, heard))
+        self.handle(BeginAnswered(effect.attempt_id, acknowledged))
 
     def cancel(self, address: str, attempt_id: AttemptId) -> None:
-        """Give up a helper."""
+        """Cancel the part of a helper."""
         self.services.cancels.send(address, attempt_id)
-        part = self.held.pop(attempt_id, None)
+        part = self.parts.pop(attempt_id, None)
         if part is not None:
             part.close()
 
     def revoke_last(self, address: str, hand_over: HandOver) -> None:
-        """Ask for the promise that the last part never runs."""
+        """Ask the last part's sidecar to promise that it never runs."""
         answer = self.services.attempts.revoke(
             address,
             hand_over.attempt_id,
@@ -151,13 +151,13 @@
     def outcome(
         self, result: SpreadResult
     ) -> PartStream | AttemptRefused | HandOverFailed:
-        """Return what a hand-over to one sidecar would."""
+        """Return the result in the form of a hand-over to a single sidecar."""
         if isinstance(result, SpreadBegun):
-            for attempt_id, part in self.held.items():
+            for attempt_id, part in self.parts.items():
                 if attempt_id != self.last_id:
-                    part.watch()
-            return self.held[self.last_id]
-        last = self.held.pop(self.last_id, None)
+                    part.watch_for_loss()
+            return self.parts[self.last_id]
+        last = self.parts.pop(self.last_id, None)
         if last is not None:
             last.close()
         if isinstance(result, SpreadRefused):
@@ -167,10 +167,12 @@
         )
 
     def lost_part(self) -> str:
-        """Tell which helper was lost while the last part generates; empty for none."""
-        return next((part.lost for part in self.held.values() if part.lost), "")
+        """Return why a helper's part was lost; empty if none was."""
+        return next(
+            (part.loss_reason for part in self.parts.values() if part.loss_reason), ""
+        )
 
-    def release(self) -> None:
-        """Cancel every helper that is still held."""
+    def cancel_helpers(self) -> None:
+        """Cancel the parts that helpers still hold."""
         for cancel in self.machine.cancel_helpers():
             self.cancel(cancel.address, cancel.attempt_id)
