--- a/packages/core/src/cowslipshelf_core/internal/directory/directory.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/directory.py
@@ -45,7 +45,7 @@
     unsettled: dict[UpstreamId, UpstreamRecord] = field(default_factory=dict)
     """Upstreams that are not both heard and in use; only these are checked by ticks."""
     earliest_lease_end: float = float("-inf")
-    """Lower bound on the end of all leases, to skip the check while none can end."""
+    """No lease ends before this. Most are renewed first, so ticks rarely check all."""
     draining: frozenset[UpstreamId] = frozenset()
     other_entries: frozenset[InstanceId] = frozenset()
     next_rejoin_at: float = float("-inf")
--- a/packages/core/src/cowslipshelf_core/internal/directory/record.py
+++ b/packages/core/src/cowslipshelf_core/internal/directory/record.py
@@ -19,7 +19,7 @@
     LATE = auto()
     """Older than what is known; it is ignored."""
     CURRENT = auto()
-    """From the current start of the sidecar."""
+    """From the current start of the sidecar, and not late."""
     RESTARTED = auto()
     """From another start of the sidecar, which replaces the current one."""
 
@@ -93,10 +93,10 @@
         """Return how new an announcement is compared with the known state.
 
         Epochs are random, so they are ordered only by when they were first seen. A late
-        message can mislead in two ways. From a retired epoch it is ignored. From an
-        epoch that was never seen here, it displaces the live start. The live start is
-        then retired, but continues to announce with rising sequence numbers, so it is
-        accepted again as soon as the displacing epoch has fallen silent.
+        copy from a retired epoch is ignored. A late copy from an epoch that was never
+        seen here displaces the live start, which is then retired. But the live start
+        continues to announce with rising sequence numbers, so it is accepted again as
+        soon as the displacing epoch has fallen silent.
         """
         sequence = announce.load.sequence
         if announce.epoch == self.epoch:
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
@@ -211,7 +211,7 @@
     def abort(
         self, attempt: Attempt, reason: RefusalReason, now: float
     ) -> list[SidecarEffect]:
-        """Refuse or cancel an attempt that is cancelled or past its deadline."""
+        """Refuse an attempt before its start, or cancel it at the upstream."""
         if not attempt.was_handed_over:
             self.tombstone(attempt)
             refusal = self._refusal(RefusalCode.NOT_RUN, reason, WAIT_STEP)
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
@@ -51,7 +51,7 @@
 
 @dataclass
 class SidecarState:
-    """Hold the state of a sidecar, the only authority on what its upstream ran."""
+    """Hold the state of a sidecar, which decides alone what its upstream is handed."""
 
     config: SidecarConfig
     table: AttemptTable
--- a/tests/cover/directory/test_leases.py
+++ b/tests/cover/directory/test_leases.py
@@ -48,7 +48,7 @@
         self.simulation.pass_time(LEASE_SECONDS)
 
     @rule(name=names)
-    def freeze_or_thaw(self, name):
+    def freeze_or_resume(self, name):
         announcer = self.simulation.announcers[name]
         announcer.alive = not announcer.alive
 
@@ -174,10 +174,10 @@
     fleet=st.integers(2, 20),
     heard=st.integers(0, 9),
     confirmed=st.booleans(),
-    cut_seconds=st.sampled_from([20.0, 100.0, 280.0]),
+    fault_seconds=st.sampled_from([20.0, 100.0, 280.0]),
 )
-def test_a_cut_on_our_side_does_not_empty_the_fleet(
-    fleet, heard, confirmed, cut_seconds
+def test_a_network_fault_at_the_entry_does_not_empty_the_fleet(
+    fleet, heard, confirmed, fault_seconds
 ):
     """Guards against an entry that drops most of a healthy fleet at once.
 
@@ -190,11 +190,11 @@
     simulation = DirectorySimulation(f"runner-{index}" for index in range(fleet))
     simulation.handle(ObserversChanged(frozenset({"entry-2"})))
     simulation.pass_time(LEASE_SECONDS)
-    cut_off = list(simulation.announcers.values())[heard:]
+    unheard = list(simulation.announcers.values())[heard:]
     known_at = simulation.now + 2 * LEASE_SECONDS
-    while simulation.now < cut_seconds:
+    while simulation.now < fault_seconds:
         spread = round((simulation.now - LEASE_SECONDS) / STEP_SECONDS) + 1
-        for announcer in cut_off[: spread * len(cut_off) // SPREAD_STEPS]:
+        for announcer in unheard[: spread * len(unheard) // SPREAD_STEPS]:
             announcer.alive = False
             suspicion = Suspect(announcer.name, announcer.epoch, 9.0)
             if confirmed:
@@ -209,7 +209,7 @@
         for _, effect in simulation.effects
         if isinstance(effect, UpstreamAvailable) and effect.doubtful
     }
-    assert doubtful == {announcer.name for announcer in cut_off}
+    assert doubtful == {announcer.name for announcer in unheard}
 
 
 def test_a_living_start_gets_its_place_back_from_an_older_one():
@@ -229,7 +229,7 @@
     assert simulation.available["runner-0"] == announcer.epoch
 
 
-def test_a_fleet_that_comes_back_after_a_long_cut_does_so_one_by_one():
+def test_a_fleet_that_comes_back_after_a_long_outage_does_so_one_by_one():
     """Guards against overload when most of a fleet comes back at once.
 
     The link to a data centre recovers after minutes. All its upstreams look idle at the
--- a/tests/cover/sidecar/test_scheduling.py
+++ b/tests/cover/sidecar/test_scheduling.py
@@ -140,7 +140,7 @@
     state = sidecar()
     for name, owner, non_idempotent in (
         ("lost", "entry-1", False),
-        ("non-idempotent", "entry-1", True),
+        ("payment", "entry-1", True),
         ("alive", "entry-2", False),
     ):
         posted = hand_over(name, owner=owner, non_idempotent=non_idempotent)
