--- a/packages/daemon/src/cowslipshelf_daemon/internal/control_gateway.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/control_state_client.py
@@ -29,7 +29,7 @@
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 
@@ -42,7 +42,7 @@
 RETRY_AFTER_SECONDS = 1.0
 
 
-class CommandAsked(NamedTuple):
+class CommandRequest(NamedTuple):
     """Ask for a command to be committed, with the place for its outcome."""
 
     submit: CommandSubmitted
@@ -52,10 +52,10 @@
 class GatewayActor(DaemonActor):
     """Send commands to the leader, whichever replica that is."""
 
-    def __init__(self, client: ProposalClient, post: Post) -> None:
+    def __init__(self, client: ProposalClient, messenger: Messenger) -> None:
         super().__init__()
         self.client = client
-        self.post = post
+        self.messenger = messenger
         self.random = random.Random()
         self.replies: dict[str, SimpleQueue[ControlOutcome | Refusal]] = {}
 
@@ -64,7 +64,7 @@
         match message:
             case Tick():
                 self.handle(TickElapsed())
-            case CommandAsked(submit=submit, reply=reply):
+            case CommandRequest(submit=submit, reply=reply):
                 self.replies[submit.proposal_id] = reply
                 self.handle(submit)
             case Delivered(sender=sender, message=ProposalResult() as result):
@@ -77,7 +77,7 @@
         for effect in self.client.handle(event, time.monotonic(), self.random):
             match effect:
                 case SendTo(instance, message):
-                    self.post.send_to_instance(instance, message)
+                    self.messenger.send_to_instance(instance, message)
                 case ProposalAnswered(proposal_id, _, outcome):
                     self.answer(proposal_id, decode_outcome(outcome))
                 case ProposalFailed():
@@ -120,32 +120,36 @@
     )
 
 
-class ControlGateway:
+class ControlStateClient:
     """Offer the replicated state to any thread."""
 
     def __init__(self, actor: ActorRef, election_seconds: float) -> None:
         self.actor = actor
-        self.longest_wait_seconds = ELECTIONS_PER_WAIT * election_seconds
+        self.max_wait_seconds = ELECTIONS_PER_WAIT * election_seconds
 
-    def ask(self, command: ControlCommand, seconds: float) -> ControlOutcome | Refusal:
+    def commit(
+        self, command: ControlCommand, seconds: float
+    ) -> ControlOutcome | Refusal:
         """Commit a command for a caller and wait for its outcome.
 
         The wait is long enough for a lost leader to be replaced, and no longer: where
         a quorum is lost, the refusal must not come as late as the caller's deadline.
         """
-        return self.ask_within(command, min(seconds, self.longest_wait_seconds))
+        return self.commit_within(command, min(seconds, self.max_wait_seconds))
 
-    def ask_within(
-        self, command: ControlCommand, patience: float
+    def commit_within(
+        self, command: ControlCommand, timeout_seconds: float
     ) -> ControlOutcome | Refusal:
-        """Commit a command and wait for its outcome, for `patience` seconds."""
+        """Commit a command and wait for its outcome, for `timeout_seconds` seconds."""
         reply: SimpleQueue[ControlOutcome | Refusal] = SimpleQueue()
         submit = CommandSubmitted(
-            uuid.uuid4().hex, encode_command(command), time.monotonic() + patience
+            uuid.uuid4().hex,
+            encode_command(command),
+            time.monotonic() + timeout_seconds,
         )
         try:
-            self.actor.tell(CommandAsked(submit, reply))
-            return reply.get(timeout=max(0.0, patience) + REPLY_MARGIN_SECONDS)
+            self.actor.tell(CommandRequest(submit, reply))
+            return reply.get(timeout=max(0.0, timeout_seconds) + REPLY_MARGIN_SECONDS)
         except (ActorDeadError, Empty):
             return Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -15,8 +15,8 @@
 from cowslipshelf_core.identifiers import Epoch
 from cowslipshelf_core.requests import RequestConfig, RetryBudget, RetryBudgetConfig
 from cowslipshelf_core.routing import Router, RouterConfig
-from cowslipshelf_daemon.internal.control_gateway import (
-    ControlGateway,
+from cowslipshelf_daemon.internal.control_state_client import (
+    ControlStateClient,
     GatewayActor,
 )
 from cowslipshelf_daemon.internal.entry.callers_handler import (
@@ -54,10 +54,10 @@
     RoutingParts,
 )
 from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.process_parts import (
     make_mailbox,
-    make_post,
+    make_messenger,
     make_proposal_client,
     make_view,
 )
@@ -134,7 +134,7 @@
     epoch: Epoch
     in_force: ConfigurationInForce
     status: FleetStatus
-    post: Post
+    messenger: Messenger
     records: RequestRecords
     metrics: EntryMetrics
     router: Router
@@ -166,17 +166,17 @@
     A measurement gives another way to make the router, to compare the two.
     """
     metrics = EntryMetrics()
-    post = make_post(settings)
+    messenger = make_messenger(settings)
     parts = EntryParts(
         settings,
         Epoch(uuid.uuid4().hex),
         ConfigurationInForce(),
         FleetStatus(settings),
-        post,
+        messenger,
         RequestRecords(metrics),
         metrics,
         make_router(settings),
-        SuspectBroadcaster(settings.instance, post, metrics.metrics),
+        SuspectBroadcaster(settings.instance, messenger, metrics.metrics),
     )
     actors = start_actors(parts)
     dispatch = MessageDispatcher(
@@ -191,10 +191,10 @@
         settings, parts.epoch, dispatch.receive, parts.in_force.version
     )
     mailbox.start()
-    parts.post.attach(mailbox, dispatch.deliver)
+    parts.messenger.attach(mailbox, dispatch.deliver)
     ticker = Ticker(actors.running(), settings.timings.tick_seconds)
     ticker.start()
-    gateway = ControlGateway(actors.gateway, settings.timings.election_seconds)
+    gateway = ControlStateClient(actors.gateway, settings.timings.election_seconds)
     callers_handler = make_callers_handler(parts, actors, gateway)
     callers = make_callers_server(settings, callers_handler)
     operators_handler = EntryOperatorsHandler(
@@ -236,25 +236,27 @@
             parts.router,
             parts.in_force,
             parts.status,
-            parts.post,
+            parts.messenger,
             parts.news,
         )
     )
     configuration = ConfigurationActor.start(
         ConfigurationParts(
-            make_view(settings, parts.epoch), parts.in_force, parts.post, routing
+            make_view(settings, parts.epoch), parts.in_force, parts.messenger, routing
         )
     )
-    gateway = GatewayActor.start(make_proposal_client(settings), parts.post)
+    gateway = GatewayActor.start(make_proposal_client(settings), parts.messenger)
     if settings.entry.data_folder is None:
         return EntryActors(routing, configuration, gateway, None, None)
-    replica = start_replica(settings, parts.post, configuration, gateway)
-    courier = OrderCourier.start(OrderCourierParts(replica, parts.status, parts.post))
+    replica = start_replica(settings, parts.messenger, configuration, gateway)
+    courier = OrderCourier.start(
+        OrderCourierParts(replica, parts.status, parts.messenger)
+    )
     return EntryActors(routing, configuration, gateway, replica, courier)
 
 
 def make_callers_handler(
-    parts: EntryParts, actors: EntryActors, gateway: ControlGateway
+    parts: EntryParts, actors: EntryActors, gateway: ControlStateClient
 ) -> EntryCallersHandler:
     """Make what answers the callers."""
     settings = parts.settings
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -21,7 +21,7 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 
@@ -35,7 +35,7 @@
 
     view: ConfigurationView
     in_force: ConfigurationInForce
-    post: Post
+    messenger: Messenger
     routing: ActorRef
 
 
@@ -46,7 +46,7 @@
         super().__init__()
         self.view = parts.view
         self.in_force = parts.in_force
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.routing = parts.routing
         self.next_tick = 0.0
 
@@ -69,7 +69,7 @@
         for effect in self.view.handle(event, now):
             match effect:
                 case AskForConfiguration(address, question):
-                    self.post.send(address, question)
+                    self.messenger.send(address, question)
                 case ApplyConfiguration(configuration):
                     self.in_force.replace(configuration)
                     self.routing.tell(configuration)
@@ -87,4 +87,4 @@
         snapshot = ConfigurationSnapshot(
             self.view.in_force, confirmed_by_quorum=False, query_id=question.query_id
         )
-        self.post.send(address, snapshot)
+        self.messenger.send(address, snapshot)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -18,7 +18,7 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_fleet.mailboxes import Received
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -29,7 +29,7 @@
 from cowslipshelf_core.errors import Refusal
 from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import ChangeId, OperatorName, PlanId, RequestId
-from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.control_state_client import ControlStateClient
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
@@ -71,7 +71,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     records: RequestRecords
-    gateway: ControlGateway
+    gateway: ControlStateClient
     replica: ActorRef | None
     metrics: EntryMetrics
     mailbox: Mailbox
@@ -114,7 +114,7 @@
 
     def ask(self, step: str, command: ControlCommand) -> ControlOutcome:
         """Commit a command, or say what is known of it."""
-        outcome = self.parts.gateway.ask_within(command, COMMAND_SECONDS)
+        outcome = self.parts.gateway.commit_within(command, COMMAND_SECONDS)
         if not isinstance(outcome, Refusal):
             return outcome
         detail = f"{outcome.code}: {outcome.detail}; send the same change id again"
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/order_courier.py
@@ -12,7 +12,7 @@
 from cowslipshelf_daemon.internal.actor import DaemonActor
 from cowslipshelf_daemon.internal.entry.replica_actor import ControlStateQuery, leads
 from cowslipshelf_daemon.internal.entry.routing_actor import FleetStatus
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 
@@ -27,7 +27,7 @@
 
     replica: ActorRef
     status: FleetStatus
-    post: Post
+    messenger: Messenger
 
 
 class OrderCourier(DaemonActor):
@@ -72,7 +72,7 @@
             order.argument,
             order.fencing,
         )
-        self.parts.post.send(status.mailbox_address, sent)
+        self.parts.messenger.send(status.mailbox_address, sent)
 
 
 def open_orders_of_leader(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -59,7 +59,7 @@
     RoutesSnapshot,
 )
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.storage import ReplicaStorage, StorageError, VolatileStorage
@@ -86,7 +86,7 @@
     replica: Replica
     storage: ReplicaStorage | VolatileStorage
     state: ControlState
-    post: Post
+    messenger: Messenger
     configuration: ActorRef
     gateway: ActorRef
 
@@ -104,7 +104,7 @@
         self.replica = parts.replica
         self.storage = parts.storage
         self.state = parts.state
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.configuration = parts.configuration
         self.gateway = parts.gateway
         self.random = random.Random()
@@ -261,7 +261,7 @@
         """Carry out one effect that is safe to carry out."""
         match effect:
             case SendTo(instance, message):
-                self.post.send_to_instance(instance, message)
+                self.messenger.send_to_instance(instance, message)
             case Committed(index, entry):
                 self.apply(index, entry)
             case InstallState(state, index):
@@ -322,12 +322,12 @@
     def answer_proposer(self, result: ProposalResult) -> None:
         """Send a result to whoever proposed through this replica.
 
-        It goes to the address that the proposal came from: the post knows entry
+        It goes to the address that the proposal came from: the messenger knows entry
         instances by name, but not sidecars, which ask for load grants.
         """
         address = self.proposers.pop(result.proposal_id, None)
         if address is not None:
-            self.post.send(address, result)
+            self.messenger.send(address, result)
 
     def answer_read(self, read_id: str, confirmed: bool) -> None:
         """Answer a question that a quorum was asked about."""
@@ -344,14 +344,14 @@
         """Send an upstream's newest fencing number, which a quorum has confirmed."""
         fencing = self.state.current_fencing(question.upstream_id)
         answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
-        self.post.send(asked.sender_address, answer)
+        self.messenger.send(asked.sender_address, answer)
 
     def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
         """Send the configuration as it is applied here."""
         snapshot = ConfigurationSnapshot(
             self.state.configuration, confirmed, asked.message.query_id
         )
-        self.post.send(asked.sender_address, snapshot)
+        self.messenger.send(asked.sender_address, snapshot)
 
     def answer_routes(self, asked: Delivered, confirmed: bool) -> None:
         """Send the routed configuration as it is applied here.
@@ -363,13 +363,13 @@
         if confirmed and asked.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
         snapshot = RoutesSnapshot(document, confirmed, asked.message.query_id)
-        self.post.send(asked.sender_address, snapshot)
+        self.messenger.send(asked.sender_address, snapshot)
 
     def publish_routes(self) -> None:
         """Put the applied routed configuration before this process's view."""
         snapshot = RoutesSnapshot(self.state.routes.document, confirmed_by_quorum=False)
         self.configuration.tell(
-            Delivered(self.post.instance, self.post.address, snapshot)
+            Delivered(self.messenger.instance, self.messenger.address, snapshot)
         )
 
     def publish_configuration(self) -> None:
@@ -378,7 +378,7 @@
             self.state.configuration, confirmed_by_quorum=False
         )
         self.configuration.tell(
-            Delivered(self.post.instance, self.post.address, snapshot)
+            Delivered(self.messenger.instance, self.messenger.address, snapshot)
         )
 
     def on_stop(self) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
@@ -12,7 +12,7 @@
     ReplicaParts,
 )
 from cowslipshelf_daemon.internal.errors import StartError
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.process_parts import replica_instances
 from cowslipshelf_host.settings import DaemonSettings
 from cowslipshelf_host.storage import ReplicaStorage, ReplicaStorageConfig
@@ -21,7 +21,10 @@
 
 
 def start_replica(
-    settings: DaemonSettings, post: Post, configuration: ActorRef, gateway: ActorRef
+    settings: DaemonSettings,
+    messenger: Messenger,
+    configuration: ActorRef,
+    gateway: ActorRef,
 ) -> ActorRef:
     """Load the data folder and start the replica that it holds."""
     storage = open_storage(settings)
@@ -38,7 +41,7 @@
         state = ControlState.from_snapshot(stored.snapshot.state)
     replica = Replica.from_config(config, stored)
     return ReplicaActor.start(
-        ReplicaParts(replica, storage, state, post, configuration, gateway)
+        ReplicaParts(replica, storage, state, messenger, configuration, gateway)
     )
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -63,7 +63,7 @@
     WaitElapsed,
 )
 from cowslipshelf_core.upstream import HandOver
-from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.control_state_client import ControlStateClient
 from cowslipshelf_daemon.internal.entry.attempt_sender import AttemptSender
 from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
@@ -111,7 +111,7 @@
 
     instance: InstanceId
     routing: RoutingClient
-    control: ControlGateway
+    control: ControlStateClient
     attempts: AttemptsClient
     cancels: CancelSender
     retry_budget: SharedRetryBudget
@@ -193,7 +193,7 @@
             case AskClaim(claim) | MoveClaim(claim) | LookUpClaim(claim):
                 self.ask_claim(claim)
             case FinishClaim(claim, wait_seconds):
-                self.services.control.ask(claim, wait_seconds)
+                self.services.control.commit(claim, wait_seconds)
             case SendHandOver(hand_over=hand_over):
                 self.send_hand_over(hand_over)
             case Resume():
@@ -253,7 +253,7 @@
 
     def ask_claim(self, claim: Message) -> None:
         """Put a claim to the replicated state."""
-        match self.services.control.ask(claim, self.seconds_left()):
+        match self.services.control.commit(claim, self.seconds_left()):
             case ClaimHeld(owner=owner) as held:
                 gone = not self.services.routing.entry_is_alive(owner)
                 self.handle(ClaimAnswered(held, gone))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -55,7 +55,7 @@
     ConfigurationInForce,
 )
 from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Received
 from cowslipshelf_host.logs import part_logger
@@ -222,7 +222,7 @@
     router: Router
     in_force: ConfigurationInForce
     status: FleetStatus
-    post: Post
+    messenger: Messenger
     news: SuspectBroadcaster
 
 
@@ -236,7 +236,7 @@
         self.router = parts.router
         self.in_force = parts.in_force
         self.status = parts.status
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.news = parts.news
         self.random = random.Random()
         self.replies: dict[PlacementId, SimpleQueue[PlacementAnswered]] = {}
@@ -285,7 +285,7 @@
             index.configuration.version,
             index.since,
         )
-        self.post.tell_other_entries(alive)
+        self.messenger.send_to_other_entries(alive)
         self.news.repeat()
 
     def forget_silent_upstreams(self) -> None:
@@ -310,7 +310,7 @@
             case Suspect() as suspect:
                 self.direct(SuspectArrived(received.sender, suspect), now)
             case EntryAlive() as alive:
-                self.post.learn(received.sender, received.sender_address)
+                self.messenger.add_entry(received.sender, received.sender_address)
                 self.greet(received)
                 self.status.entries[received.sender] = EntryStatus(
                     alive.data_centre,
@@ -331,10 +331,12 @@
         """Tell a sidecar which entries there are."""
         upstream_id = announce.description.upstream_id
         news = (
-            () if announce.entries_digest == self.post.roster else self.post.entries()
+            ()
+            if announce.entries_digest == self.messenger.entries_digest
+            else self.messenger.entries()
         )
         answer = AnnounceAnswer(upstream_id, news)
-        self.post.send(address, answer)
+        self.messenger.send(address, answer)
 
     def apply(self, configuration: FleetConfiguration, now: float) -> None:
         """Take over a newer configuration."""
@@ -346,7 +348,7 @@
         for effect in self.directory.handle(event, now):
             match effect:
                 case SendSuspicion(suspect):
-                    self.post.tell_other_entries(suspect)
+                    self.messenger.send_to_other_entries(suspect)
                 case MassLossBegan(silent, known):
                     LOG.warning("most upstreams silent", silent=silent, known=known)
                 case MassLossEnded(silent, known):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -4,7 +4,7 @@
 
 from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import InstanceId
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.metrics import Metrics
@@ -18,8 +18,10 @@
 class SuspectBroadcaster:
     """Own what waits to be told again; any thread may use it."""
 
-    def __init__(self, instance: InstanceId, post: Post, metrics: Metrics) -> None:
-        self.post = post
+    def __init__(
+        self, instance: InstanceId, messenger: Messenger, metrics: Metrics
+    ) -> None:
+        self.messenger = messenger
         self.suspects = SuspectRequests(instance, metrics, self.tell)
         self.lock = Lock()
         self.repeats: RepeatedNews[RequestDigest] = RepeatedNews()
@@ -29,7 +31,7 @@
         """Tell all other entries what is known of a request, and remember to repeat."""
         with self.lock:
             self.repeats.add((digest,), REPEATS)
-        self.post.tell_other_entries(self.suspects.told(frozenset((digest,))))
+        self.messenger.send_to_other_entries(self.suspects.told(frozenset((digest,))))
 
     def repeat(self) -> None:
         """Tell the news again, with this entry's regular word to the others."""
@@ -39,10 +41,10 @@
         with self.lock:
             digests = self.repeats.take()
         if digests:
-            self.post.tell_other_entries(self.suspects.told(digests))
+            self.messenger.send_to_other_entries(self.suspects.told(digests))
 
     def tell_all_to(self, address: str) -> None:
         """Tell one entry, which may know nothing, of all requests."""
         message = self.suspects.told_all()
         if message.suspects:
-            self.post.send(address, message)
+            self.messenger.send(address, message)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -30,7 +30,7 @@
     PeerAlive,
     RoutesSnapshot,
 )
-from cowslipshelf_daemon.internal.control_gateway import GatewayActor
+from cowslipshelf_daemon.internal.control_state_client import GatewayActor
 from cowslipshelf_daemon.internal.gateway.attempt import AttemptRunner
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.control_handler import ControlHandler
@@ -57,7 +57,7 @@
 )
 from cowslipshelf_daemon.internal.gateway.upstream_pool import UpstreamPool
 from cowslipshelf_daemon.internal.gateway.upstreams_file import UpstreamsFile
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_daemon.internal.wire import MailboxMessage
 from cowslipshelf_fleet.mailboxes import Mailbox, MailboxConfig, Received
@@ -138,17 +138,19 @@
         self.view = FleetView.from_settings(settings)
         self.pool = UpstreamPool(self.metrics, self.view.idle_connections)
         own_address = settings.peer_address(settings.instance)
-        self.post = Post(settings.instance, own_address)
+        self.messenger = Messenger(settings.instance, own_address)
         for seed in settings.seeds:
-            self.post.learn(seed, settings.peer_address(seed))
+            self.messenger.add_entry(seed, settings.peer_address(seed))
         proposals = ProposalClient.from_config(ProposalClientConfig(()))
-        self.control_actor: ActorRef = GatewayActor.start(proposals, self.post)
-        self.client = ControlClient(self.control_actor, self.post)
-        self.gossip = Gossip(self.view, self.post, self.client, dialect, self.metrics)
+        self.control_actor: ActorRef = GatewayActor.start(proposals, self.messenger)
+        self.client = ControlClient(self.control_actor, self.messenger)
+        self.gossip = Gossip(
+            self.view, self.messenger, self.client, dialect, self.metrics
+        )
         self.view.on_work_changed = self.gossip.queue_work
         self.inbox = LoopInbox(self.loop, self.gossip.receive, self.metrics)
         self.supervisor = ReplicaSupervisor(
-            self.view, self.post, self.inbox, self.control_actor, self.metrics
+            self.view, self.messenger, self.inbox, self.control_actor, self.metrics
         )
         self.suspects = self.gossip.suspects
         self.upstreams_file: UpstreamsFile | None = None
@@ -253,7 +255,7 @@
     async def start(self, early_listener: socket.socket | None) -> None:
         """Listen at every address, and begin to look for the others."""
         self.mailbox.start()
-        self.post.attach(self.mailbox, self.deliver)
+        self.messenger.attach(self.mailbox, self.deliver)
         settings = self.settings
         if settings.control_address is not None:
             await self.control.start(settings.control_address)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -19,9 +19,9 @@
     InstanceId,
 )
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
-from cowslipshelf_daemon.internal.control_gateway import CommandAsked
+from cowslipshelf_daemon.internal.control_state_client import CommandRequest
 from cowslipshelf_daemon.internal.gateway.loop_inbox import LoopReply
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_host.logs import part_logger
 
 LOG = part_logger("control_client")
@@ -37,9 +37,9 @@
 class ControlClient:
     """Bring changes and reads to the replicas."""
 
-    def __init__(self, gateway: ActorRef, post: Post) -> None:
+    def __init__(self, gateway: ActorRef, messenger: Messenger) -> None:
         self.gateway = gateway
-        self.post = post
+        self.messenger = messenger
         self.pending_reads: dict[str, asyncio.Future[RoutesDocument]] = {}
 
     async def change(self, command: ControlCommand) -> ControlOutcome | Refusal | None:
@@ -48,7 +48,7 @@
         reply = LoopReply(loop)
         deadline = time.monotonic() + CHANGE_TIMEOUT_SECONDS
         submit = CommandSubmitted(uuid.uuid4().hex, encode_command(command), deadline)
-        self.gateway.tell(CommandAsked(submit, reply))
+        self.gateway.tell(CommandRequest(submit, reply))
         try:
             async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS + 0.5):
                 return await reply.future
@@ -90,7 +90,7 @@
             while replicas and time.monotonic() < ends:
                 replica = replicas[turn % len(replicas)]
                 turn += 1
-                self.post.send_to_instance(replica, FetchRoutes(have, query_id))
+                self.messenger.send_to_instance(replica, FetchRoutes(have, query_id))
                 done, _ = await asyncio.wait({future}, timeout=REPLICA_TIMEOUT_SECONDS)
                 if done:
                     return future.result()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -28,7 +28,7 @@
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.routes_exchange import RoutesExchange
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.logs import part_logger
@@ -65,13 +65,13 @@
     def __init__(
         self,
         view: FleetView,
-        post: Post,
+        messenger: Messenger,
         client: ControlClient,
         dialect: Dialect,
         metrics: Metrics,
     ) -> None:
         self.view = view
-        self.post = post
+        self.messenger = messenger
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams that were heard and are to be told of."""
         self.urgent_upstreams: RepeatedNews[UpstreamId] = RepeatedNews()
@@ -87,7 +87,7 @@
         self.changed_suspects: set[RequestDigest] = set()
         """Suspects of whom there is news that was not told yet."""
         self.urgent_suspects: RepeatedNews[RequestDigest] = RepeatedNews()
-        self.routes = RoutesExchange(view, post, client, dialect, self.send_alive)
+        self.routes = RoutesExchange(view, messenger, client, dialect, self.send_alive)
         self.sync_turn = 0
 
     # Telling.
@@ -103,7 +103,7 @@
     def send_to(self, peers: Iterable[InstanceId], message: Message) -> None:
         """Send to some gateways."""
         settings = self.view.settings
-        self.post.send_to_all([settings.peer_address(p) for p in peers], message)
+        self.messenger.send_to_all([settings.peer_address(p) for p in peers], message)
 
     def broadcast(self, message: Broadcast, turn: int) -> None:
         """Send to every other gateway, to far ones by way of one in each data centre.
@@ -297,7 +297,7 @@
             self.routes.fetch.restarted(sender, now)
         if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
-            self.post.learn(sender, self.view.settings.peer_address(sender))
+            self.messenger.add_entry(sender, self.view.settings.peer_address(sender))
             # One that has just started waits for the configuration to serve at all.
             self.send(sender, self.alive_message(True))
             self.send_full_state(sender)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/loop_inbox.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/loop_inbox.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.metrics import Metrics
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
@@ -25,7 +25,7 @@
 )
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.loop_inbox import LoopInbox, LoopReply
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.metrics import Metrics
@@ -56,14 +56,14 @@
     def __init__(
         self,
         view: FleetView,
-        post: Post,
+        messenger: Messenger,
         inbox: LoopInbox,
         gateway: ActorRef,
         metrics: Metrics,
     ) -> None:
         self.view = view
         self.metrics = metrics
-        self.post = post
+        self.messenger = messenger
         self.inbox = inbox
         self.gateway = gateway
         self.actor: ActorRef | None = None
@@ -134,7 +134,12 @@
         self.replicas = ()
         self.actor = ReplicaActor.start(
             ReplicaParts(
-                replica, opened.ok_value, state, self.post, self.inbox, self.gateway
+                replica,
+                opened.ok_value,
+                state,
+                self.messenger,
+                self.inbox,
+                self.gateway,
             )
         )
         LOG.info("Replica started.", folder=stored.replica_id.folder)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -9,7 +9,7 @@
 from cowslipshelf_core.messages import FetchRoutes, RoutesDocument, RoutesSnapshot
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_host.logs import part_logger
 
 LOG = part_logger("routes_exchange")
@@ -21,13 +21,13 @@
     def __init__(
         self,
         view: FleetView,
-        post: Post,
+        messenger: Messenger,
         client: ControlClient,
         dialect: Dialect,
         send_alive: Callable[[], None],
     ) -> None:
         self.view = view
-        self.post = post
+        self.messenger = messenger
         self.client = client
         self.dialect = dialect
         self.send_alive = send_alive
@@ -39,7 +39,7 @@
     def answer(self, address: str, question: FetchRoutes) -> None:
         """Give the own configuration to who has an older one."""
         if self.view.document.version > question.have_version:
-            self.post.send(address, RoutesSnapshot(self.view.document, False))
+            self.messenger.send(address, RoutesSnapshot(self.view.document, False))
 
     def fetch_when_due(self) -> None:
         """Go on with what is being fetched; called several times a second."""
@@ -70,7 +70,7 @@
             patience=round(self.fetch.due - now, 3),
         )
         address = self.view.settings.peer_address(chosen)
-        self.post.send(address, FetchRoutes(have))
+        self.messenger.send(address, FetchRoutes(have))
 
     def receive_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
         """Take in a configuration: a copy, an answer, or what the own replica holds."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/post.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/messenger.py
@@ -18,34 +18,34 @@
     message: Message
 
 
-class Post:
+class Messenger:
     """Know the entries' mailbox addresses and send to them; shared by the actors."""
 
     def __init__(self, instance: InstanceId, address: str) -> None:
         self.instance = instance
         self.address = address
         self.mailbox: Mailbox | None = None
-        self.deliver_here: Callable[[Delivered], None] | None = None
+        self.deliver_locally: Callable[[Delivered], None] | None = None
         self.lock = threading.Lock()
         self.addresses: dict[InstanceId, str] = {}
-        self.roster = ""
-        self.learn(instance, address)
+        self.entries_digest = ""
+        self.add_entry(instance, address)
 
     def attach(
-        self, mailbox: Mailbox, deliver_here: Callable[[Delivered], None]
+        self, mailbox: Mailbox, deliver_locally: Callable[[Delivered], None]
     ) -> None:
         """Begin to deliver; what was sent before is lost, as any message may be."""
-        self.deliver_here = deliver_here
+        self.deliver_locally = deliver_locally
         self.mailbox = mailbox
 
-    def learn(self, instance: InstanceId, address: str) -> None:
+    def add_entry(self, instance: InstanceId, address: str) -> None:
         """Remember where an entry instance is."""
         with self.lock:
             if self.addresses.get(instance) == address:
                 return
             self.addresses[instance] = address
             places = [EntryEndpoint(*entry) for entry in self.addresses.items()]
-            self.roster = digest_entries(places)
+            self.entries_digest = digest_entries(places)
 
     def entries(self) -> tuple[tuple[InstanceId, str], ...]:
         """List the entry instances known, this one included."""
@@ -69,10 +69,10 @@
             return
         others = [address for address in addresses if address != self.address]
         if len(others) < len(addresses):
-            self.deliver_here(Delivered(self.instance, self.address, message))
+            self.deliver_locally(Delivered(self.instance, self.address, message))
         self.mailbox.send_to_all(others, message)
 
-    def tell_other_entries(self, message: Message) -> None:
+    def send_to_other_entries(self, message: Message) -> None:
         """Send to every other entry instance."""
         others = [each for each in self.entries() if each[0] != self.instance]
         self.send_to_all([address for _, address in others], message)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
@@ -8,18 +8,18 @@
     ConfigurationViewConfig,
 )
 from cowslipshelf_core.identifiers import ConfigurationVersion, Epoch, InstanceId
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.wire import MailboxMessage
 from cowslipshelf_fleet.mailboxes import Mailbox, MailboxConfig, Received
 from cowslipshelf_host.settings import DaemonSettings
 
 
-def make_post(settings: DaemonSettings) -> Post:
-    """Make the post, which begins with the entries of the settings."""
-    post = Post(settings.instance, settings.mailbox_address)
+def make_messenger(settings: DaemonSettings) -> Messenger:
+    """Make the messenger, which begins with the entries of the settings."""
+    messenger = Messenger(settings.instance, settings.mailbox_address)
     for entry in settings.entries:
-        post.learn(entry.instance, entry.mailbox_address)
-    return post
+        messenger.add_entry(entry.instance, entry.mailbox_address)
+    return messenger
 
 
 def replica_instances(settings: DaemonSettings) -> tuple[InstanceId, ...]:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
@@ -16,11 +16,14 @@
 from cowslipshelf_core.identifiers import Epoch
 from cowslipshelf_core.sidecar import SidecarConfig, SidecarState
 from cowslipshelf_core.upstream import UpstreamDescription
-from cowslipshelf_daemon.internal.control_gateway import ControlGateway, GatewayActor
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.control_state_client import (
+    ControlStateClient,
+    GatewayActor,
+)
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_daemon.internal.process_parts import (
     make_mailbox,
-    make_post,
+    make_messenger,
     make_proposal_client,
     make_view,
 )
@@ -105,8 +108,8 @@
     view = make_view(settings, epoch)
     parts = make_parts(settings, epoch, view)
     actor = SidecarActor.start(parts)
-    post = make_post(settings)
-    gateway = GatewayActor.start(make_proposal_client(settings), post)
+    messenger = make_messenger(settings)
+    gateway = GatewayActor.start(make_proposal_client(settings), messenger)
     dispatch = SidecarDispatch(actor, gateway)
     mailbox = make_mailbox(settings, epoch, dispatch.receive, view.version)
     services = AttemptServices(
@@ -119,7 +122,7 @@
     ticker = Ticker((actor, gateway), settings.timings.tick_seconds)
     orders = make_order_services(settings, services, gateway, actor)
     mailbox.start()
-    post.attach(mailbox, drop_own_message)
+    messenger.attach(mailbox, drop_own_message)
     actor.tell(PeersAttached(mailbox, services, keeper, orders))
     server.start()
     ticker.start()
@@ -189,7 +192,7 @@
     """Make what orders to an engine need; a plain service takes none."""
     match services.client:
         case EngineClient() as engine:
-            control = ControlGateway(gateway, settings.timings.election_seconds)
+            control = ControlStateClient(gateway, settings.timings.election_seconds)
             return OrderServices(settings.instance, engine, control, actor)
         case PlainClient():
             return None
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
@@ -19,7 +19,7 @@
 from cowslipshelf_core.identifiers import GrantId, InstanceId
 from cowslipshelf_core.messages import OrderSent
 from cowslipshelf_core.sidecar import OrderFinished
-from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.control_state_client import ControlStateClient
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_upstreams import (
     EngineClient,
@@ -44,7 +44,7 @@
 
     instance: InstanceId
     engine: EngineClient
-    gateway: ControlGateway
+    gateway: ControlStateClient
     sidecar: ActorRef
 
 
@@ -92,7 +92,7 @@
             return self.give()
         finally:
             returned = ReturnLoadGrant(grant_id, self.services.instance)
-            self.services.gateway.ask(returned, COMMAND_SECONDS)
+            self.services.gateway.commit(returned, COMMAND_SECONDS)
 
     def result_of_taken_order(self) -> OrderResult | None:
         """Find out what came of an order that the engine has already taken.
@@ -127,7 +127,7 @@
         )
         limit = time.monotonic() + ORDER_SECONDS
         while time.monotonic() < limit:
-            match self.services.gateway.ask(asked, COMMAND_SECONDS):
+            match self.services.gateway.commit(asked, COMMAND_SECONDS):
                 case LoadGranted():
                     return True
                 case LoadGrantRefused(retry_after_seconds=seconds):
@@ -161,7 +161,7 @@
             result.detail,
         )
         for _ in range(MOST_CLOSE_TRIES):
-            outcome = self.services.gateway.ask(closing, COMMAND_SECONDS)
+            outcome = self.services.gateway.commit(closing, COMMAND_SECONDS)
             if isinstance(outcome, OrderClosed | OrderRefused):
                 return
             time.sleep(PAUSE_SECONDS)
--- a/tests/common/single_replica.py
+++ b/tests/common/single_replica.py
@@ -16,7 +16,7 @@
     ReplicaActor,
     ReplicaParts,
 )
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.storage import StorageError
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class Receiver:
-    """Record the messages that are sent to an actor or by the post."""
+    """Record the messages that are sent to an actor or by the messenger."""
 
     messages: list = field(default_factory=list)
     instance: str = "entry-1"
@@ -57,7 +57,7 @@
         self.messages.append(message)
 
     def send_to_instance(self, _instance, message):
-        """Drop a message to an instance, as the post does if it doesn't know it."""
+        """Drop a message to an instance, as the messenger does if it is unknown."""
 
     def take(self, kind) -> list:
         """Return the recorded messages of one type, and clear the record."""
@@ -71,7 +71,7 @@
 
     def __init__(self) -> None:
         self.storage = FailingStorage()
-        self.post = Receiver()
+        self.messenger = Receiver()
         self.gateway = Receiver()
         config = ReplicaConfig(
             ("entry-1",),
@@ -82,7 +82,12 @@
         stored = StoredState(ReplicaId("entry-1", "folder"), HardState(), None, ())
         replica = Replica.from_config(config, stored)
         parts = ReplicaParts(
-            replica, self.storage, ControlState(), self.post, Receiver(), self.gateway
+            replica,
+            self.storage,
+            ControlState(),
+            self.messenger,
+            Receiver(),
+            self.gateway,
         )
         self.actor = ReplicaActor(parts)
         for _ in range(MOST_TICKS):
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -20,7 +20,7 @@
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.gossip import ALIVE_INTERVAL_SECONDS, Gossip
 from cowslipshelf_daemon.internal.gateway.http_server import HttpRequest
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_host.metrics import Metrics
 
 DATA_CENTRES = ("first", "second", "third")
@@ -110,7 +110,7 @@
         return self.receives_until
 
 
-class LinkPost:
+class LinkMessenger:
     """Send a gateway's messages over its link."""
 
     def __init__(self, world: "SlowLinkFleet", instance: str) -> None:
@@ -118,7 +118,7 @@
         self.instance = instance
         self.address = f"{instance}:{GATEWAY_SETTINGS.peer_port}"
 
-    def learn(self, instance: str, address: str) -> None:
+    def add_entry(self, instance: str, address: str) -> None:
         return None
 
     def send(self, address, message) -> None:
@@ -155,8 +155,10 @@
                 seeds=tuple(names[:3]),
             )
             view = FleetView.from_settings(settings)
-            post = LinkPost(self, name)
-            self.gateways[name] = Gossip(view, post, None, MachinesDialect(), Metrics())
+            messenger = LinkMessenger(self, name)
+            self.gateways[name] = Gossip(
+                view, messenger, None, MachinesDialect(), Metrics()
+            )
             # They don't all speak at the same moment.
             self.at(self.clock.now + number * 0.01, self.speak, name)
 
@@ -167,9 +169,11 @@
         self.gateways[name].tick()
         self.at(self.clock.now + ALIVE_INTERVAL_SECONDS, self.speak, name)
 
-    def carry(self, post: LinkPost, receiver: str, message, size: int) -> None:
-        sent = self.links[post.instance].send(size, self.clock.now)
-        delivered = Delivered(post.instance, post.address, message)
+    def carry(
+        self, messenger: LinkMessenger, receiver: str, message, size: int
+    ) -> None:
+        sent = self.links[messenger.instance].send(size, self.clock.now)
+        delivered = Delivered(messenger.instance, messenger.address, message)
         self.at(sent + WAY_SECONDS, self.arrive, receiver, delivered, size)
 
     def arrive(self, receiver: str, delivered: Delivered, size: int) -> None:
@@ -223,11 +227,11 @@
         )
 
 
-def replica_that_holds(document: RoutesDocument, post) -> SimpleNamespace:
+def replica_that_holds(document: RoutesDocument, messenger) -> SimpleNamespace:
     """Return what a replica answers questions from, once it holds a configuration."""
     state = ControlState()
     state.apply(PutRoutes(document), 1, 0.0)
-    return SimpleNamespace(state=state, post=post)
+    return SimpleNamespace(state=state, messenger=messenger)
 
 
 def answer_of(replica: SimpleNamespace, question: FetchRoutes) -> None:
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -39,14 +39,14 @@
     """
     single = SingleReplica()
     single.deliver_together([propose(number) for number in range(before)])
-    results = single.post.take(ProposalResult)
+    results = single.messenger.take(ProposalResult)
     assert [result.refusal for result in results] == [None] * before
     single.gateway.messages.clear()
     single.storage.full = True
     asked = [FetchConfiguration(0, f"q{number}") for number in range(reads)]
     single.deliver_together([*asked, *[propose(9 + n) for n in range(during)]])
-    told = list(single.post.messages)
-    results = single.post.take(ProposalResult)
+    told = list(single.messenger.messages)
+    results = single.messenger.take(ProposalResult)
     assert {result.proposal_id for result in results} == {
         f"p{9 + number}" for number in range(during)
     }
@@ -66,12 +66,12 @@
     single.storage.full = True
     single.deliver_together([propose(1)])
     single.storage.full = False
-    single.post.messages.clear()
+    single.messenger.messages.clear()
     for _ in range(20):
         single.actor.on_receive(Tick())
         time.sleep(ELECTION_SECONDS / 2)
     single.deliver_together([propose(2), FetchConfiguration(0, "q")])
-    told = list(single.post.messages)
+    told = list(single.messenger.messages)
     (refused,) = [one for one in told if isinstance(one, ProposalResult)]
     assert refused.refusal is ProposalRefusal.DISK_FAILED
     (answer,) = [one for one in told if isinstance(one, ConfigurationSnapshot)]
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -21,7 +21,7 @@
 
 from common.gateway_samples import GATEWAY_SETTINGS
 from common.slow_links import (
-    LinkPost,
+    LinkMessenger,
     SlowLinkFleet,
     accepted,
     answer_of,
@@ -103,8 +103,8 @@
         alive = PeerAlive(Epoch("e"), DataCentre("here"), True, 9, ())
         view.peers.record_alive(REPLICA, alive, time.monotonic())
         self.client = ControlClient(None, self)
-        post = LinkPost(None, self.instance)
-        told = Gossip(view, post, self.client, MachinesDialect(), Metrics())
+        messenger = LinkMessenger(None, self.instance)
+        told = Gossip(view, messenger, self.client, MachinesDialect(), Metrics())
         self.handler = ControlHandler(
             view, self.client, told, MachinesDialect(), Metrics()
         )
