--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -43,7 +43,7 @@
             case Announce() | Withdraw() | Suspect() | EntryAlive():
                 self.routing.tell(received)
             case SuspectRequestsTold() as told:
-                self.suspects.take(received.sender, told)
+                self.suspects.merge_reports(received.sender, told)
             case message:
                 delivered = Delivered(received.sender, received.sender_address, message)
                 self.deliver(delivered)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -75,7 +75,7 @@
     SpreadServices,
 )
 from cowslipshelf_daemon.internal.suspect_requests import (
-    JudgedRequest,
+    RequestIdentity,
     SuspectRequests,
 )
 from cowslipshelf_fleet.attempts import (
@@ -144,7 +144,7 @@
         self.chosen: ChosenUpstream | None = None
         self.read_from: UpstreamId | None = None
         """The upstream whose answer is read."""
-        self.judged = judged_request(request)
+        self.identity = request_identity(request)
         self.on_trial = False
         self.spreads = AttemptSender(
             SpreadServices(
@@ -218,7 +218,7 @@
         """Ask the router and wait for its one answer."""
         self.spreads.release()
         self.end_trial()
-        verdict = self.services.suspects.claim(self.judged)
+        verdict = self.services.suspects.claim(self.identity)
         if isinstance(verdict, HeldBack):
             self.handle(PlacementRefused(refusal_of(verdict)))
             return
@@ -242,14 +242,14 @@
         """Let the request be tried elsewhere, if it was tried here."""
         if self.on_trial:
             self.on_trial = False
-            self.services.suspects.end_trial(self.judged)
+            self.services.suspects.end_trial(self.identity)
 
     def learn_from_end(self, end: StreamEnd) -> None:
         """Note whether the upstream ended under the request, or answered it."""
         if end.upstream_ended and self.read_from is not None:
-            self.services.suspects.upstream_ended(self.judged, self.read_from)
+            self.services.suspects.record_exit(self.identity, self.read_from)
         elif end.refusal is None:
-            self.services.suspects.answered(self.judged)
+            self.services.suspects.record_answer(self.identity)
 
     def ask_claim(self, claim: Message) -> None:
         """Put a claim to the replicated state."""
@@ -414,7 +414,7 @@
                 self.writer.refusal(refusal, head_sent)
 
 
-def judged_request(request: CallerRequest) -> JudgedRequest:
+def request_identity(request: CallerRequest) -> RequestIdentity:
     """Return what the ends of upstreams are noted by.
 
     The body's digest takes in method, service, path and body.
@@ -426,7 +426,7 @@
         request.path,
         request.body_digest.encode(),
     )
-    return JudgedRequest(request.request_id, digest, request.customer)
+    return RequestIdentity(request.request_id, digest, request.customer)
 
 
 def refusal_of(verdict: HeldBack) -> Refusal:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -5,7 +5,7 @@
 from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import InstanceId
 from cowslipshelf_daemon.internal.messenger import Messenger
-from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
+from cowslipshelf_daemon.internal.retransmit_queue import RetransmitQueue
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.metrics import Metrics
 
@@ -24,14 +24,16 @@
         self.messenger = messenger
         self.suspects = SuspectRequests(instance, metrics, self.tell)
         self.lock = Lock()
-        self.repeats: RepeatedNews[RequestDigest] = RepeatedNews()
+        self.repeats: RetransmitQueue[RequestDigest] = RetransmitQueue()
         self.words = 0
 
     def tell(self, digest: RequestDigest) -> None:
         """Tell all other entries what is known of a request, and remember to repeat."""
         with self.lock:
             self.repeats.add((digest,), REPEATS)
-        self.messenger.send_to_other_entries(self.suspects.told(frozenset((digest,))))
+        self.messenger.send_to_other_entries(
+            self.suspects.reports(frozenset((digest,)))
+        )
 
     def repeat(self) -> None:
         """Tell the news again, with this entry's regular word to the others."""
@@ -41,10 +43,10 @@
         with self.lock:
             digests = self.repeats.take()
         if digests:
-            self.messenger.send_to_other_entries(self.suspects.told(digests))
+            self.messenger.send_to_other_entries(self.suspects.reports(digests))
 
     def tell_all_to(self, address: str) -> None:
         """Tell one entry, which may know nothing, of all requests."""
-        message = self.suspects.told_all()
+        message = self.suspects.all_reports()
         if message.suspects:
             self.messenger.send(address, message)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -159,7 +159,7 @@
             self.upstreams_file = UpstreamsFile(settings.data_folder)
             self.view.restore(self.upstreams_file.read())
             self.suspects_file = SuspectRequestsFile(settings.data_folder)
-            self.suspects.take(settings.instance, self.suspects_file.read())
+            self.suspects.merge_reports(settings.instance, self.suspects_file.read())
         self.mailbox = self.make_mailbox(own_address)
         self.leaving = False
         self.ended = asyncio.Event()
@@ -307,9 +307,9 @@
 
     def write_suspects(self) -> None:
         """Write down which requests a restart will suspect."""
-        changes = self.suspects.changes
+        changes = self.suspects.change_count
         if self.suspects_file.needs_write(changes):
-            self.suspects_file.write_soon(self.suspects.told_all(), changes)
+            self.suspects_file.write_soon(self.suspects.all_reports(), changes)
 
     def reload(self) -> None:
         """Take over what may change while the process runs, if anything has."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
@@ -11,7 +11,7 @@
     UpstreamConnection,
     UpstreamHead,
 )
-from cowslipshelf_daemon.internal.suspect_requests import JudgedRequest
+from cowslipshelf_daemon.internal.suspect_requests import RequestIdentity
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
     responder: Responder
     delivery: DeliveryProgress
     deadline: float
-    judged: JudgedRequest
+    identity: RequestIdentity
 
 
 class OpenAttempt(NamedTuple):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -29,7 +29,7 @@
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.routes_exchange import RoutesExchange
 from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
-from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
+from cowslipshelf_daemon.internal.retransmit_queue import RetransmitQueue
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.metrics import Metrics
@@ -74,7 +74,7 @@
         self.messenger = messenger
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams that were heard and are to be told of."""
-        self.urgent_upstreams: RepeatedNews[UpstreamId] = RepeatedNews()
+        self.urgent_upstreams: RetransmitQueue[UpstreamId] = RetransmitQueue()
         self.work_gaps = WorkGapDetector()
         self.work_number = 0
         self.ticks = 0
@@ -86,7 +86,7 @@
         self.suspects = SuspectRequests(instance, metrics, self.queue_suspect)
         self.changed_suspects: set[RequestDigest] = set()
         """Suspects of whom there is news that was not told yet."""
-        self.urgent_suspects: RepeatedNews[RequestDigest] = RepeatedNews()
+        self.urgent_suspects: RetransmitQueue[RequestDigest] = RetransmitQueue()
         self.routes = RoutesExchange(view, messenger, client, dialect, self.send_alive)
         self.sync_turn = 0
 
@@ -179,15 +179,15 @@
         urgent = frozenset(filter(quarantine.is_urgent, changed))
         self.urgent_suspects.add(urgent, URGENT_SENDS - 1)
         if urgent:
-            self.send_to_all(self.suspects.told(urgent))
+            self.send_to_all(self.suspects.reports(urgent))
         if changed - urgent:
-            self.broadcast(self.suspects.told(changed - urgent), self.ticks)
+            self.broadcast(self.suspects.reports(changed - urgent), self.ticks)
 
     def resend_suspects(self) -> None:
         """Tell urgent news of suspects again."""
         repeated = self.urgent_suspects.take()
         if repeated:
-            self.send_to_all(self.suspects.told(repeated))
+            self.send_to_all(self.suspects.reports(repeated))
 
     def queue_work(self, changed: WorkChanged) -> None:
         """Collect a change of work for a moment, then tell it."""
@@ -222,7 +222,9 @@
             self.sync_turn += 1
             peer = peers[self.sync_turn % len(peers)]
             self.send_upstreams(peer)
-            self.send_suspects(peer, self.suspects.told_worst(MAX_SUSPECTS_PER_SYNC))
+            self.send_suspects(
+                peer, self.suspects.most_suspect_reports(MAX_SUSPECTS_PER_SYNC)
+            )
 
     def send_upstreams(self, peer: InstanceId) -> None:
         """Tell one gateway all upstreams."""
@@ -232,7 +234,7 @@
         """Tell one gateway all upstreams, and what this one has on engines."""
         self.send_upstreams(peer)
         self.send_work_snapshot(peer)
-        self.send_suspects(peer, self.suspects.told_all())
+        self.send_suspects(peer, self.suspects.all_reports())
 
     def send_suspects(self, peer: InstanceId, message: SuspectRequestsTold) -> None:
         """Tell one gateway of suspects, if there are any."""
@@ -272,7 +274,7 @@
         """Take in what a gateway tells all others."""
         match message:
             case SuspectRequestsTold():
-                self.suspects.take(origin, message)
+                self.suspects.merge_reports(origin, message)
             case HeartbeatsSeen():
                 self.view.record_heartbeats(message)
             case WorkChanged(number=number):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -39,7 +39,7 @@
 )
 from cowslipshelf_daemon.internal.gateway.silence_limits import silence_limits
 from cowslipshelf_daemon.internal.suspect_requests import (
-    JudgedRequest,
+    RequestIdentity,
     SuspectRequests,
 )
 from cowslipshelf_host.logs import part_logger
@@ -143,7 +143,7 @@
             responder,
             DeliveryProgress(facts.last_event_id),
             began + left,
-            JudgedRequest(
+            RequestIdentity(
                 facts.attempt_id,
                 request_digest(
                     name, request.method, request.host, request.target, request.body
@@ -180,7 +180,7 @@
             if left < MIN_LEFT_SECONDS:
                 progress.last_reason = "out of time"
                 return None
-            verdict = self.suspects.verdict(task.judged)
+            verdict = self.suspects.verdict(task.identity)
             if isinstance(verdict, HeldBack):
                 count = len(verdict.upstreams)
                 progress.last_reason = f"{count} upstreams ended under this request"
@@ -204,7 +204,7 @@
             if progress.sent and not self.may_retry(service):
                 progress.last_reason = "no repeats are left in the budget"
                 return None
-            with self.suspects.trial(task.judged, verdict):
+            with self.suspects.trial(task.identity, verdict):
                 outcome = await self.attempt(task, placement, progress)
             if isinstance(outcome, Answered):
                 return outcome
@@ -275,9 +275,9 @@
         match outcome:
             case Broken(upstream_exited=True):
                 upstream_id = placement.upstream.upstream_id
-                self.suspects.upstream_ended(task.judged, upstream_id)
+                self.suspects.record_exit(task.identity, upstream_id)
             case Answered() | FailedThere():
-                self.suspects.answered(task.judged)
+                self.suspects.record_answer(task.identity)
 
     def log_attempt_begin(
         self, task: AttemptTask, placement: Placement, progress: RequestProgress
@@ -286,7 +286,7 @@
         LOG.info(
             "Attempt begins.",
             request=task.facts.attempt_id,
-            digest=task.judged.digest,
+            digest=task.identity.digest,
             customer=task.customer,
             route=task.route.name,
             objective=round(task.route.objective_seconds, 4),
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from cowslipshelf_daemon.internal.gateway.assembly import serve
-from cowslipshelf_daemon.internal.process_end import end_process
+from cowslipshelf_daemon.internal.process_exit import exit_process
 from cowslipshelf_host.logs import (
     QueuedLineWriter,
     configure_queued_logs,
@@ -36,7 +36,7 @@
             pass
         case Err(problem):
             print(problem, file=sys.stderr)
-            end_process(EXIT_BAD_SETTINGS)
+            exit_process(EXIT_BAD_SETTINGS)
     writer = configure_queued_logs(LogSettings(), sys.stdout)
     # Not closed: that would wait for threads which write to a disk, and at the end of
     # the grace there is no time to cancel what is left one by one.
@@ -53,4 +53,4 @@
 def end_with_logs(writer: QueuedLineWriter, code: int) -> NoReturn:
     """End the process once its log is written."""
     writer.stop()
-    end_process(code)
+    exit_process(code)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/process_end.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/process_exit.py
@@ -5,7 +5,7 @@
 from typing import NoReturn
 
 
-def end_process(code: int) -> NoReturn:
+def exit_process(code: int) -> NoReturn:
     """End at once, without the interpreter's own end.
 
     That waits for threads which nobody stopped, for ever where one of them waits for a
--- a/packages/daemon/src/cowslipshelf_daemon/internal/repeated_news.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/retransmit_queue.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class RepeatedNews(Generic[Key]):
+class RetransmitQueue(Generic[Key]):
     """Hold what there is news of, each with how often it is still to be told."""
 
     left: dict[Key, int] = field(default_factory=dict)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/running.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/running.py
@@ -9,7 +9,7 @@
 
 from cowslipshelf_daemon.internal.entry.assembly import EntryRole, start_entry
 from cowslipshelf_daemon.internal.errors import StartError
-from cowslipshelf_daemon.internal.process_end import end_process
+from cowslipshelf_daemon.internal.process_exit import exit_process
 from cowslipshelf_daemon.internal.sidecar.assembly import SidecarRole, start_sidecar
 from cowslipshelf_host.logs import configure_logs, part_logger
 from cowslipshelf_host.settings import DaemonSettings
@@ -18,7 +18,7 @@
 LOG = part_logger("daemon")
 
 EXIT_DONE = 0
-EXIT_CUT = 1
+EXIT_WORK_ABORTED = 1
 EXIT_NOT_STARTED = 7
 
 STOP_SECONDS = 6.0
@@ -64,7 +64,7 @@
     """
     code = run_role(settings, start_role)
     LOG.info("Ended.", code=code)
-    end_process(code)
+    exit_process(code)
 
 
 def run_role(
@@ -101,7 +101,7 @@
     shutdown.ended.wait()
     if not finished.is_set() or not outcome[0]:
         LOG.warning("Work was cut.", requests=role.running_work())
-        return EXIT_CUT
+        return EXIT_WORK_ABORTED
     LOG.info("Work finished.", seconds=round(time.monotonic() - began, 3))
     stop(role)
     return EXIT_DONE
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -25,21 +25,21 @@
 LOG = part_logger("suspect_requests")
 
 HELD = "cowslipshelf_requests_held"
-HELD_BACK = "cowslipshelf_requests_held_back_total"
-UPSTREAM_ENDS = "cowslipshelf_upstream_ends_total"
+REFUSALS = "cowslipshelf_requests_held_back_total"
+UPSTREAM_EXITS = "cowslipshelf_upstream_ends_total"
 HELPS = {
     HELD: "Requests that are held back since upstreams ended under them.",
-    HELD_BACK: "Times that such a request was refused.",
-    UPSTREAM_ENDS: "Upstreams that ended under a request, as seen here.",
+    REFUSALS: "Times that such a request was refused.",
+    UPSTREAM_EXITS: "Upstreams that ended under a request, as seen here.",
 }
-MOST_TAKEN = 4_000
+MAX_REPORTS_PER_MESSAGE = 4_000
 """Requests that one message may tell of; a process remembers fewer."""
 
 
-class JudgedRequest(NamedTuple):
+class RequestIdentity(NamedTuple):
     """Be what tells whether a request may run, and whose it is."""
 
-    request: str
+    request_id: str
     """The caller's id of it, for the log."""
     digest: RequestDigest
     customer: CustomerName | None
@@ -55,123 +55,125 @@
         self,
         instance: InstanceId,
         metrics: Metrics,
-        tell: Callable[[RequestDigest], None],
+        broadcast: Callable[[RequestDigest], None],
     ) -> None:
         self.quarantine = RequestQuarantine.from_config(QuarantineConfig(instance))
         self.metrics = metrics
-        self.tell_others = tell
+        self.broadcast = broadcast
         self.lock = RLock()
-        self.changes = 0
+        self.change_count = 0
         """Counts what was learned."""
         for name, text in HELPS.items():
             metrics.describe(name, text)
 
-    def verdict(self, asked: JudgedRequest) -> Verdict:
+    def verdict(self, request: RequestIdentity) -> Verdict:
         """Decide whether a request may run now."""
         with self.lock:
-            verdict = self.quarantine.verdict(asked.digest, time.monotonic())
+            verdict = self.quarantine.verdict(request.digest, time.monotonic())
         if isinstance(verdict, HeldBack):
-            self.metrics.count(HELD_BACK)
+            self.metrics.count(REFUSALS)
             LOG.info(
                 "Request held back.",
-                request=asked.request,
-                digest=asked.digest,
-                customer=asked.customer,
+                request=request.request_id,
+                digest=request.digest,
+                customer=request.customer,
                 upstreams=verdict.upstreams,
                 left_seconds=round(verdict.left_seconds, 3),
                 retry_after=verdict.retry_after_seconds,
             )
         return verdict
 
-    def claim(self, asked: JudgedRequest) -> Verdict:
+    def claim(self, request: RequestIdentity) -> Verdict:
         """Decide whether a request may run now, and begin its trial if it needs one.
 
         Of two threads that ask for one suspect, one may try it.
         """
         with self.lock:
-            verdict = self.verdict(asked)
+            verdict = self.verdict(request)
             if isinstance(verdict, AllowedAlone):
-                self.begin_trial(asked, verdict)
+                self.begin_trial(request, verdict)
         return verdict
 
     @contextmanager
-    def trial(self, asked: JudgedRequest, verdict: Verdict) -> Iterator[None]:
+    def trial(self, request: RequestIdentity, verdict: Verdict) -> Iterator[None]:
         """Keep a suspect from running elsewhere meanwhile."""
         if not isinstance(verdict, AllowedAlone):
             yield
             return
-        self.begin_trial(asked, verdict)
+        self.begin_trial(request, verdict)
         try:
             yield
         finally:
-            self.end_trial(asked)
+            self.end_trial(request)
 
-    def begin_trial(self, asked: JudgedRequest, verdict: AllowedAlone) -> None:
+    def begin_trial(self, request: RequestIdentity, verdict: AllowedAlone) -> None:
         """Note that a suspect is tried here."""
         LOG.info(
             "Suspect tried.",
-            request=asked.request,
-            digest=asked.digest,
-            customer=asked.customer,
-            upstreams=self.quarantine.exited_upstreams(asked.digest),
+            request=request.request_id,
+            digest=request.digest,
+            customer=request.customer,
+            upstreams=self.quarantine.exited_upstreams(request.digest),
             probe=verdict.probe,
         )
         with self.lock:
-            self.quarantine.begin_trial(asked.digest, verdict, time.monotonic())
-        self.tell(asked.digest)
+            self.quarantine.begin_trial(request.digest, verdict, time.monotonic())
+        self.note_change(request.digest)
 
-    def end_trial(self, asked: JudgedRequest) -> None:
+    def end_trial(self, request: RequestIdentity) -> None:
         """Note that a trial is over, whatever came of it."""
         with self.lock:
-            self.quarantine.end_trial(asked.digest)
-        self.tell(asked.digest)
+            self.quarantine.end_trial(request.digest)
+        self.note_change(request.digest)
 
-    def upstream_ended(self, asked: JudgedRequest, upstream_id: UpstreamId) -> None:
+    def record_exit(self, request: RequestIdentity, upstream_id: UpstreamId) -> None:
         """Note that an upstream ended under a request."""
         now = time.monotonic()
         with self.lock:
-            if not self.quarantine.record_exit(asked.digest, upstream_id, now):
+            if not self.quarantine.record_exit(request.digest, upstream_id, now):
                 return
-        self.metrics.count(UPSTREAM_ENDS)
+        self.metrics.count(UPSTREAM_EXITS)
         LOG.info(
             "Upstream ended.",
-            request=asked.request,
-            digest=asked.digest,
-            customer=asked.customer,
+            request=request.request_id,
+            digest=request.digest,
+            customer=request.customer,
             upstream=upstream_id,
-            ends=self.quarantine.exit_count(asked.digest),
+            ends=self.quarantine.exit_count(request.digest),
         )
-        self.tell(asked.digest)
+        self.note_change(request.digest)
 
-    def answered(self, asked: JudgedRequest) -> None:
+    def record_answer(self, request: RequestIdentity) -> None:
         """Clear a request that an upstream has answered whole."""
         with self.lock:
-            cleared = self.quarantine.record_answer(asked.digest, time.monotonic())
+            cleared = self.quarantine.record_answer(request.digest, time.monotonic())
         if cleared:
-            LOG.info("Suspect cleared.", request=asked.request, digest=asked.digest)
-            self.tell(asked.digest)
+            LOG.info(
+                "Suspect cleared.", request=request.request_id, digest=request.digest
+            )
+            self.note_change(request.digest)
 
-    def tell(self, digest: RequestDigest) -> None:
+    def note_change(self, digest: RequestDigest) -> None:
         """Tell the others what has changed."""
-        self.changes += 1
-        self.tell_others(digest)
+        self.change_count += 1
+        self.broadcast(digest)
 
-    def take(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
+    def merge_reports(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
         """Take in what another process tells, or what this one knew before."""
-        for told in message.suspects[:MOST_TAKEN]:
+        for told in message.suspects[:MAX_REPORTS_PER_MESSAGE]:
             problem = suspect_report_problem(told)
             if problem is not None:
                 LOG.warning("Word of a suspect refused.", peer=sender, problem=problem)
                 continue
-            self.take_one(sender, told)
+            self.merge_report(sender, told)
 
-    def take_one(self, sender: InstanceId, told: SuspectRequestReport) -> None:
+    def merge_report(self, sender: InstanceId, told: SuspectRequestReport) -> None:
         """Take in word of one request."""
         with self.lock:
             before = self.quarantine.exit_count(told.digest)
             if not self.quarantine.merge_report(told, time.monotonic()):
                 return
-            self.changes += 1
+            self.change_count += 1
             ends = self.quarantine.exit_count(told.digest)
         if ends != before:
             LOG.info(
@@ -189,7 +191,7 @@
             released = self.quarantine.record_answer(digest, time.monotonic())
         if released:
             LOG.info("Suspect released.", digest=digest, by=by)
-            self.tell(digest)
+            self.note_change(digest)
         return released
 
     def listed(self) -> tuple[ListedSuspect, ...]:
@@ -206,17 +208,17 @@
             LOG.info("Request let go.", digest=digest)
         self.metrics.gauge(HELD, held)
 
-    def told(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
+    def reports(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
         """Write what is known of some requests."""
         with self.lock:
             suspects = self.quarantine.reports(digests, time.monotonic())
         return SuspectRequestsTold(suspects)
 
-    def told_all(self) -> SuspectRequestsTold:
+    def all_reports(self) -> SuspectRequestsTold:
         """Write what is known of all requests."""
-        return self.told_worst(len(self.quarantine.suspects))
+        return self.most_suspect_reports(len(self.quarantine.suspects))
 
-    def told_worst(self, most: int) -> SuspectRequestsTold:
+    def most_suspect_reports(self, count: int) -> SuspectRequestsTold:
         """Write what is known of the requests against which most speaks."""
         with self.lock:
-            return self.told(self.quarantine.most_suspect(most))
+            return self.reports(self.quarantine.most_suspect(count))
--- a/tests/cover/daemon/test_leaving.py
+++ b/tests/cover/daemon/test_leaving.py
@@ -3,7 +3,12 @@
 import threading
 
 from cowslipshelf_daemon.internal import running
-from cowslipshelf_daemon.internal.running import EXIT_CUT, EXIT_DONE, Shutdown, leave
+from cowslipshelf_daemon.internal.running import (
+    EXIT_DONE,
+    EXIT_WORK_ABORTED,
+    Shutdown,
+    leave,
+)
 
 
 class Role:
@@ -35,7 +40,7 @@
 
 def test_a_role_whose_work_was_cut_is_not_waited_for():
     role = Role(finishes=False, stop_hangs=True)
-    assert leave(role, Shutdown()) == EXIT_CUT
+    assert leave(role, Shutdown()) == EXIT_WORK_ABORTED
 
 
 def test_a_stop_that_hangs_is_named_and_not_waited_for(monkeypatch, capsys):
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -5,7 +5,7 @@
 
 from cowslipshelf_core.gateway import AllowedAlone, request_digest
 from cowslipshelf_daemon.internal.suspect_requests import (
-    JudgedRequest,
+    RequestIdentity,
     SuspectRequests,
 )
 from cowslipshelf_host.metrics import Metrics
@@ -23,7 +23,7 @@
 
     def claim(number: int) -> None:
         barrier.wait(10)
-        verdicts.append(suspects.claim(JudgedRequest(f"r-{number}", DIGEST, "c")))
+        verdicts.append(suspects.claim(RequestIdentity(f"r-{number}", DIGEST, "c")))
 
     threads = [threading.Thread(target=claim, args=(n,)) for n in range(THREADS)]
     for thread in threads:
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -31,7 +31,7 @@
     UpstreamHead,
     UpstreamLostError,
 )
-from cowslipshelf_daemon.internal.suspect_requests import JudgedRequest
+from cowslipshelf_daemon.internal.suspect_requests import RequestIdentity
 
 HEADERS = [(b"x-attempt-id", b"a-1")]
 
@@ -115,7 +115,7 @@
         SilentResponder(),
         DeliveryProgress(None),
         time.monotonic() + 5.0,
-        JudgedRequest("a-1", "digest-1", None),
+        RequestIdentity("a-1", "digest-1", None),
     )
 
 
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -177,7 +177,7 @@
     """Guards against a gateway that one broken peer makes refuse requests."""
     gateway = PlayedGateway()
     odd = told("u-1", "u-2", "u-3", age=float("nan"))
-    gateway.suspects.take("peer", SuspectRequestsTold((odd, told("u-1"))))
+    gateway.suspects.merge_reports("peer", SuspectRequestsTold((odd, told("u-1"))))
     assert gateway.suspects.quarantine.exit_count(DIGEST) == 1
 
 
@@ -189,7 +189,7 @@
     (recalled,) = told_again.suspects
     assert recalled.exits[0].age_seconds == pytest.approx(6.0, abs=1.0)
     suspects = SuspectRequests("10.0.0.1", Metrics(), lambda _digest: None)
-    suspects.take("10.0.0.1", told_again)
+    suspects.merge_reports("10.0.0.1", told_again)
     assert suspects.quarantine.exit_count(DIGEST) == 1
 
 
--- a/tests/nocover/daemon/test_shutdowns_on_processes.py
+++ b/tests/nocover/daemon/test_shutdowns_on_processes.py
@@ -16,7 +16,7 @@
 )
 from local_fleet import LocalFleet, wait_until
 
-EXIT_CUT = 1
+EXIT_WORK_ABORTED = 1
 EXIT_NOT_STARTED = 7
 PROMPT = "a long lease " * 40
 ENDLESS_TOKENS = 1_000
@@ -65,7 +65,7 @@
         # Two signals that wait together are one to the process.
         wait_until(lambda: "Shutdown begins." in log_of(fleet, name), "the first")
         fleet.send_signal(name, signal.SIGTERM)
-    assert fleet.wait_for_end(name) == EXIT_CUT, log_of(fleet, name)
+    assert fleet.wait_for_end(name) == EXIT_WORK_ABORTED, log_of(fleet, name)
     assert "Work was cut." in log_of(fleet, name)
 
 
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -25,7 +25,7 @@
     UpstreamHead,
     UpstreamLostError,
 )
-from cowslipshelf_daemon.internal.suspect_requests import JudgedRequest
+from cowslipshelf_daemon.internal.suspect_requests import RequestIdentity
 
 HEAD, HOLDER = "10.0.0.1:80", "10.0.0.2:80"
 FREE_SECONDS = 4.0
@@ -136,7 +136,7 @@
         None,
         DeliveryProgress(None),
         time.monotonic() + 15.0,
-        JudgedRequest("a-1", "digest-1", None),
+        RequestIdentity("a-1", "digest-1", None),
     )
 
 
