--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -1,4 +1,4 @@
-"""Put an entry together, start it and take it apart in order."""
+"""Assemble the parts of an entry, and start and stop them in order."""
 
 import time
 import uuid
@@ -67,13 +67,13 @@
 from cowslipshelf_host.settings import DaemonSettings
 from cowslipshelf_operators import OperatorKey, OperatorsServer, OperatorsServerConfig
 
-HAND_OVER_LEADERSHIP_SECONDS = 0.5
+LEADERSHIP_TRANSFER_SECONDS = 0.5
 OPERATOR = "operator"
 STOP_SECONDS = 2.0
 
 
 class EntryActors(NamedTuple):
-    """Be the actors of one entry."""
+    """Hold the actors of one entry."""
 
     routing: ActorRef
     configuration: ActorRef
@@ -82,12 +82,12 @@
     courier: ActorRef | None
 
     def running(self) -> tuple[ActorRef, ...]:
-        """Return those that there are."""
+        """Return the actors that this entry runs."""
         return tuple(actor for actor in self if actor is not None)
 
 
 class EntryRole(NamedTuple):
-    """Be an entry that runs."""
+    """Run an entry: its actors, servers and mailbox."""
 
     settings: DaemonSettings
     actors: EntryActors
@@ -99,26 +99,26 @@
     ticker: Ticker
 
     def leave(self) -> bool:
-        """Finish what runs and go; return whether all of it finished in time.
+        """Shut down gracefully; return whether every request finished in time.
 
-        Readiness goes first, so that the balancer sends nothing more; then the door
-        closes and running requests finish; the leader hands over last, since requests
-        that finish may still have to store their answers.
+        Readiness fails first, so that the load balancer sends no more requests. Then
+        new requests are refused and running ones finish. Leadership is transferred
+        last, since requests that finish may still have to store their answers.
         """
         self.operators_handler.draining.set()
         seconds = self.settings.timings.shutdown_seconds
         cut = self.callers_handler.open_requests.close_and_wait(seconds)
         if self.actors.replica is not None:
             self.actors.replica.tell(TransferLeadership())
-            time.sleep(HAND_OVER_LEADERSHIP_SECONDS)
+            time.sleep(LEADERSHIP_TRANSFER_SECONDS)
         return cut == 0
 
     def running_work(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return self.callers_handler.open_requests.open
 
     def stop(self) -> None:
-        """End every thread and socket."""
+        """Stop every thread and close every socket."""
         self.callers.stop(STOP_SECONDS)
         self.operators.stop()
         self.ticker.stop()
@@ -128,7 +128,7 @@
 
 
 class EntryParts(NamedTuple):
-    """Be what the parts of one entry share."""
+    """Hold what the parts of one entry share."""
 
     settings: DaemonSettings
     epoch: Epoch
@@ -138,11 +138,11 @@
     records: RequestRecords
     metrics: EntryMetrics
     router: Router
-    news: SuspectBroadcaster
+    broadcaster: SuspectBroadcaster
 
 
 def make_router(settings: DaemonSettings) -> Router:
-    """Make the router of an entry."""
+    """Create the router of an entry from its settings."""
     limits = settings.entry.limits
     default = RouterConfig()
     config = RouterConfig(
@@ -163,7 +163,7 @@
 ) -> EntryRole:
     """Start an entry from its settings, or raise `StartError`.
 
-    A measurement gives another way to make the router, to compare the two.
+    Benchmarks pass another `make_router`, to compare routers.
     """
     metrics = EntryMetrics()
     messenger = make_messenger(settings)
@@ -185,7 +185,7 @@
         actors.gateway,
         actors.replica,
         parts.in_force,
-        parts.news.suspects,
+        parts.broadcaster.suspects,
     )
     mailbox = make_mailbox(
         settings, parts.epoch, dispatch.receive, parts.in_force.version
@@ -208,7 +208,7 @@
             metrics,
             mailbox,
             callers_handler.open_requests,
-            parts.news.suspects,
+            parts.broadcaster.suspects,
         )
     )
     operators = make_operators_server(settings, operators_handler)
@@ -227,7 +227,7 @@
 
 
 def start_actors(parts: EntryParts) -> EntryActors:
-    """Start the actors; one that is told about needs to be started before."""
+    """Start the actors; an actor starts before those that send messages to it."""
     settings = parts.settings
     routing = RoutingActor.start(
         RoutingParts(
@@ -237,7 +237,7 @@
             parts.in_force,
             parts.status,
             parts.messenger,
-            parts.news,
+            parts.broadcaster,
         )
     )
     configuration = ConfigurationActor.start(
@@ -258,7 +258,7 @@
 def make_callers_handler(
     parts: EntryParts, actors: EntryActors, gateway: ControlStateClient
 ) -> EntryCallersHandler:
-    """Make what answers the callers."""
+    """Create the handler of callers' requests."""
     settings = parts.settings
     attempts = AttemptsClient.from_config(
         AttemptsClientConfig(
@@ -276,7 +276,7 @@
         SharedRetryBudget(RetryBudget.from_config(RetryBudgetConfig())),
         new_attempt_id,
         parts.metrics,
-        parts.news.suspects,
+        parts.broadcaster.suspects,
     )
     stored = settings.entry.limits.largest_stored_answer_bytes
     config = RequestConfig(max_stored_answer_bytes=stored)
@@ -286,7 +286,7 @@
 def make_callers_server(
     settings: DaemonSettings, handler: EntryCallersHandler
 ) -> CallersServer:
-    """Make the server that callers reach."""
+    """Create the HTTP server for callers."""
     limits = settings.entry.limits
     config = CallersServerConfig(
         settings.entry.callers_address,
@@ -302,7 +302,7 @@
 def make_operators_server(
     settings: DaemonSettings, handler: EntryOperatorsHandler
 ) -> OperatorsServer:
-    """Make the server that operators reach."""
+    """Create the HTTP server for operators."""
     keys = tuple(
         OperatorKey(f"{OPERATOR}-{number}", key_hash)
         for number, key_hash in enumerate(settings.entry.operator_key_hashes, 1)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
@@ -1,4 +1,4 @@
-"""Load a data folder and start the replica that it holds."""
+"""Start a replica from its data folder."""
 
 from pathlib import Path
 
@@ -26,7 +26,7 @@
     configuration: ActorRef,
     gateway: ActorRef,
 ) -> ActorRef:
-    """Load the data folder and start the replica that it holds."""
+    """Load the data folder and start the actor of its replica."""
     storage = open_storage(settings)
     stored = load_stored(storage)
     election = settings.timings.election_seconds
@@ -46,7 +46,7 @@
 
 
 def open_storage(settings: DaemonSettings) -> ReplicaStorage:
-    """Open the data folder, or raise `StartError`."""
+    """Open the data folder; raise `StartError` on failure."""
     folder = Path(settings.entry.data_folder)
     config = ReplicaStorageConfig(folder, settings.instance)
     match ReplicaStorage.from_config(config):
@@ -57,7 +57,7 @@
 
 
 def load_stored(storage: ReplicaStorage) -> StoredState:
-    """Load what the data folder holds, or raise `StartError`."""
+    """Load the stored state; raise `StartError` on failure."""
     match storage.load():
         case Ok(stored):
             return stored
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -1,4 +1,4 @@
-"""Tell the other entries of requests under which upstreams ended."""
+"""Report suspect requests, which upstreams exited under, to the other entries."""
 
 from threading import Lock
 
@@ -9,44 +9,44 @@
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.metrics import Metrics
 
-REPEATS = 2
-"""Times that news is told again, since a message may be lost."""
-FORGET_WORDS = 16
-"""Words to the others between two looks for what is too old."""
+RESENDS = 2
+"""Times that each report is sent again, since a message may be lost."""
+ROUNDS_PER_CLEANUP = 16
+"""Heartbeats to the other entries between two removals of old records."""
 
 
 class SuspectBroadcaster:
-    """Own what waits to be told again; any thread may use it."""
+    """Send reports of suspect requests, and repeat them; thread-safe."""
 
     def __init__(
         self, instance: InstanceId, messenger: Messenger, metrics: Metrics
     ) -> None:
         self.messenger = messenger
-        self.suspects = SuspectRequests(instance, metrics, self.tell)
+        self.suspects = SuspectRequests(instance, metrics, self.broadcast)
         self.lock = Lock()
         self.repeats: RetransmitQueue[RequestDigest] = RetransmitQueue()
-        self.words = 0
+        self.rounds = 0
 
-    def tell(self, digest: RequestDigest) -> None:
-        """Tell all other entries what is known of a request, and remember to repeat."""
+    def broadcast(self, digest: RequestDigest) -> None:
+        """Send the report of a request to all other entries, and queue its resends."""
         with self.lock:
-            self.repeats.add((digest,), REPEATS)
+            self.repeats.add((digest,), RESENDS)
         self.messenger.send_to_other_entries(
             self.suspects.reports(frozenset((digest,)))
         )
 
-    def repeat(self) -> None:
-        """Tell the news again, with this entry's regular word to the others."""
-        self.words += 1
-        if self.words % FORGET_WORDS == 0:
+    def rebroadcast(self) -> None:
+        """Resend queued reports; called with each heartbeat to the other entries."""
+        self.rounds += 1
+        if self.rounds % ROUNDS_PER_CLEANUP == 0:
             self.suspects.forget_old()
         with self.lock:
             digests = self.repeats.take()
         if digests:
             self.messenger.send_to_other_entries(self.suspects.reports(digests))
 
-    def tell_all_to(self, address: str) -> None:
-        """Tell one entry, which may know nothing, of all requests."""
+    def send_all_to(self, address: str) -> None:
+        """Send all reports to one entry, which may have none of them."""
         message = self.suspects.all_reports()
         if message.suspects:
             self.messenger.send(address, message)
