--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -322,8 +322,8 @@
     def answer_proposer(self, result: ProposalResult) -> None:
         """Send a result to its proposer if it was proposed through this replica.
 
-        It goes to the address that the proposal came from, since the messenger knows the
-        addresses of entries but not of sidecars, which propose for load grants.
+        It goes to the address that the proposal came from, since the messenger knows
+        the addresses of entries but not of sidecars, which propose for load grants.
         """
         address = self.proposers.pop(result.proposal_id, None)
         if address is not None:
