--- a/tests/common/daemon_fleet.py
+++ b/tests/common/daemon_fleet.py
@@ -1,4 +1,4 @@
-"""Run a small fleet of real processes and call it as callers and operators do."""
+"""Run a small fleet of real processes, and call it as callers and operators do."""
 
 import json
 import threading
@@ -39,7 +39,7 @@
 
 
 def start_fleet(fleet: LocalFleet, upstreams: tuple[Upstream, ...]) -> None:
-    """Start everything, put the first change in force and wait for the upstreams."""
+    """Start all processes, apply the first change and wait for the upstreams."""
     for name in fleet.entry_names:
         fleet.start_entry(name)
     for upstream in upstreams:
@@ -54,29 +54,29 @@
 
 
 def put_weight(weight: int) -> dict[str, Any]:
-    """Describe a change of one customer, which shows in nothing but its weight."""
+    """Return a change that sets the weight of one customer, and nothing else."""
     customer = {"name": "mill", "services": ["scribe"], "key_hash": "0" * 64}
     return {"put_customers": [customer | {"weight": weight}]}
 
 
 def state(fleet: LocalFleet, name: str) -> dict[str, Any]:
-    """Read what an entry knows."""
+    """Read the fleet's state from an entry."""
     return fleet.operator_call(name, "GET", "/v1/state")[1]
 
 
 def version(fleet: LocalFleet, name: str) -> int:
-    """Read the configuration version in force at an entry."""
+    """Read the version of the configuration in force at an entry."""
     return state(fleet, name)["configuration"]["version"]
 
 
 def available(fleet: LocalFleet, name: str) -> list[str]:
-    """List the upstreams that an entry hears; none where it can't tell yet."""
+    """List the upstreams available to an entry; empty if it can't tell yet."""
     upstreams = state(fleet, name).get("upstreams", ())
     return [one["upstream_id"] for one in upstreams if one["available"]]
 
 
 def leader(fleet: LocalFleet) -> str:
-    """Wait for a leader that a running entry knows, and that runs itself."""
+    """Wait until a running entry reports a leader that is running too; name it."""
 
     def find() -> str | None:
         for name in fleet.entry_names:
@@ -91,7 +91,7 @@
 
 
 class StreamedCall:
-    """Be one streamed completion that a thread reads."""
+    """Request one streamed completion, and read it on a thread."""
 
     def __init__(self, fleet: LocalFleet, entry: str, prompt: str, tokens: int) -> None:
         body = {"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": True}
@@ -109,7 +109,7 @@
         self.thread.start()
 
     def read(self) -> None:
-        """Read events until the end."""
+        """Read events until the end of the stream."""
         pending = b""
         try:
             for piece in self.response.stream(1024):
@@ -118,27 +118,27 @@
         except urllib3.exceptions.HTTPError as error:
             self.failure = str(error)
 
-    def wait_for_tokens(self, least: int) -> None:
-        """Wait until some events have come."""
-        wait_until(lambda: len(self.lines) >= least, f"{least} events")
+    def wait_for_tokens(self, minimum: int) -> None:
+        """Wait until so many events have arrived."""
+        wait_until(lambda: len(self.lines) >= minimum, f"{minimum} events")
 
     def text(self) -> str:
-        """Wait for the end and join the text of all events; it must have been whole."""
+        """Wait for the end, check that the stream is complete, and return its text."""
         self.thread.join(60.0)
         assert self.lines, (self.response.status, self.failure)
         assert self.lines[-1] == DONE, (self.lines[-2:], self.failure)
-        return "".join(texts(self.lines[:-1]))
+        return "".join(event_texts(self.lines[:-1]))
 
 
-def texts(lines: list[str]) -> Iterator[str]:
-    """Read the text of each event."""
+def event_texts(lines: list[str]) -> Iterator[str]:
+    """Yield the text of each event."""
     for line in lines:
         for choice in json.loads(line.removeprefix("data: "))["choices"]:
             yield choice["text"]
 
 
 def send_notice(fleet: LocalFleet, entry: str, key: str, body: bytes = b"{}") -> Any:
-    """Send one call that must run at most once; return its status and document."""
+    """Send a call that must run at most once; return its status and document."""
     response = fleet.http.request(
         "POST",
         f"http://{fleet.callers[entry]}/services/notices/letters",
@@ -149,15 +149,15 @@
     return response.status, json.loads(response.data)
 
 
-def runs_of(fleet: LocalFleet, upstream: str, key: str) -> int:
-    """Count how often a plain service ran a key."""
+def count_runs(fleet: LocalFleet, upstream: str, key: str) -> int:
+    """Count how often a plain service ran the call with an idempotency key."""
     address = fleet.upstream_addresses[upstream]
     response = fleet.http.request("GET", f"http://{address}/_calls")
     return sum(call["idempotency_key"] == key for call in json.loads(response.data))
 
 
 def set_faults(fleet: LocalFleet, upstream: str, **faults: Any) -> None:
-    """Switch the faults of a stand-in."""
+    """Set the simulated faults of a stand-in upstream."""
     address = fleet.upstream_addresses[upstream]
     response = fleet.http.request(
         "POST", f"http://{address}/_faults", body=json.dumps(faults).encode()
--- a/tests/cover/daemon/test_engine_priority.py
+++ b/tests/cover/daemon/test_engine_priority.py
@@ -1,4 +1,4 @@
-"""Check in which order an engine is asked to serve attempts."""
+"""Check the priority of attempts at an engine."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,10 +14,10 @@
 def test_an_attempt_that_waits_comes_before_every_one_that_arrives_after_its_slack(
     long_slack, short_slack, start
 ):
-    """A ledger waits at a busy engine, and short notes keep arriving.
+    """Guards against starvation of a long prompt at a busy engine.
 
-    Each note has less slack than the ledger. Compared by slack alone, every note is
-    served first and the ledger never gets its first token.
+    Short prompts that keep arriving have less slack each. If priorities compared slack
+    alone, all of them would be served first, and the long one never.
     """
     waiting = with_engine_priority(hand_over(1)._replace(priority=long_slack), start)
     later = start + long_slack / 1000 + 0.002
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""Check what a replica's actor still does when its disk fails."""
+"""Check what the actor of a replica still does after its disk has failed."""
 
 import time
 
@@ -32,10 +32,10 @@
 @given(before=st.integers(0, 4), during=st.integers(1, 4), reads=st.integers(0, 3))
 @settings(max_examples=25, deadline=None, derandomize=True)
 def test_whoever_waits_for_a_replica_whose_disk_fails_is_told_so(before, during, reads):
-    """A disk becomes full at the leader while changes wait for their sync.
+    """The leader's disk becomes full while changes wait for their sync.
 
-    An operator and some callers wait for outcomes that went with the batch. They must
-    be told at once, and truly: nothing that was not synced counts as done.
+    The outcomes of the batch are lost. Its proposers and readers must be told at once,
+    and nothing that was not synced may be reported as done.
     """
     single = SingleReplica()
     single.deliver_together([propose(number) for number in range(before)])
@@ -57,10 +57,11 @@
 
 
 def test_a_replica_whose_disk_failed_goes_on_refusing():
-    """The full disk is made free again under the running process.
+    """A full disk gets free space again while the process runs.
 
-    What the page cache lost meanwhile is unknown, so only a restart may vote again.
-    Until then operators see the failure, and proposers turn elsewhere at once.
+    The replica cannot know which writes the page cache has lost, so it may vote again
+    only after a restart. Until then operators see the failure, and proposers are
+    refused at once and try another replica.
     """
     single = SingleReplica()
     single.storage.full = True
--- a/tests/cover/daemon/test_leaving.py
+++ b/tests/cover/daemon/test_leaving.py
@@ -1,4 +1,4 @@
-"""Check how a daemon's main thread sees a role out."""
+"""Check how a daemon's main thread shuts down its role."""
 
 import threading
 
@@ -7,7 +7,7 @@
 
 
 class Role:
-    """Be a role with one running request, whose stop may hang."""
+    """Simulate a role with one running request, whose stop may hang."""
 
     def __init__(self, finishes: bool, stop_hangs: bool = False) -> None:
         self.finishes = finishes
@@ -39,10 +39,10 @@
 
 
 def test_a_stop_that_hangs_is_named_and_not_waited_for(monkeypatch, capsys):
-    """A sidecar's work is done, and a thread of one of its servers never ends.
+    """A sidecar has finished its work, but a thread of one of its servers never ends.
 
-    The process was to wait for it for ever. It ends with the code of finished work,
-    and its log shows where the thread is.
+    The process must not wait for it for ever. It exits with the code of finished work,
+    and its log has the stack of the thread.
     """
     monkeypatch.setattr(running, "STOP_SECONDS", 0.05)
     role = Role(finishes=True, stop_hangs=True)
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -1,4 +1,4 @@
-"""Check that the threads of one process try a suspect one at a time."""
+"""Check that only one thread of a process at a time tries a suspect request."""
 
 import threading
 import time
@@ -15,7 +15,7 @@
 
 
 def test_of_many_threads_that_ask_for_a_suspect_one_may_try_it():
-    """Guards against a suspect that one entry hands to several upstreams at once."""
+    """Guards against sending a suspect request to several upstreams at once."""
     suspects = SuspectRequests("entry-1", Metrics(), lambda _digest: None)
     for upstream in ("u-1", "u-2"):
         suspects.quarantine.record_exit(DIGEST, upstream, time.monotonic())
--- a/tests/cover/daemon/test_unknown_commands.py
+++ b/tests/cover/daemon/test_unknown_commands.py
@@ -1,4 +1,4 @@
-"""Check what a replica does with commands of another version."""
+"""Check what a replica does with commands of a newer version."""
 
 import pytest
 
@@ -10,10 +10,11 @@
 
 
 def test_a_replica_stops_rather_than_skip_a_command_that_others_apply():
-    """Operators see two answers to one question, depending on the entry they ask.
+    """Guards against replicas whose states diverge.
 
-    A leader of a newer version committed a command; an older replica skipped it, went
-    on with another state, and later sent that state on as a snapshot.
+    A leader of a newer version commits a command. An older replica that skipped it
+    would go on with a different state, answer operators differently, and later send
+    that state to others as a snapshot.
     """
     single = SingleReplica()
     entry = Entry(9, 9, 0.0, EntryKind.COMMAND, NEWER_COMMAND, "p")
@@ -22,7 +23,7 @@
 
 
 def test_a_leader_puts_no_command_into_the_log_that_it_cannot_read():
-    """All replicas end at once, again and again: the log holds bytes nobody reads."""
+    """Guards against a crash loop of all replicas, which cannot decode their log."""
     single = SingleReplica()
     before = single.actor.replica.status().last_index
     single.deliver_together([Propose("p", NEWER_COMMAND)])
--- a/tests/nocover/daemon/test_deadlines_on_processes.py
+++ b/tests/nocover/daemon/test_deadlines_on_processes.py
@@ -1,4 +1,4 @@
-"""Check, on real processes, that a passed deadline harms nobody else."""
+"""Check, on real processes, that a passed deadline does not affect other callers."""
 
 import json
 
@@ -18,12 +18,12 @@
 
 MANY_TOKENS = 100
 DEADLINE_SECONDS = 2.5
-"""Enough for the tokens at the speed that is assumed, half of what they take here."""
+"""Enough at the speed that the router assumes; here the tokens take twice as long."""
 FEW_TOKENS = 4
 
 
 def stream_with_deadline(fleet: LocalFleet, seconds: float) -> bytes:
-    """Read a streamed answer to its end, whatever that is."""
+    """Request a streamed answer with a deadline and return all its bytes."""
     body = {"model": MODEL, "prompt": "ledger", "max_tokens": MANY_TOKENS}
     response = fleet.http.request(
         "POST",
@@ -40,7 +40,7 @@
 
 
 def sidecars_are_up_to_date(fleet: LocalFleet, entry: str) -> bool:
-    """Tell whether an entry sees the version in force at every sidecar."""
+    """Tell whether an entry sees its configuration version at every sidecar."""
     return all(
         one["configuration_version"] == version(fleet, entry)
         for one in state(fleet, entry)["instances"]
@@ -49,11 +49,11 @@
 
 
 def test_a_deadline_within_a_stream_leaves_the_engine_in_service(tmp_path):
-    """A long answer is cut by its deadline; the next caller finds no upstream.
+    """A long answer is cut by its deadline, and the next caller finds no upstream.
 
-    Some tokens have been passed on when the deadline passes. The sidecar ends the
-    stream as if none had been, which is an error to its own frame buffer; the error
-    ends the sidecar's actor, and the engine is lost to the fleet for good.
+    If the sidecar ended the stream as if it had forwarded no tokens yet, its frame
+    buffer would raise an error. The error would end the sidecar's actor, and the fleet
+    would lose the engine for good.
     """
     with LocalFleet(tmp_path, timings=TIMINGS) as fleet:
         start_fleet(fleet, ENGINES[:1])
--- a/tests/nocover/daemon/test_disks_on_processes.py
+++ b/tests/nocover/daemon/test_disks_on_processes.py
@@ -1,4 +1,4 @@
-"""Check, on real processes, what a full disk and lost replicas leave to callers."""
+"""Check, on real processes, how the fleet survives a full disk and lost replicas."""
 
 import os
 import resource
@@ -31,10 +31,10 @@
 
 
 def test_an_entry_with_a_full_disk_serves_callers_and_votes_no_more(fleet):
-    """The leader's disk becomes full, its log lines included.
+    """The leader's disk becomes full, so that it cannot even write its log file.
 
-    Another replica leads and accepts changes. The entry itself says what is wrong,
-    and its callers are answered as before, under the newest configuration.
+    Another replica must lead and accept changes. The entry must report the failure and
+    still serve its callers, under the newest configuration.
     """
     full = leader(fleet)
     limits = resource.RLIMIT_FSIZE
@@ -52,7 +52,7 @@
 
 
 def force_members(fleet: LocalFleet, name: str, *options: str):
-    """Run the daemon's program for its offline task, and wait for its end."""
+    """Run the daemon with `--force-members`, and wait for its exit."""
     command = [sys.executable, "-m", "cowslipshelf_daemon", "--settings"]
     return subprocess.run(
         [*command, str(fleet.settings[name]), "--force-members", *options],
@@ -64,17 +64,17 @@
     )
 
 
-def voters(fleet: LocalFleet, name: str) -> set[str]:
+def voter_instances(fleet: LocalFleet, name: str) -> set[str]:
     notes = state(fleet, name)["notes"]
     return {note.split()[1] for note in notes if note.startswith("voter")}
 
 
 def test_one_replica_goes_on_after_two_were_lost_for_good(fleet):
-    """Two of three data folders are lost in one accident; no change goes through.
+    """Two of three data folders are lost, and no change can be committed.
 
-    The operator forces the third replica to be the only member. Changes go on from
-    what it had, the forcing is in the audit trail, and one of the lost folders, found
-    again later and started under its old name, has no vote.
+    The operator forces the third replica to be the only member. Changes must continue
+    from its state, the audit trail must show the forced membership, and a lost folder
+    that is found again and started under its old name must have no vote.
     """
     before = fleet.change("before", put_weight(2))["configuration_version"]
     kept, found, wiped = fleet.entry_names
@@ -102,8 +102,10 @@
     (fleet.folder / "found-data").rename(found_folder)
     fleet.start_entry(found)
     fleet.start_entry(wiped)
-    wait_until(lambda: voters(fleet, kept) == {kept, wiped}, "the wiped one's vote")
+    wait_until(
+        lambda: voter_instances(fleet, kept) == {kept, wiped}, "the wiped one's vote"
+    )
     fleet.wait_ready((found,))
     fleet.change("with the found one", put_weight(4))
-    assert voters(fleet, kept) == {kept, wiped}
+    assert voter_instances(fleet, kept) == {kept, wiped}
     wait_until(lambda: version(fleet, found) == after + 1, "the version there")
--- a/tests/nocover/daemon/test_failing_actor.py
+++ b/tests/nocover/daemon/test_failing_actor.py
@@ -1,4 +1,4 @@
-"""Check what becomes of a process when one of its actors fails."""
+"""Check that a process exits when one of its actors fails."""
 
 import os
 import subprocess
@@ -17,21 +17,22 @@
 Failing.start().tell("no decider expects this")
 threading.Event().wait()
 """
-LIMIT_SECONDS = 60.0
+TIMEOUT_SECONDS = 60.0
 
 
 def test_a_process_whose_actor_fails_ends_and_says_why():
-    """A sidecar takes hand-overs and answers none: an exception has ended its actor.
+    """Guards against a process that accepts connections but answers nothing.
 
-    The process lives on, its sockets accept, and the platform sees nothing wrong. It
-    has to end, so that it is started anew.
+    An exception ends the actor of a sidecar. If the process kept running, its sockets
+    would still accept and the platform would see no failure. It must exit, so that it
+    is restarted.
     """
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
     ended = subprocess.run(
         [sys.executable, "-c", PROGRAM],
         env=environment,
         capture_output=True,
-        timeout=LIMIT_SECONDS,
+        timeout=TIMEOUT_SECONDS,
         check=False,
     )
     assert ended.returncode == EXIT_ACTOR_FAILED
--- a/tests/nocover/daemon/test_faults_on_processes.py
+++ b/tests/nocover/daemon/test_faults_on_processes.py
@@ -15,8 +15,8 @@
     TIMINGS,
     StreamedCall,
     available,
+    count_runs,
     leader,
-    runs_of,
     send_notice,
     set_faults,
     start_fleet,
@@ -53,10 +53,10 @@
 
 
 def test_a_change_outlives_the_leader_and_its_resend_gets_the_first_answer(fleet):
-    """An operator confirms a change and the answer is lost with the leader.
+    """An operator confirms a change, and the answer is lost as the leader is killed.
 
-    The operator sends the same change again, to another entry. It must learn the
-    version that its change got, and the change must not be made a second time.
+    The operator sends the same change to another entry. The answer must be the version
+    that the change got, and the change must not be applied a second time.
     """
     base = version(fleet, "entry-1")
     first = fleet.change("weigh", put_weight(3), base)
@@ -73,10 +73,10 @@
 
 
 def test_a_frozen_leader_comes_back_without_bringing_back_the_old_configuration(fleet):
-    """The leader stands still for a while and then believes to be in charge.
+    """The leader is paused, and resumes while it still believes to be the leader.
 
-    Meanwhile another leads and a change is accepted. When the old one goes on, no
-    caller may be served under the configuration before that change again.
+    Meanwhile another replica leads and accepts a change. When the old leader resumes,
+    it must not serve callers under the configuration before that change.
     """
     frozen = leader(fleet)
     witness = other_entries(fleet, frozen)[0]
@@ -106,11 +106,11 @@
 def test_of_two_operators_with_one_base_exactly_one_wins(fleet):
     """Two operators read the same version and change the same customer at once.
 
-    At times one was told 503, "outcome unknown", and its change came into force. A
-    pause of most replicas for 1.3 s shows it: the leader steps down at 50.28, `Command
-    not answered.` with the last refusal `no_quorum` at 51.44, after five election
-    timeouts, and `in force` at 51.64. The bound was made for callers, who have a
-    deadline; operators now wait for the 8 s that were meant for them.
+    Sometimes one got 503, "outcome unknown", although its change came into force. A
+    pause of most replicas for 1.3 s causes it: the leader steps down, the command
+    times out with the refusal `no_quorum` after five election timeouts, and the change
+    is in force 0.2 s later. That timeout is meant for callers, who have a deadline;
+    operators wait 8 s.
     """
     base = version(fleet, "entry-1")
     plans = {}
@@ -141,10 +141,10 @@
 
 
 def test_a_stream_goes_on_elsewhere_when_its_sidecar_is_killed(fleet):
-    """A caller reads a summary; the sidecar that passes it on is killed.
+    """The sidecar that forwards a stream is killed.
 
-    The caller sees one stream with the whole text: the other engine goes on after
-    the tokens that had come, and none is missing or doubled.
+    The other engine must continue after the tokens that were received, so that the
+    caller gets the whole text in one stream, with no token missing or repeated.
     """
     whole = StreamedCall(fleet, "entry-1", PROMPT, 40).text()
     call = StreamedCall(fleet, "entry-1", PROMPT, 40)
@@ -161,18 +161,18 @@
 
 
 def test_a_call_that_must_run_once_runs_once_though_its_entry_is_killed(fleet):
-    """A clerk sends a mail notice; the entry is killed before the answer comes.
+    """The entry is killed before it answers a call that must run at most once.
 
-    The clerk sends it again through another entry, several times. The notice runs
-    once, and the answer is the stored one, "still running" or "unknown", and never
-    a claim that it did not run.
+    The caller resends the call through other entries. It must run once, and the answer
+    must be the stored one, "still running" or "unknown", and never that the call did
+    not run.
     """
     set_faults(fleet, PLAIN.name, slow_factor=1.0, drop_before_answer=True)
     sender = threading.Thread(
-        target=send_and_lose, args=(fleet, "entry-2", "notice-9"), daemon=True
+        target=send_ignoring_failure, args=(fleet, "entry-2", "notice-9"), daemon=True
     )
     sender.start()
-    wait_until(lambda: runs_of(fleet, PLAIN.name, "notice-9") == 1, "the first run")
+    wait_until(lambda: count_runs(fleet, PLAIN.name, "notice-9") == 1, "the first run")
     fleet.kill("entry-2")
     set_faults(fleet, PLAIN.name)
     for name in ("entry-1", "entry-3", "entry-1"):
@@ -182,10 +182,10 @@
             or document["error"]["code"] != "not_run"
             or (document["error"]["reason"] == "still_running")
         ), document
-    assert runs_of(fleet, PLAIN.name, "notice-9") == 1
+    assert count_runs(fleet, PLAIN.name, "notice-9") == 1
 
 
-def send_and_lose(fleet: LocalFleet, entry: str, key: str) -> None:
+def send_ignoring_failure(fleet: LocalFleet, entry: str, key: str) -> None:
     try:
         send_notice(fleet, entry, key)
     except Exception as error:
@@ -193,7 +193,7 @@
 
 
 def test_a_draining_upstream_finishes_its_work_and_gets_no_more(fleet):
-    """An operator drains an engine in the middle of a stream."""
+    """An operator drains an engine while it streams an answer."""
     call = StreamedCall(fleet, "entry-1", PROMPT, 60)
     call.wait_for_tokens(3)
     busy = wait_until(
@@ -223,7 +223,7 @@
 
 
 def test_a_graceful_shutdown_cuts_no_request(fleet):
-    """An entry is asked to end while it streams an answer."""
+    """An entry gets SIGTERM while it streams an answer."""
     call = StreamedCall(fleet, "entry-3", PROMPT, 60)
     call.wait_for_tokens(3)
     fleet.send_signal("entry-3", signal.SIGTERM)
@@ -232,17 +232,16 @@
 
 
 def test_a_sidecar_that_leaves_finishes_its_streams_and_takes_no_more(fleet):
-    """An engine's slot is to be emptied while a summary is streamed from it.
+    """A sidecar gets SIGTERM while its engine streams an answer.
 
-    Its sidecar is asked to end. The caller's stream ends whole, from that engine, and
-    calls that come meanwhile are answered by the other one.
+    The stream must complete from that engine, and the other engine must serve the
+    calls that arrive meanwhile.
 
-    At times the stream was placed twice: a pause of the machine, within the hand-over,
-    counted as the sidecar's silence (`Read timed out. (read timeout=1.0)` at 1.304 s,
-    `trying elsewhere` at 1.308 s), or in the sidecar as the silence of its owner
-    (`trying elsewhere after cancelled`). Once the sidecar stayed and was killed;
-    a pause shows how: its signal comes in a thread that Python does not look at, and
-    `Signal taken.` is missing.
+    Sometimes the stream was placed twice: a pause of the machine during the hand-over
+    counted as silence of the sidecar (its read timeout is 1.0 s) or, in the sidecar, as
+    silence of the attempt's owner. Once the sidecar did not exit and was killed: after
+    a pause the signal arrives in a thread that Python does not check, so that the
+    handler does not run.
     """
     call = StreamedCall(fleet, "entry-1", PROMPT, 60)
     call.wait_for_tokens(3)
@@ -262,26 +261,26 @@
 
 
 def test_a_wiped_disk_is_repaired_and_a_second_loss_right_after_is_survived(fleet):
-    """A disk is lost; its entry comes back empty and is filled; then another dies."""
+    """An entry recovers from the loss of its disk; then another entry is killed."""
     before = fleet.change("before", put_weight(2))["configuration_version"]
     fleet.kill("entry-3")
     shutil.rmtree(fleet.folder / "entry-3-data")
     fleet.start_entry("entry-3")
     wait_until(lambda: fleet.is_ready("entry-3"), "the wiped entry's return")
     assert version(fleet, "entry-3") == before
-    wait_until(lambda: voters(fleet, "entry-3") == 3, "three whole replicas")
+    wait_until(lambda: count_voters(fleet, "entry-3") == 3, "three whole replicas")
     lost = next(name for name in fleet.entry_names if name != "entry-3")
     fleet.kill(lost)
     after = fleet.change("after", put_weight(9))["configuration_version"]
     assert after == before + 1
 
 
-def voters(fleet: LocalFleet, name: str) -> int:
+def count_voters(fleet: LocalFleet, name: str) -> int:
     return len([n for n in state(fleet, name)["notes"] if n.startswith("voter")])
 
 
 def test_wrong_calls_get_a_clear_error_and_leave_nothing_behind(fleet):
-    """A caller has the wrong key, another names a model that nobody has."""
+    """Calls have a wrong key, an unknown model or a malformed body."""
     url = f"http://{fleet.callers['entry-1']}/v1/completions"
     body = b'{"model": "%s", "prompt": "x"}'
     wrong_key = {"Authorization": "Bearer nobody's key at all"}
--- a/tests/nocover/daemon/test_pauses_on_processes.py
+++ b/tests/nocover/daemon/test_pauses_on_processes.py
@@ -1,7 +1,7 @@
 """Check, on real processes, what callers and operators see when processes pause.
 
-A machine that is paused as a whole, or starved, looks to its peers like a dead one,
-and goes on where it was.
+A machine that is paused, or gets no CPU time, looks dead to its peers, and then
+continues where it stopped.
 """
 
 import signal
@@ -37,28 +37,27 @@
 
 @contextmanager
 def paused(fleet: LocalFleet, names: Sequence[str], seconds: float) -> Iterator[None]:
-    """Stop processes, and let them go on after so long."""
+    """Pause processes, and resume them after `seconds`."""
     for name in names:
         fleet.send_signal(name, signal.SIGSTOP)
 
-    def go_on() -> None:
+    def resume() -> None:
         time.sleep(seconds)
         for name in names:
             fleet.send_signal(name, signal.SIGCONT)
 
-    waking = threading.Thread(target=go_on)
-    waking.start()
+    resuming = threading.Thread(target=resume)
+    resuming.start()
     yield
-    waking.join()
+    resuming.join()
 
 
 def test_an_operator_hears_the_outcome_after_a_pause_of_the_quorum(fleet):
-    """An operator confirms a change while most replicas stand still for a moment.
+    """An operator confirms a change while most replicas are paused.
 
-    The operator was told "outcome unknown" after five election timeouts, 1.5 s here,
-    and the change was in force 0.2 s later: `Command not answered.` with three
-    attempts at 51.44, `in force` at 51.64. The bound was made for callers, who have a
-    deadline; the operators' own, 8 s, never came into force.
+    The operator got "outcome unknown" after five election timeouts, 1.5 s here and
+    three attempts, and the change was in force 0.2 s later. That timeout is meant for
+    callers, who have a deadline; it cut short the operators' own timeout of 8 s.
     """
     base = version(fleet, "entry-1")
     led = leader(fleet)
@@ -74,13 +73,12 @@
 
 
 def test_a_stream_goes_on_where_it_runs_after_a_pause_of_the_whole_fleet(fleet):
-    """A machine is paused in mid-stream, for longer than an owner's lease.
+    """A machine is paused during a stream, for longer than an owner's lease.
 
-    The sidecar's first tick came before the words of its entries that had waited, so it
-    took every owner for gone and cancelled their attempts; the stream went on at the
-    other engine: `stream lost after piece 10; resuming` at 4.110 s, `trying elsewhere
-    after cancelled at run at upstream` at 4.128 s, after a pause of 3.6 s that began
-    at 0.5 s. Eight of eight streams were placed twice by pauses of 3.6 and 4.7 s.
+    The sidecar's first tick after the pause came before the queued messages of its
+    entries. It took every owner for dead and cancelled their attempts, and the stream
+    was resumed at the other engine. With pauses of 3.6 and 4.7 s, eight of eight
+    streams were placed twice.
     """
     call = StreamedCall(fleet, "entry-1", PROMPT, 60)
     call.wait_for_tokens(10)
--- a/tests/nocover/daemon/test_recovery_on_processes.py
+++ b/tests/nocover/daemon/test_recovery_on_processes.py
@@ -1,4 +1,4 @@
-"""Check, on real processes, that the fleet gets back what a failure has taken."""
+"""Check, on real processes, that the fleet recovers from failures."""
 
 import json
 import signal
@@ -40,17 +40,17 @@
         yield fleet
 
 
-def ask(fleet: LocalFleet, upstream: str, path: str) -> Any:
+def get_json(fleet: LocalFleet, upstream: str, path: str) -> Any:
     address = fleet.upstream_addresses[upstream]
     return json.loads(fleet.http.request("GET", f"http://{address}{path}").data)
 
 
-def held_memory(fleet: LocalFleet) -> int:
-    """Sum what the engines hold, by their own word and by their sidecars'."""
+def held_tokens(fleet: LocalFleet) -> int:
+    """Sum the tokens held, as reported by the engines and by their sidecars."""
     engines = [
         one["tokens"]
         for engine in ENGINES
-        for one in ask(fleet, engine.name, INVENTORY)["held"]
+        for one in get_json(fleet, engine.name, INVENTORY)["held"]
     ]
     running = next(name for name in fleet.entry_names if fleet.is_running(name))
     reported = [one["reserved_tokens"] for one in state(fleet, running)["upstreams"]]
@@ -60,8 +60,9 @@
 def test_an_entry_catches_up_with_hundreds_of_changes_that_passed_it_by(fleet):
     """An entry is down while operators make hundreds of changes.
 
-    Back again, it serves nobody under the configuration it had, and soon has the
-    newest one; its replica has them all, so that it can carry a quorum by itself.
+    After its restart it must not serve under its old configuration, and must soon have
+    the newest one. Its replica must have all changes, so that it can form a quorum
+    when another replica is lost.
     """
     absent, other, third = sorted(fleet.entry_names, key=leader(fleet).__eq__)
     fleet.kill(absent)
@@ -76,22 +77,24 @@
     fleet.start_entry(absent)
     fleet.wait_ready((absent,))
     assert version(fleet, absent) == base + MANY_CHANGES
-    wait_until(lambda: log_end(fleet, absent) >= log_end(fleet, third), "the log")
+    wait_until(
+        lambda: commit_index(fleet, absent) >= commit_index(fleet, third), "the log"
+    )
     fleet.kill(other)
     last = fleet.change("with it", put_weight(1))["configuration_version"]
     assert last == base + MANY_CHANGES + 1
 
 
-def log_end(fleet: LocalFleet, name: str) -> int:
+def commit_index(fleet: LocalFleet, name: str) -> int:
     notes = state(fleet, name)["notes"]
     return next(int(n.split()[-1]) for n in notes if n.startswith("log committed"))
 
 
 def test_a_stream_survives_its_engine_frozen_and_the_engine_comes_back_empty(fleet):
-    """An engine stands still in the middle of a summary, its connections open.
+    """An engine is paused during a stream, with its connections open.
 
-    The caller gets the whole text by another engine. When the frozen one goes on, it
-    still holds the memory of the attempt; its sidecar sees to it that this ends.
+    Another engine must complete the text. When the paused engine resumes, it still
+    holds the memory of the attempt, which its sidecar must release.
     """
     whole = StreamedCall(fleet, "entry-1", PROMPT, 20).text()
     call = StreamedCall(fleet, "entry-1", PROMPT, 20)
@@ -99,37 +102,37 @@
     busy = next(
         engine.name
         for engine in ENGINES
-        if any(one["tokens"] for one in ask(fleet, engine.name, INVENTORY)["held"])
+        if any(one["tokens"] for one in get_json(fleet, engine.name, INVENTORY)["held"])
     )
     fleet.send_signal(busy, signal.SIGSTOP)
     try:
         assert call.text() == whole
     finally:
         fleet.send_signal(busy, signal.SIGCONT)
-    wait_until(lambda: held_memory(fleet) == 0, "the memory of the frozen engine")
+    wait_until(lambda: held_tokens(fleet) == 0, "the memory of the frozen engine")
     assert StreamedCall(fleet, "entry-2", PROMPT, 3).text()
 
 
 def test_memory_is_given_back_after_an_entry_dies_with_streams_open(fleet):
-    """An entry is killed while engines write answers to several of its callers.
+    """An entry is killed while engines stream answers to several of its callers.
 
-    Nobody cancels these attempts. Left alone they would hold memory until their end,
-    and such that never end, for good.
+    No entry cancels these attempts. They would hold memory until they end, and some
+    never would.
     """
     calls = [StreamedCall(fleet, "entry-2", PROMPT, 4000) for _ in range(4)]
     for call in calls:
         call.wait_for_tokens(2)
-    assert held_memory(fleet) > 0
+    assert held_tokens(fleet) > 0
     fleet.kill("entry-2")
-    wait_until(lambda: held_memory(fleet) == 0, "the memory of the dead entry's calls")
+    wait_until(lambda: held_tokens(fleet) == 0, "the memory of the dead entry's calls")
     assert StreamedCall(fleet, "entry-1", PROMPT, 3).text()
 
 
 def test_an_isolated_leader_refuses_at_once_and_says_when_to_ask_again(fleet):
-    """The leader is cut off from both other replicas and believes to be in charge.
+    """The leader is cut off from both other replicas and can commit nothing.
 
-    It can commit nothing. Operators and callers who need the replicated state learn
-    that at once, and truly, rather than at their deadline; others are still served.
+    Operators and callers who need the replicated state must be refused at once, with a
+    true outcome, rather than at their deadline. Other callers must still be served.
     """
     isolated = leader(fleet)
     others = [name for name in fleet.entry_names if name != isolated]
@@ -161,9 +164,9 @@
         assert int(plan.headers["Retry-After"]) > 0
         assert int(notice.headers["Retry-After"]) > 0
         error = notice.json()["error"]
-        # Nobody has told who holds the key: "not run" might be false of a resend.
+        # No replica told who holds the key: "not run" could be false of a resend.
         assert (error["code"], error["reason"]) == ("outcome_unknown", "no_quorum")
-        assert ask(fleet, PLAIN.name, "/_calls") == []
+        assert get_json(fleet, PLAIN.name, "/_calls") == []
         assert StreamedCall(fleet, isolated, PROMPT, 3).text()
         assert "no leader" in " ".join(state(fleet, isolated)["notes"])
     finally:
@@ -176,8 +179,9 @@
 def test_an_order_runs_once_though_its_sidecar_is_killed(tmp_path, checks_fencing):
     """A sidecar is killed while its engine loads a new version of a model.
 
-    The order is still open, so it comes again to the sidecar that starts next, which
-    knows nothing. The engine must not load a second time, and the order is closed.
+    The order is still open, so it is sent again to the restarted sidecar, which does
+    not know of the first run. The engine must not load a second time, and the order
+    must be closed.
     """
     slow_load = ("--load-order-seconds", "1.5")
     engine = Upstream(
@@ -190,17 +194,17 @@
     )
     with LocalFleet(tmp_path, timings=TIMINGS) as fleet:
         start_fleet(fleet, (engine,))
-        run_before = len(ask(fleet, engine.name, "/v1/orders")["orders_run"])
+        run_before = len(get_json(fleet, engine.name, "/v1/orders")["orders_run"])
         model = CHANGE["put_models"][0] | {"version": "2"}
         fleet.change("version 2", {"put_models": [model]})
         newest = wait_until(
-            lambda: ask(fleet, engine.name, "/v1/orders")["newest_fencing"],
+            lambda: get_json(fleet, engine.name, "/v1/orders")["newest_fencing"],
             "the order at the engine",
         )
         fleet.kill(f"{engine.name}-sidecar")
         fleet.start_sidecar(engine)
         wait_until(lambda: not open_orders(fleet), "the closed order")
-        orders = ask(fleet, engine.name, "/v1/orders")
+        orders = get_json(fleet, engine.name, "/v1/orders")
         assert orders["newest_fencing"] == newest
         assert len(orders["orders_run"]) == run_before + 1
         assert [MODEL, "2"] in orders["models"]
--- a/tests/nocover/daemon/test_requests_that_end_upstreams.py
+++ b/tests/nocover/daemon/test_requests_that_end_upstreams.py
@@ -1,4 +1,4 @@
-"""Send a request that ends each upstream that runs it to real entries."""
+"""Check, on real processes, how entries contain a request that crashes upstreams."""
 
 import json
 import time
@@ -20,11 +20,11 @@
 
 FATAL = "fatal-7c1e"
 UPSTREAMS = 6
-LEAST_ENDED = 3
-"""Upstreams that have to end before a request is held back."""
-KNOWN_SECONDS = 3.0
-"""Time after the third end by which each entry must know."""
-SENT = 12
+HELD_BACK_EXITS = 3
+"""Upstreams that exit before a request is held back."""
+PROPAGATION_SECONDS = 3.0
+"""Time after the third exit within which every entry must know of it."""
+RESENDS = 12
 PLAIN = tuple(Upstream(f"echo-{n}", "echo", "plain") for n in range(UPSTREAMS))
 ENGINES = tuple(
     Upstream(f"scribe-{n}", "scribe", "model", (MODEL,)) for n in range(UPSTREAMS)
@@ -51,7 +51,7 @@
 
 
 def start(fleet: LocalFleet, upstreams: tuple[Upstream, ...], idempotent: bool) -> None:
-    """Start a fleet whose upstreams end under the fatal text."""
+    """Start a fleet whose upstreams exit when they get the fatal text."""
     start_fleet(fleet, ())
     fleet.change("echo", change(idempotent))
     for upstream in upstreams:
@@ -79,52 +79,52 @@
 def send_to_each(
     fleet: LocalFleet, path: str, body: dict, times: int
 ) -> list[tuple[int, dict]]:
-    """Send it again and again, to each entry in turn."""
+    """Send one request `times` times, to the entries in turn."""
     names = fleet.entry_names
     return [
         send(fleet, names[number % len(names)], path, body) for number in range(times)
     ]
 
 
-def ended(fleet: LocalFleet, upstreams: tuple[Upstream, ...]) -> int:
-    """Count the upstreams whose process has ended."""
+def count_exited(fleet: LocalFleet, upstreams: tuple[Upstream, ...]) -> int:
+    """Count the upstreams whose process has exited."""
     return sum(not fleet.is_running(each.name) for each in upstreams)
 
 
 def send_until_known(
     fleet: LocalFleet, upstreams: tuple[Upstream, ...], path: str, body: dict
 ) -> int:
-    """Send it until three upstreams have ended and word of it has had time.
+    """Send a request until three upstreams have exited and every entry knows of it.
 
-    Return how many have ended.
+    Return how many have exited.
     """
-    while ended(fleet, upstreams) < LEAST_ENDED:
+    while count_exited(fleet, upstreams) < HELD_BACK_EXITS:
         send(fleet, fleet.entry_names[0], path, body)
-    time.sleep(KNOWN_SECONDS)
-    return ended(fleet, upstreams)
+    time.sleep(PROPAGATION_SECONDS)
+    return count_exited(fleet, upstreams)
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
 def test_a_call_that_ended_three_plain_services_ends_few_more(fleet, idempotent):
-    """Guards against one call that ends every upstream of a service."""
+    """Guards against one call that crashes every upstream of a service."""
     start(fleet, PLAIN, idempotent)
     fatal = {"text": FATAL}
-    known = send_until_known(fleet, PLAIN, "/services/echo/x", fatal)
-    answers = send_to_each(fleet, "/services/echo/x", fatal, SENT)
-    assert ended(fleet, PLAIN) == known == LEAST_ENDED
+    exited = send_until_known(fleet, PLAIN, "/services/echo/x", fatal)
+    answers = send_to_each(fleet, "/services/echo/x", fatal, RESENDS)
+    assert count_exited(fleet, PLAIN) == exited == HELD_BACK_EXITS
     status, document = answers[-1]
     assert (status, document["error"]["code"]) == (502, "not_run")
     assert send(fleet, "entry-1", "/services/echo/x", {"text": "sound"})[0] == 200
 
 
 def held_digests(fleet: LocalFleet, entry: str) -> list[str]:
-    """List the requests that an entry holds back."""
+    """List the digests of the requests that an entry holds back."""
     _, document = fleet.operator_call(entry, "GET", "/v1/suspects")
     return [each["digest"] for each in document["suspects"] if each["held"]]
 
 
 def test_a_released_call_runs_again_at_every_entry(fleet):
-    """Guards against a call that stays refused after its service was mended."""
+    """Guards against a call that is still refused after its service was fixed."""
     start(fleet, PLAIN, idempotent=True)
     fatal = {"text": FATAL}
     send_until_known(fleet, PLAIN, "/services/echo/x", fatal)
@@ -139,12 +139,12 @@
 
 
 def test_a_prompt_that_ended_three_engines_ends_few_more(fleet):
-    """Guards against one prompt that ends every engine of a model."""
+    """Guards against one prompt that crashes every engine of a model."""
     start(fleet, ENGINES, idempotent=True)
     body = {"model": MODEL, "prompt": FATAL, "max_tokens": 4}
-    known = send_until_known(fleet, ENGINES, "/v1/completions", body)
-    answers = send_to_each(fleet, "/v1/completions", body, SENT)
-    assert ended(fleet, ENGINES) == known == LEAST_ENDED
+    exited = send_until_known(fleet, ENGINES, "/v1/completions", body)
+    answers = send_to_each(fleet, "/v1/completions", body, RESENDS)
+    assert count_exited(fleet, ENGINES) == exited == HELD_BACK_EXITS
     assert answers[-1][1]["error"]["code"] == "not_run"
     sound = body | {"prompt": "sound"}
     status, document = send(fleet, "entry-1", "/v1/completions", sound)
--- a/tests/nocover/daemon/test_shutdowns_on_processes.py
+++ b/tests/nocover/daemon/test_shutdowns_on_processes.py
@@ -1,4 +1,4 @@
-"""Check, on real processes, that a daemon that has to end ends, with its code."""
+"""Check, on real processes, that a daemon exits when it must, with the right code."""
 
 import signal
 import socket
@@ -20,7 +20,7 @@
 EXIT_NOT_STARTED = 7
 PROMPT = "a long lease " * 40
 ENDLESS_TOKENS = 1_000
-"""Some 50 s of the slow engines: longer than any of these tests waits."""
+"""About 50 s at the slow engines: longer than any of these tests waits."""
 SHUTDOWN_SECONDS = 1.0
 ENTRY = "entry-1"
 
@@ -34,7 +34,7 @@
 
 
 def streaming_sidecar(fleet: LocalFleet) -> str:
-    """Begin a long stream through the entry; name the sidecar that passes it on."""
+    """Start a long stream through the entry; return the sidecar that forwards it."""
     StreamedCall(fleet, ENTRY, PROMPT, ENDLESS_TOKENS).wait_for_tokens(3)
     busy = wait_until(
         lambda: [u for u in state(fleet, ENTRY)["upstreams"] if u["running"]],
@@ -50,19 +50,19 @@
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
 @pytest.mark.parametrize("signals", [1, 2])
 def test_a_daemon_whose_work_is_cut_ends(fleet, role, signals):
-    """A process is asked to end while it streams, and its time for that runs out.
+    """A process gets SIGTERM while it streams, and its grace period runs out.
 
-    Or a second signal asks it to end at once. The log said `Work was cut.`, and then
-    the process stayed, serving nobody, until it was killed: its servers' threads are
-    no daemon threads, so the interpreter waited for them for ever. Shown by -9, 40 s
-    later, in each of the four cases, and by `role changed`, logged 19 s after
-    `Work was cut.` by an entry that should have been gone.
+    Or a second signal asks it to exit at once. The process logged `Work was cut.` but
+    kept running, without serving, until it was killed: its servers' threads are no
+    daemon threads, so the interpreter waited for them for ever. In each of the four
+    cases it had to be killed after 40 s, and an entry still took part in an election
+    19 s after `Work was cut.`.
     """
     sidecar = streaming_sidecar(fleet)
     name = ENTRY if role == "entry" else sidecar
     fleet.send_signal(name, signal.SIGTERM)
     if signals > 1:
-        # Two signals that wait together are one to the process.
+        # Two pending signals of one kind are delivered as one.
         wait_until(lambda: "Shutdown begins." in log_of(fleet, name), "the first")
         fleet.send_signal(name, signal.SIGTERM)
     assert fleet.wait_for_end(name) == EXIT_CUT, log_of(fleet, name)
@@ -70,11 +70,10 @@
 
 
 def test_an_entry_that_can_not_listen_for_callers_ends(fleet):
-    """The callers' port is taken when an entry starts; the operators' is free.
+    """The callers' port is in use when an entry starts; the operators' port is free.
 
-    The log says that it was not started. Whoever watches processes has to see its
-    end, and not one that lives on with the operators' door open behind which nobody
-    works.
+    The entry logs that it was not started. It must also exit, so that its supervisor
+    notices, rather than keep running with only the operators' port open.
     """
     fleet.kill(ENTRY)
     host, port = fleet.callers[ENTRY].split(":")
--- a/tests/nocover/daemon/test_spread_prompts.py
+++ b/tests/nocover/daemon/test_spread_prompts.py
@@ -1,4 +1,4 @@
-"""Check, on real processes, prompts that fit no single engine."""
+"""Check, on real processes, prompts that do not fit on a single engine."""
 
 import json
 from collections.abc import Iterator
@@ -35,8 +35,8 @@
 LARGE = Upstream(
     "large-1", "notices", "model", (MODEL,), 400_000, options=(*FAST, "400000")
 )
-LEDGER = "beet load paid " * 8_000
-"""About thirty thousand tokens: more than two small engines hold."""
+LONG_PROMPT = "beet load paid " * 8_000
+"""About thirty thousand tokens: more than two small engines can hold."""
 TOKENS = 40
 LONG_ANSWER = 4_000
 
@@ -50,15 +50,15 @@
 
 
 def held_tokens(fleet: LocalFleet, upstream: str) -> int:
-    """Ask an engine how much memory it holds for attempts."""
+    """Return how much memory an engine holds for attempts, in tokens."""
     address = fleet.upstream_addresses[upstream]
     response = fleet.http.request("GET", f"http://{address}/v1/inventory")
     return sum(one["tokens"] for one in json.loads(response.data)["held"])
 
 
 def direct_text(fleet: LocalFleet, upstream: str) -> str:
-    """Return what one engine answers to the whole prompt, asked by itself."""
-    body = {"model": MODEL, "prompt": LEDGER, "max_tokens": TOKENS}
+    """Send the whole prompt directly to one engine and return its answer."""
+    body = {"model": MODEL, "prompt": LONG_PROMPT, "max_tokens": TOKENS}
     response = fleet.http.request(
         "POST",
         f"http://{fleet.upstream_addresses[upstream]}/v1/completions",
@@ -71,12 +71,13 @@
 
 
 def test_a_prompt_of_twice_an_engine_is_answered_as_one_large_engine_would(fleet):
-    """Check the whole answer to a ledger that only three engines together hold.
+    """Check the answer to a prompt that fits only on three engines together.
 
     The entry reserves memory on all three, has two of them prefill their parts and the
-    last one generate. When the caller has its answer no engine keeps a part of it.
+    last one generate. Once the caller has its answer, no engine may hold a part of the
+    prompt.
     """
-    call = StreamedCall(fleet, "entry-1", LEDGER, TOKENS)
+    call = StreamedCall(fleet, "entry-1", LONG_PROMPT, TOKENS)
     assert call.text() == direct_text(fleet, "large-1")
     wait_until(
         lambda: not any(held_tokens(fleet, one.name) for one in SMALL),
@@ -85,7 +86,7 @@
 
 
 def test_a_prompt_that_all_engines_together_cannot_hold_is_refused_with_why(fleet):
-    body = {"model": MODEL, "prompt": LEDGER * 2, "max_tokens": TOKENS}
+    body = {"model": MODEL, "prompt": LONG_PROMPT * 2, "max_tokens": TOKENS}
     response = fleet.http.request(
         "POST",
         f"http://{fleet.callers['entry-1']}/v1/completions",
@@ -102,12 +103,13 @@
 
 @pytest.mark.parametrize("victim", ["small-1-sidecar", "small-3-sidecar", "entry-1"])
 def test_memory_of_all_parts_comes_back_when_one_process_dies(fleet, victim):
-    """Check that no engine keeps a part of a ledger whose answer broke off.
+    """Guards against engines that keep a part of a prompt whose answer was cut.
 
-    Tokens come. Then the sidecar of a helper, or that of the engine that generates, or
-    the entry is killed. What is started again in its place serves the next ledger.
+    After the first tokens, the sidecar of a helper, the sidecar of the generating
+    engine, or the entry is killed. The next long prompt must be answered, with killed
+    sidecars restarted.
     """
-    call = StreamedCall(fleet, "entry-1", LEDGER, LONG_ANSWER)
+    call = StreamedCall(fleet, "entry-1", LONG_PROMPT, LONG_ANSWER)
     call.wait_for_tokens(3)
     fleet.kill(victim)
     call.thread.join(60.0)
@@ -120,5 +122,5 @@
         "all memory back",
     )
     wait_until(lambda: len(available(fleet, "entry-2")) == len(SMALL) + 1, "upstreams")
-    later = StreamedCall(fleet, "entry-2", LEDGER, TOKENS)
+    later = StreamedCall(fleet, "entry-2", LONG_PROMPT, TOKENS)
     assert later.text() == direct_text(fleet, "large-1")
