--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -77,7 +77,7 @@
 
     routing: ActorRef
     configuration: ActorRef
-    gateway: ActorRef
+    proposal_client: ActorRef
     replica: ActorRef | None
     courier: ActorRef | None
 
@@ -182,7 +182,7 @@
     dispatch = MessageDispatcher(
         actors.routing,
         actors.configuration,
-        actors.gateway,
+        actors.proposal_client,
         actors.replica,
         parts.in_force,
         parts.broadcaster.suspects,
@@ -194,8 +194,10 @@
     parts.messenger.attach(mailbox, dispatch.deliver)
     ticker = Ticker(actors.running(), settings.timings.tick_seconds)
     ticker.start()
-    gateway = ControlStateClient(actors.gateway, settings.timings.election_seconds)
-    callers_handler = make_callers_handler(parts, actors, gateway)
+    control = ControlStateClient(
+        actors.proposal_client, settings.timings.election_seconds
+    )
+    callers_handler = make_callers_handler(parts, actors, control)
     callers = make_callers_server(settings, callers_handler)
     operators_handler = EntryOperatorsHandler(
         OperatorsParts(
@@ -203,7 +205,7 @@
             parts.in_force,
             parts.status,
             parts.records,
-            gateway,
+            control,
             actors.replica,
             metrics,
             mailbox,
@@ -245,18 +247,20 @@
             make_view(settings, parts.epoch), parts.in_force, parts.messenger, routing
         )
     )
-    gateway = GatewayActor.start(make_proposal_client(settings), parts.messenger)
+    proposal_client = GatewayActor.start(
+        make_proposal_client(settings), parts.messenger
+    )
     if settings.entry.data_folder is None:
-        return EntryActors(routing, configuration, gateway, None, None)
-    replica = start_replica(settings, parts.messenger, configuration, gateway)
+        return EntryActors(routing, configuration, proposal_client, None, None)
+    replica = start_replica(settings, parts.messenger, configuration, proposal_client)
     courier = OrderCourier.start(
         OrderCourierParts(replica, parts.status, parts.messenger)
     )
-    return EntryActors(routing, configuration, gateway, replica, courier)
+    return EntryActors(routing, configuration, proposal_client, replica, courier)
 
 
 def make_callers_handler(
-    parts: EntryParts, actors: EntryActors, gateway: ControlStateClient
+    parts: EntryParts, actors: EntryActors, control: ControlStateClient
 ) -> EntryCallersHandler:
     """Create the handler of callers' requests."""
     settings = parts.settings
@@ -270,7 +274,7 @@
     services = DriverServices(
         settings.instance,
         RoutingClient(actors.routing, parts.status),
-        gateway,
+        control,
         attempts,
         CancelSender(attempts),
         SharedRetryBudget(RetryBudget.from_config(RetryBudgetConfig())),
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -61,15 +61,15 @@
                 self.handle(message, now)
             case Delivered(message=ConfigurationSnapshot() as snapshot):
                 self.handle(SnapshotArrived(snapshot, message.sender_address), now)
-            case Delivered(message=FetchConfiguration() as question):
-                self.answer(question, message.sender_address)
+            case Delivered(message=FetchConfiguration() as query):
+                self.answer(query, message.sender_address)
 
     def handle(self, event: ConfigurationViewEvent, now: float) -> None:
         """Pass an event to the configuration view and carry out its effects."""
         for effect in self.view.handle(event, now):
             match effect:
-                case AskForConfiguration(address, question):
-                    self.messenger.send(address, question)
+                case AskForConfiguration(address, query):
+                    self.messenger.send(address, query)
                 case ApplyConfiguration(configuration):
                     self.in_force.replace(configuration)
                     self.routing.tell(configuration)
@@ -82,9 +82,9 @@
                         "two contents of one version", version=version, peer=address
                     )
 
-    def answer(self, question: FetchConfiguration, address: str) -> None:
+    def answer(self, query: FetchConfiguration, address: str) -> None:
         """Answer with the configuration in force here, unconfirmed by a quorum."""
         snapshot = ConfigurationSnapshot(
-            self.view.in_force, confirmed_by_quorum=False, query_id=question.query_id
+            self.view.in_force, confirmed_by_quorum=False, query_id=query.query_id
         )
         self.messenger.send(address, snapshot)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -28,7 +28,7 @@
 
     routing: ActorRef
     configuration: ActorRef
-    gateway: ActorRef
+    proposal_client: ActorRef
     replica: ActorRef | None
     in_force: ConfigurationInForce
     suspects: SuspectRequests
@@ -54,7 +54,7 @@
             case ConfigurationSnapshot():
                 self.configuration.tell(delivered)
             case ProposalResult():
-                self.gateway.tell(delivered)
+                self.proposal_client.tell(delivered)
             case FetchConfiguration() if self.replica is None:
                 self.configuration.tell(delivered)
             case _ if self.replica is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/operators_handler.py
@@ -71,7 +71,7 @@
     in_force: ConfigurationInForce
     status: FleetStatus
     records: RequestRecords
-    gateway: ControlStateClient
+    control: ControlStateClient
     replica: ActorRef | None
     metrics: EntryMetrics
     mailbox: Mailbox
@@ -114,7 +114,7 @@
 
     def commit(self, step: str, command: ControlCommand) -> ControlOutcome:
         """Commit a command; raise `HandlerError` if it got no outcome in time."""
-        outcome = self.parts.gateway.commit_within(command, COMMAND_SECONDS)
+        outcome = self.parts.control.commit_within(command, COMMAND_SECONDS)
         if not isinstance(outcome, Refusal):
             return outcome
         detail = f"{outcome.code}: {outcome.detail}; send the same change id again"
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -88,7 +88,7 @@
     state: ControlState
     messenger: Messenger
     configuration: ActorRef
-    gateway: ActorRef
+    proposal_client: ActorRef
 
 
 class ReplicaActor(DaemonActor):
@@ -106,7 +106,7 @@
         self.state = parts.state
         self.messenger = parts.messenger
         self.configuration = parts.configuration
-        self.gateway = parts.gateway
+        self.proposal_client = parts.proposal_client
         self.random = random.Random()
         self.events: list[Event] = []
         self.proposers: dict[str, str] = {}
@@ -286,7 +286,7 @@
                     leader=leader,
                     sync_seconds=round(self.replica.status().sync_seconds, 3),
                 )
-                self.gateway.tell(LeaderSeen(leader))
+                self.proposal_client.tell(LeaderSeen(leader))
 
     def apply(self, index: int, entry: Entry) -> None:
         """Apply a committed command and answer its proposer if it was proposed here."""
@@ -331,40 +331,40 @@
 
     def answer_read(self, read_id: str, confirmed: bool) -> None:
         """Answer a query once its quorum read has succeeded or failed."""
-        asked = self.pending_reads.pop(read_id, None)
-        match asked:
+        delivered = self.pending_reads.pop(read_id, None)
+        match delivered:
             case Delivered(message=FetchConfiguration()):
-                self.answer_configuration(asked, confirmed)
+                self.answer_configuration(delivered, confirmed)
             case Delivered(message=FetchRoutes()) if confirmed:
-                self.answer_routes(asked, confirmed)
-            case Delivered(message=FencingAsked() as question) if confirmed:
-                self.answer_fencing(asked, question)
+                self.answer_routes(delivered, confirmed)
+            case Delivered(message=FencingAsked() as query) if confirmed:
+                self.answer_fencing(delivered, query)
 
-    def answer_fencing(self, asked: Delivered, question: FencingAsked) -> None:
+    def answer_fencing(self, delivered: Delivered, query: FencingAsked) -> None:
         """Send an upstream's newest fencing number, confirmed by a quorum."""
-        fencing = self.state.current_fencing(question.upstream_id)
-        answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
-        self.messenger.send(asked.sender_address, answer)
+        fencing = self.state.current_fencing(query.upstream_id)
+        answer = FencingAnswered(query.upstream_id, query.query_id, fencing)
+        self.messenger.send(delivered.sender_address, answer)
 
-    def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
+    def answer_configuration(self, delivered: Delivered, confirmed: bool) -> None:
         """Send the configuration that is applied here."""
         snapshot = ConfigurationSnapshot(
-            self.state.configuration, confirmed, asked.message.query_id
+            self.state.configuration, confirmed, delivered.message.query_id
         )
-        self.messenger.send(asked.sender_address, snapshot)
+        self.messenger.send(delivered.sender_address, snapshot)
 
-    def answer_routes(self, asked: Delivered, confirmed: bool) -> None:
+    def answer_routes(self, delivered: Delivered, confirmed: bool) -> None:
         """Send the gateways' configuration that is applied here.
 
-        An asker that has this version gets its version and digest alone. On a slow link
+        A sender that has this version gets its version and digest alone. On a slow link
         the whole document takes longer than a read may take, so that no read of it
         would ever succeed.
         """
         document = self.state.routes.document
-        if confirmed and asked.message.have_version == document.version:
+        if confirmed and delivered.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
-        snapshot = RoutesSnapshot(document, confirmed, asked.message.query_id)
-        self.messenger.send(asked.sender_address, snapshot)
+        snapshot = RoutesSnapshot(document, confirmed, delivered.message.query_id)
+        self.messenger.send(delivered.sender_address, snapshot)
 
     def publish_routes(self) -> None:
         """Send the applied gateways' configuration to this process's view."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
@@ -24,7 +24,7 @@
     settings: DaemonSettings,
     messenger: Messenger,
     configuration: ActorRef,
-    gateway: ActorRef,
+    proposal_client: ActorRef,
 ) -> ActorRef:
     """Load the data folder and start the actor of its replica."""
     storage = open_storage(settings)
@@ -41,7 +41,7 @@
         state = ControlState.from_snapshot(stored.snapshot.state)
     replica = Replica.from_config(config, stored)
     return ReplicaActor.start(
-        ReplicaParts(replica, storage, state, messenger, configuration, gateway)
+        ReplicaParts(replica, storage, state, messenger, configuration, proposal_client)
     )
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -301,34 +301,34 @@
             return ""
         return self.sender.lost_part()
 
-    def resume(self, asked: Resume) -> None:
+    def resume(self, effect: Resume) -> None:
         """Resume an attempt's stream after the last frame that was received."""
         self.close_stream()
-        self.reading_upstream = asked.upstream_id
-        address = self.address_of(asked)
+        self.reading_upstream = effect.upstream_id
+        address = self.address_of(effect)
         stream = None
         if address:
             stream = self.services.attempts.resume(
-                address, asked.attempt_id, asked.after_sequence
+                address, effect.attempt_id, effect.after_sequence
             )
         if stream is not None:
-            self.open_stream(stream, asked.attempt_id)
-        self.handle(ResumeAnswered(stream is not None, asked.attempt_id))
+            self.open_stream(stream, effect.attempt_id)
+        self.handle(ResumeAnswered(stream is not None, effect.attempt_id))
 
-    def address_of(self, asked: Resume | Revoke) -> str | None:
+    def address_of(self, effect: Resume | Revoke) -> str | None:
         """Return the sidecar's address, also for attempts placed by other entries."""
         routing = self.services.routing
-        return asked.address or routing.attempts_address(asked.upstream_id)
+        return effect.address or routing.attempts_address(effect.upstream_id)
 
-    def revoke(self, asked: Revoke) -> None:
+    def revoke(self, effect: Revoke) -> None:
         """Ask a sidecar to promise that an attempt never runs."""
-        address = self.address_of(asked)
+        address = self.address_of(effect)
         answer = None
         if address:
             answer = self.services.attempts.revoke(
-                address, asked.attempt_id, asked.epoch, asked.load_sequence
+                address, effect.attempt_id, effect.epoch, effect.load_sequence
             )
-        self.handle(RevokeAnswered(answer, asked.attempt_id))
+        self.handle(RevokeAnswered(answer, effect.attempt_id))
 
     def ask_retry_budget(self) -> None:
         """Ask the retry budget of this process for a retry."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -96,7 +96,7 @@
 class PlacementRequest(NamedTuple):
     """Ask the routing actor for a placement; the answer is put on `reply`."""
 
-    asked: PlacementAsked
+    event: PlacementAsked
     reply: "SimpleQueue[PlacementAnswered]"
 
 
@@ -128,9 +128,9 @@
             seconds,
         )
         placement_id = PlacementId(attempt_id)
-        asked = PlacementAsked(placement_id, facts, excluded)
+        event = PlacementAsked(placement_id, facts, excluded)
         try:
-            self.actor.tell(PlacementRequest(asked, reply))
+            self.actor.tell(PlacementRequest(event, reply))
             return reply.get(timeout=max(0.0, seconds) + REPLY_MARGIN_SECONDS)
         except (ActorDeadError, Empty):
             self.withdraw(placement_id)
@@ -249,9 +249,9 @@
         match message:
             case Tick():
                 self.tick(now)
-            case PlacementRequest(asked=asked, reply=reply):
-                self.replies[asked.placement_id] = reply
-                self.handle_router_event(asked, now)
+            case PlacementRequest(event=event, reply=reply):
+                self.replies[event.placement_id] = reply
+                self.handle_router_event(event, now)
             case PlacementWithdrawn(placement_id=placement_id):
                 self.replies.pop(placement_id, None)
                 self.handle_router_event(message, now)
