--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/__init__.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Serve requests by route, on machines that an adapter speaks for."""
+"""Route callers' requests to upstreams, on machines described by an adapter."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Find a request's route and customer, or the refusal that is true."""
+"""Match a request to its route and customer, or deny it with the right status."""
 
 import time
 from typing import NamedTuple
@@ -15,44 +15,44 @@
 UNKNOWN_ROUTE = 404
 NOT_RUN = 503
 NOT_READY_RETRY_SECONDS = 1.0
-"""Pause told to callers of a gateway that has no configuration yet."""
+"""Retry-after sent by a gateway that has no configuration yet."""
 BEHIND_RETRY_SECONDS = 0.5
-"""Pause told to callers of a gateway that waits for a later configuration: one of 4,450
-routes is at the last of 64 gateways after 0.39 s, on simulated links of 10 Mbit/s."""
+"""Retry-after sent by a gateway that waits for a newer configuration: one of 4,450
+routes reaches the last of 64 gateways after 0.39 s, on simulated links of 10 Mbit/s."""
 STARTUP_WAIT_SECONDS = 1.5
-"""Time for which a request waits for what its gateway has yet to learn: after all
-processes were killed at once, an election and a heartbeat of the upstreams."""
+"""Longest wait of a request for a configuration or an upstream. After all processes
+were killed at once, these take an election and one upstream heartbeat."""
 MAX_WAIT_SHARE = 0.25
-"""Share of the caller's time that is spent so; the rest must do for the answer."""
+"""Largest share of the caller's deadline spent waiting; the rest is for the answer."""
 
 
 class Admitted(NamedTuple):
-    """Be a request that the configuration in force allows."""
+    """Hold the route and customer of a request that the configuration allows."""
 
     route: Route
     customer: GatewayCustomer | None
 
 
 class Denied(NamedTuple):
-    """Be a refusal that follows from the configuration, or from having none."""
+    """Hold the status of a request that is denied, or that no configuration covers."""
 
     status: int
     retry_after_seconds: float | None = None
-    """When to come back, where that may help."""
+    """Retry-after in seconds, where a retry may succeed."""
 
 
 async def admit(
     view: FleetView, request: HttpRequest, facts: CallerFacts
 ) -> Admitted | Denied:
-    """Decide by the configuration in force, or by the one that is on its way."""
-    patience = max_wait_seconds(facts)
-    known = await view.wait_until(lambda: view.table is not None, patience)
+    """Decide by the configuration in force, or by a newer one that is on its way."""
+    seconds = max_wait_seconds(facts)
+    known = await view.wait_until(lambda: view.table is not None, seconds)
     if not known:
-        LOG.info("No configuration.", request=facts.attempt_id, waited=patience)
+        LOG.info("No configuration.", request=facts.attempt_id, waited=seconds)
         return Denied(NOT_RUN, NOT_READY_RETRY_SECONDS)
     decided = decide(view.table, request, facts)
     if isinstance(decided, Denied) and view.is_behind():
-        decided = await decide_once_caught_up(view, request, facts, patience)
+        decided = await decide_once_caught_up(view, request, facts, seconds)
     if isinstance(decided, Denied):
         LOG.info(
             "Request denied.",
@@ -65,25 +65,24 @@
 
 
 def max_wait_seconds(facts: CallerFacts) -> float:
-    """Return how long a request may wait for its gateway to learn, in seconds."""
+    """Return how long a request may wait for configuration or upstreams, in seconds."""
     if facts.deadline_seconds is None:
         return STARTUP_WAIT_SECONDS
     return min(STARTUP_WAIT_SECONDS, facts.deadline_seconds * MAX_WAIT_SHARE)
 
 
 async def decide_once_caught_up(
-    view: FleetView, request: HttpRequest, facts: CallerFacts, patience: float
+    view: FleetView, request: HttpRequest, facts: CallerFacts, seconds: float
 ) -> Admitted | Denied:
-    """Wait for the later configuration that is known of before saying no.
+    """Wait for the newer configuration that a peer holds before denying.
 
-    A route or key may have been added by it. Answered at once by the older one,
-    callers heard 404, which nobody repeats, of routes whose change had been
-    acknowledged for seconds. Where it doesn't come in time, they are told that
-    nothing ran and when to come back.
+    It may add the route or key. Without the wait, callers got 404, which they do not
+    retry, for routes whose change had been acknowledged seconds before. If it does not
+    arrive in time, the answer says that nothing ran and when to retry.
     """
     began = time.monotonic()
     before = view.document.version
-    caught_up = await view.wait_until(lambda: not view.is_behind(), patience)
+    caught_up = await view.wait_until(lambda: not view.is_behind(), seconds)
     LOG.info(
         "Configuration awaited.",
         request=facts.attempt_id,
@@ -101,7 +100,7 @@
 def decide(
     table: RouteTable, request: HttpRequest, facts: CallerFacts
 ) -> Admitted | Denied:
-    """Decide by one configuration."""
+    """Decide by a given route table."""
     route = table.route_of(request.host, request.path)
     if route is None:
         return Denied(UNKNOWN_ROUTE)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Put a gateway together, run it, and end it without cutting a request."""
+"""Assemble a gateway, run it, and shut it down without cutting requests."""
 
 import asyncio
 import signal
@@ -67,52 +67,53 @@
 LOG = part_logger("gateway")
 
 CLUSTER_KEY = b"cowslipshelf-gateways"
-"""Tells this system's messages from strangers'. The machines give no secret that all
-gateways know, so it keeps out accidents, not attackers; see docs/QUESTIONS.md."""
+"""Marks messages of this system. The machines provide no secret shared by all
+gateways, so it keeps out misdirected messages, not attackers; see
+docs/QUESTIONS.md."""
 MAILBOX_HEARTBEAT_SECONDS = 1.0
 MAILBOX_SILENCE_SECONDS = 3.0
 FLUSH_SECONDS = 0.1
-"""Wait for the last messages to arrive as the process ends: several round trips of a
-region. A peer that has not answered by then is gone, and whoever missed the last word
-of this gateway learns of its end by its silence."""
+"""Wait for peers to acknowledge the last messages at shutdown: several round trips
+within a region. A peer that has not answered by then is gone; peers that miss the last
+message detect the end of this gateway by its silence."""
 TICK_SECONDS = 0.05
 FORGET_INTERVAL_SECONDS = 5.0
 UPSTREAMS_WRITE_SECONDS = 1.0
-"""Age of what a restart recalls of the upstreams: those that left since are tried in
-vain, each for the time of a lost connection."""
+"""Interval between writes of the upstreams file, and so the age of what a restart
+restores. Each upstream that left since costs one attempt that times out."""
 SUSPECTS_WRITE_SECONDS = 0.2
-"""Pause between two looks at whether the suspects have changed since they were written
-down: each that is forgotten by all gateways at once ends three more upstreams."""
+"""Interval between checks whether the suspect requests changed since the last write.
+A suspect that all gateways forget at once ends three more upstreams."""
 RELOAD_INTERVAL_SECONDS = 1.0
-"""Pause between looks at the settings' file, which may change without a signal."""
+"""Interval between checks of the settings file, which may change without a signal."""
 RESERVED_DESCRIPTORS = 600
-"""Descriptors kept for upstreams, peers, files and logs."""
+"""File descriptors reserved for upstreams, peers, files and logs."""
 CONTROL_CONNECTIONS = 256
 LEAVE_ROTATION_SECONDS = 2.5
-"""Time after the signal for which new connections are still taken: the balancer asks
-each second, and takes a gateway out after two answers that it is not ready."""
+"""Time after the signal during which new connections are still accepted: the load
+balancer checks readiness each second and removes a gateway after two failures."""
 SHUTDOWN_MARGIN_SECONDS = 0.7
-"""Time kept at the end of the shutdown to close what is left, before the kill."""
+"""Time reserved at the end of the shutdown to close connections before the kill."""
 DRAIN_CHECK_SECONDS = 0.05
 METRICS_PATH = "/metrics"
 METRICS_TYPE = (b"content-type", b"text/plain; version=0.0.4")
 CONTROL_BODY_BYTES = 32 * 1024 * 1024
-"""Bound on a configuration: a hundred thousand routes take about as much."""
+"""Largest configuration body; one hundred thousand routes take about as much."""
 
 
 @dataclass(slots=True)
 class PeriodicTask:
-    """Be something to be done again after a pause, in seconds."""
+    """Hold an action that is repeated after a pause, in seconds."""
 
     pause: float
     act: Callable[[], None]
     due: float = 0.0
 
     def run_when_due(self, now: float, metrics: Metrics) -> None:
-        """Do it, unless the pause has yet to pass.
+        """Run the action if its pause has passed.
 
-        One that fails is done again at its next time: what made it fail, such as word
-        of an upstream that can't be told on, must not end a process that serves.
+        One that fails runs again at its next turn: the cause, such as an upstream's
+        heartbeat that can't be forwarded, must not end a process that serves requests.
         """
         if now < self.due:
             return
@@ -125,7 +126,7 @@
 
 
 class Gateway:
-    """Own the parts of one gateway; they live on one event loop."""
+    """Own the parts of one gateway, which run on one event loop."""
 
     def __init__(
         self, settings: GatewaySettings, source: SettingsSource, dialect: Dialect
@@ -183,7 +184,7 @@
         )
 
     def make_mailbox(self, address: str) -> Mailbox:
-        """Make the mailbox through which gateways talk."""
+        """Create the mailbox for messages between gateways."""
         config = MailboxConfig(
             instance=self.settings.instance,
             epoch=self.view.peers.config.epoch,
@@ -200,12 +201,12 @@
         )
 
     def receive(self, received: Received) -> None:
-        """Take a message on the mailbox's thread."""
+        """Handle a message on the mailbox's thread."""
         sender, address = received.sender, received.sender_address
         self.deliver(Delivered(sender, address, received.message))
 
     def deliver(self, delivered: Delivered) -> None:
-        """Hand a message to the part that it is for, from any thread."""
+        """Dispatch a message to its handler; may be called from any thread."""
         match delivered.message:
             case (
                 PeerAlive()
@@ -227,19 +228,19 @@
                     actor.tell(delivered)
 
     def limits(self) -> CallerLimits:
-        """Return the bounds on callers that are in force."""
+        """Return the caller limits of the configuration in force."""
         table = self.view.table
         return CallerLimits() if table is None else table.configuration.limits
 
     async def answer_ready(self, request: HttpRequest, responder: Responder) -> None:
-        """Tell whether callers should be sent here."""
+        """Answer the load balancer's readiness probe."""
         if self.dialect.is_readiness_probe(request.method, request.path):
             await responder.respond(200 if self.is_ready() else 503, [])
         else:
             await responder.respond(404, [])
 
     async def answer_metrics(self, request: HttpRequest, responder: Responder) -> None:
-        """Show the metrics."""
+        """Answer with the metrics in the Prometheus text format."""
         if request.path != METRICS_PATH:
             await responder.respond(404, [])
             return
@@ -247,11 +248,11 @@
         await responder.respond(200, [METRICS_TYPE], text.encode())
 
     def is_ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether the gateway can serve requests."""
         return not self.leaving and self.view.table is not None
 
     async def start(self, early_listener: socket.socket | None) -> None:
-        """Listen at every address, and begin to look for the others."""
+        """Listen on every address and start to contact the other gateways."""
         self.mailbox.start()
         self.post.attach(self.mailbox, self.deliver)
         settings = self.settings
@@ -265,7 +266,7 @@
             await self.callers.start(settings.callers_address, early_listener)
 
     async def run(self) -> None:
-        """Do what the time demands until the gateway has ended."""
+        """Run the periodic tasks until the gateway has shut down."""
         tasks = self.periodic_tasks()
         while not self.ended.is_set():
             now = time.monotonic()
@@ -274,7 +275,7 @@
             await asyncio.sleep(TICK_SECONDS)
 
     def periodic_tasks(self) -> list[PeriodicTask]:
-        """List what is done at regular times, in this order."""
+        """List the periodic tasks in the order in which they run."""
         tasks = [
             PeriodicTask(0.0, self.tick),
             PeriodicTask(ALIVE_INTERVAL_SECONDS, self.gossip.tick),
@@ -288,29 +289,29 @@
         return tasks
 
     def tick(self) -> None:
-        """Let time pass for the replica, for waiting commands and for fetching."""
+        """Advance the replica, pending commands and configuration fetches."""
         self.supervisor.tick()
         self.control_actor.tell(Tick())
         self.gossip.routes.fetch_when_due()
 
     def forget_old(self) -> None:
-        """Forget what is too old to matter, and close what nobody will use."""
+        """Drop expired state and close connections that will not be reused."""
         self.view.forget_old()
         self.suspects.forget_old()
         self.pool.close_stale()
 
     def write_upstreams(self) -> None:
-        """Write down what a restart will recall."""
+        """Write the known upstreams for a restart, if they changed."""
         self.upstreams_file.write_soon(self.view.all_heartbeats())
 
     def write_suspects(self) -> None:
-        """Write down which requests a restart will suspect."""
+        """Write the suspect requests for a restart, if they changed."""
         changes = self.suspects.changes
         if self.suspects_file.needs_write(changes):
             self.suspects_file.write_soon(self.suspects.told_all(), changes)
 
     def reload(self) -> None:
-        """Take over what may change while the process runs, if anything has."""
+        """Apply changed settings, as far as they may change at run time."""
         loaded = self.source.load_if_changed()
         if loaded is None:
             return
@@ -323,10 +324,10 @@
         self.view.use_settings(settings)
 
     async def shut_down(self) -> None:
-        """Finish what runs and end.
+        """Drain the running requests, then end.
 
-        Readiness goes first, so that the balancer sends nothing more; connections are
-        still taken until it has noticed, and only then are idle ones closed.
+        Readiness fails first, so that the load balancer removes this gateway;
+        connections are accepted until it has done so, and then idle ones are closed.
         """
         self.leaving = True
         began = time.monotonic()
@@ -346,8 +347,8 @@
     def stop(self) -> None:
         """Close everything that is left, without waiting for a disk.
 
-        What must outlive the process was synced before it was acted on. A thread that
-        waits for a disk that stalls would keep the process beyond its grace.
+        What must survive the process was synced before it was acted on. Waiting for a
+        stalled disk would exceed the shutdown grace period.
         """
         for server in (self.callers, self.control, self.ready, self.metrics_server):
             server.stop_listening()
@@ -364,16 +365,16 @@
     dialect: Dialect,
     early_listener: socket.socket | None = None,
 ) -> None:
-    """Run a gateway until it is asked to end and has ended."""
+    """Run a gateway until a signal asks it to end and it has shut down."""
     gateway = Gateway(settings, source, dialect)
-    leaving: list[asyncio.Task[None]] = []
+    shutdown: list[asyncio.Task[None]] = []
 
-    def begin_to_leave() -> None:
-        if not leaving:
-            leaving.append(gateway.loop.create_task(gateway.shut_down()))
+    def begin_shutdown() -> None:
+        if not shutdown:
+            shutdown.append(gateway.loop.create_task(gateway.shut_down()))
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        gateway.loop.add_signal_handler(number, begin_to_leave)
+        gateway.loop.add_signal_handler(number, begin_shutdown)
     gateway.loop.add_signal_handler(signal.SIGHUP, gateway.reload)
     await gateway.start(early_listener)
     LOG.info(
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Run one attempt of a request at one upstream."""
+"""Run one attempt of a request on one upstream."""
 
 import asyncio
 import time
@@ -47,15 +47,15 @@
 
 SERVER_ERROR = 500
 FIRST_TOKEN_SLACK_SECONDS = 0.4
-"""Lateness of a first token that says nothing of its engine: a pass that reads for
-somebody placed in the same milliseconds. Counted as slowness, it drove prompts from
-engines that were as fast as the others."""
+"""Delay of a first token that is not counted as slowness: a prefill pass for another
+prompt placed in the same milliseconds. When it counted, prompts avoided engines that
+were as fast as the others."""
 MEMORY_REFUSED = 409
-"""Stands for the status of an engine that would not set memory aside."""
+"""Status reported for an engine that refused to reserve memory."""
 
 
 class AttemptRunner:
-    """Run attempts: one connection, one answer, passed on or judged."""
+    """Run attempts, each on one connection, and forward or classify the answer."""
 
     def __init__(self, view: FleetView, pool: UpstreamPool, dialect: Dialect) -> None:
         self.view = view
@@ -63,15 +63,15 @@
         self.pool = pool
         self.dialect = dialect
         self.open_attempts: set[OpenAttempt] = set()
-        """Attempts that may be sent again, with their connections."""
+        """Open attempts of requests that may be retried, with their connections."""
 
     def drop_replaced_start(self, former: UpstreamStart, later: UpstreamStart) -> None:
-        """End what is open at a start of an upstream that gave way to a later one.
+        """Drop the open attempts on a start of an upstream that a later one replaced.
 
-        Its process is gone, which a connection that went silent shows only after
-        seconds; the events that were to come will not come. What was connected since
-        the later start is at that one, whichever was believed. Only for what may be
-        sent again: clocks are off by seconds at times.
+        The former process is gone and will send nothing more, but a silent connection
+        shows that only after seconds. Attempts opened after the later start reached
+        that one, whichever start was believed then. Only attempts that may be retried
+        are dropped, since clocks differ by seconds at times.
         """
         self.pool.forget(former.upstream_id)
         for attempt in list(self.open_attempts):
@@ -86,7 +86,7 @@
             attempt.connection.drop(f"{later.upstream_id} began there", True)
 
     async def run(self, task: AttemptTask, placement: Placement) -> AttemptOutcome:
-        """Run one attempt, and learn from it about the upstream."""
+        """Run one attempt and record what it shows about the upstream."""
         began = time.monotonic()
         upstream = placement.upstream
         self.view.request_started(upstream.upstream_id)
@@ -109,12 +109,12 @@
     def record_silence(
         self, task: AttemptTask, placement: Placement, began: float
     ) -> None:
-        """Note an upstream that let the caller's time pass without a word.
+        """Record an upstream that stayed silent until the caller's deadline.
 
-        One that hangs while it says that it is well is found by nothing else, where
-        its requests may not be sent again. Not where no upstream ever answered the
-        route: its work takes longer than callers wait, and sound upstreams were avoided
-        for it, one of three at some gateway in most seconds of a played day.
+        For requests that may not be retried, nothing else detects an upstream that
+        hangs while its heartbeats go on. Routes that no upstream ever answered are
+        exempt: their work takes longer than callers wait, and healthy upstreams were
+        avoided for it, one of three at some gateway in most seconds of a simulated day.
         """
         upstream = placement.upstream
         now = time.monotonic()
@@ -136,7 +136,7 @@
     def record_outcome(
         self, placement: Placement, outcome: AttemptOutcome, seconds: float
     ) -> None:
-        """Note what an attempt says of its upstream."""
+        """Update the health of the upstream by the outcome of an attempt."""
         upstream_id = placement.upstream.upstream_id
         now = time.monotonic()
         match outcome:
@@ -153,7 +153,7 @@
     def slowness_of(
         self, placement: Placement, pace: StreamPace | None, seconds: float
     ) -> float | None:
-        """Return how many times longer than expected an answer took."""
+        """Return how many times longer than predicted an answer took, if known."""
         if pace is None:
             service = placement.upstream.service
             slowness = self.view.answer_times.slowness(service, seconds)
@@ -167,7 +167,7 @@
     async def reserve_and_send(
         self, task: AttemptTask, placement: Placement
     ) -> AttemptOutcome:
-        """Send the request and take the answer."""
+        """Reserve engine memory if needed, then run the exchange."""
         tickets, upstream = placement.tickets, placement.upstream
         async with self.memory.reserved(tickets, upstream) as memory:
             if not memory.granted:
@@ -177,10 +177,10 @@
     async def connect_and_exchange(
         self, task: AttemptTask, placement: Placement, memory: ReservedMemory
     ) -> AttemptOutcome:
-        """Get a connection, use it, and keep it if it is fit for another request."""
+        """Acquire a connection, use it, and return it to the pool if reusable."""
         upstream = placement.upstream
-        # A kept connection may be closed by the other side just as it is used again,
-        # and then nobody can say whether the request ran.
+        # The upstream may close a reused connection just as the request is sent, and
+        # then it is unknown whether the request ran.
         fresh = not task.route.repeatable
         try:
             connection = await self.pool.acquire(
@@ -214,7 +214,7 @@
     def tracked_as_open(
         self, task: AttemptTask, placement: Placement, connection: UpstreamConnection
     ) -> Iterator[None]:
-        """Know an attempt as open meanwhile, if it may be sent again."""
+        """Track an attempt as open during the context, if it may be retried."""
         helping = (part.upstream_id for part in placement.helper_parts)
         attempt = OpenAttempt(
             task.facts.attempt_id,
@@ -230,7 +230,7 @@
             self.open_attempts.discard(attempt)
 
     def excused_seconds(self, task: AttemptTask, placement: Placement) -> float:
-        """Return how much longer engines may be silent, since they read."""
+        """Return how much longer engines may stay silent because they prefill."""
         attempt_id = placement.work.attempt_id
         seconds = self.view.engines.excused_seconds(attempt_id, time.monotonic())
         LOG.info(
@@ -247,7 +247,7 @@
         placement: Placement,
         connection: UpstreamConnection,
     ) -> AttemptOutcome:
-        """Send, wait for the head, and judge or pass on what follows."""
+        """Send the request, wait for the head, then forward or classify the answer."""
         began = time.monotonic()
         connection.send(self.outgoing_request(task, placement))
         head = await connection.head()
@@ -258,7 +258,7 @@
             await connection.whole_body()
             return NotRun(head.status)
         if facts.attempt_id != task.facts.attempt_id:
-            # An answer to an earlier request of this connection came late.
+            # This is the late answer to an earlier request on the connection.
             raise connection.lost("match answer", f"answers {facts.attempt_id}")
         if task.route.kind is RouteKind.STREAM and head.status < 300:
             return await self.forward_stream(task, placement, connection, head, began)
@@ -271,7 +271,7 @@
     def outgoing_request(
         self, task: AttemptTask, placement: Placement
     ) -> OutgoingRequest:
-        """Write the request as the upstream gets it."""
+        """Build the request that is sent to the upstream."""
         facts = ForwardFacts(
             placement.upstream.upstream_id,
             task.customer,
@@ -290,7 +290,7 @@
         )
 
     async def deliver(self, task: AttemptTask, head: UpstreamHead, body: bytes) -> None:
-        """Give the caller an upstream's whole answer."""
+        """Send an upstream's whole answer to the caller."""
         headers = self.dialect.answer_headers(head.headers)
         await task.responder.respond(head.status, headers, body)
 
@@ -302,14 +302,14 @@
         head: UpstreamHead,
         began: float,
     ) -> AttemptOutcome:
-        """Pass events on as they come; the first attempt's head stays the answer's."""
-        cutter = EventSplitter()
+        """Forward events as they arrive; only the first attempt's head is sent."""
+        splitter = EventSplitter()
         pace = StreamPace(began)
         async for data in connection.body():
-            piece = cutter.feed(data)
-            if len(cutter.buffer) > MAX_BUFFERED_BYTES:
+            batch = splitter.feed(data)
+            if len(splitter.buffer) > MAX_BUFFERED_BYTES:
                 raise connection.lost("read answer", "an event is too long to be held")
-            if piece is None:
+            if batch is None:
                 continue
             if placement.work is not None and pace.first is None:
                 self.view.first_token(placement.work.attempt_id)
@@ -318,23 +318,23 @@
                 placement.silence_limits.between_events_seconds
             )
             self.begin_stream(task, head)
-            if piece.last_id is not None:
-                task.delivery.last_event_id = piece.last_id
-            await task.responder.write(piece.data)
+            if batch.last_id is not None:
+                task.delivery.last_event_id = batch.last_id
+            await task.responder.write(batch.data)
         self.begin_stream(task, head)
-        await task.responder.write(cutter.take_rest())
+        await task.responder.write(splitter.take_rest())
         await task.responder.end()
         return Answered(head.status, pace)
 
     def begin_stream(self, task: AttemptTask, head: UpstreamHead) -> None:
-        """Send the head of a streamed answer, once."""
+        """Send the head of a streamed answer, unless it was sent before."""
         if not task.responder.begun:
             headers = self.dialect.answer_headers(head.headers)
             task.responder.begin(head.status, headers)
 
 
 def with_content_length(headers: Headers, request: HttpRequest) -> Headers:
-    """Frame the body by its length, whichever way the caller framed it."""
+    """Set the content length of the body, however the caller framed it."""
     kept = [pair for pair in headers if pair[0] != b"content-length"]
     if request.body or any(name == b"content-length" for name, _ in headers):
         kept.append((b"content-length", str(len(request.body)).encode()))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Define what attempts of one request share, and what may come of each."""
+"""Define the shared state of a request's attempts, and their outcomes."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class StreamPace:
-    """Measure how a stream's events came, in seconds."""
+    """Measure the timing of a stream's events, in seconds."""
 
     began: float
     first: float | None = None
@@ -24,7 +24,7 @@
     last_at: float = 0.0
 
     def record_event(self, now: float) -> None:
-        """Note that events have come."""
+        """Record that events have arrived."""
         if self.first is None:
             self.first = now - self.began
         else:
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Say that the caller has got an upstream's answer, whole."""
+    """Report that an upstream's complete answer was sent to the caller."""
 
     status: int
     pace: StreamPace | None = None
@@ -42,21 +42,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotReached:
-    """Say that no byte of the request reached the upstream."""
+    """Report that no byte of the request reached the upstream."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Say that the upstream promised not to have run the request."""
+    """Report that the upstream guarantees that it did not run the request."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class FailedThere:
-    """Say that the upstream ran the request and answered with a failure."""
+    """Report that the upstream ran the request and answered with a server error."""
 
     head: UpstreamHead
     body: bytes
@@ -64,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Say that the upstream was lost when it may have run the request."""
+    """Report that the upstream was lost after it may have run the request."""
 
     step: str
     detail: str
     upstream_exited: bool = False
-    """Whether the upstream closed the connection, as one that ends does."""
+    """Whether the upstream closed the connection, as a process that exits does."""
 
 
 AttemptOutcome = Answered | NotReached | NotRun | FailedThere | Broken
@@ -77,13 +77,13 @@
 
 @dataclass(slots=True)
 class DeliveryProgress:
-    """Hold how far the caller's answer has come, over all attempts."""
+    """Hold how much of the answer the caller has received, over all attempts."""
 
     last_event_id: str | None
 
 
 class AttemptTask(NamedTuple):
-    """Be what all attempts of one request share."""
+    """Hold what all attempts of one request share."""
 
     request: HttpRequest
     facts: CallerFacts
@@ -96,17 +96,17 @@
 
 
 class OpenAttempt(NamedTuple):
-    """Be an attempt whose answer is awaited."""
+    """Hold an attempt whose answer is pending."""
 
     request: str
     upstream_ids: frozenset[UpstreamId]
-    """The upstream that answers, and those that read for it."""
+    """The upstream that answers, and those that prefill for it."""
     connection: UpstreamConnection
     opened_ms: int
-    """Milliseconds since 1970."""
+    """Unix time in milliseconds."""
 
     def needs_replaced_start(self, former: UpstreamStart, later: UpstreamStart) -> bool:
-        """Tell whether it needs a start that has given way to a later one."""
+        """Return whether it uses a start of an upstream that a later one replaced."""
         return (
             former.upstream_id in self.upstream_ids and self.opened_ms < later.began_ms
         )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -1,4 +1,4 @@
-"""Ask the replicas, from the event loop: for a change, or for what a quorum holds."""
+"""Submit changes to the replicas and read what a quorum holds, on the event loop."""
 
 import asyncio
 import time
@@ -27,15 +27,15 @@
 LOG = part_logger("control_client")
 
 CHANGE_TIMEOUT_SECONDS = 3.0
-"""Time for a change: two elections, so that one lost leader is outlasted."""
+"""Timeout of a change: two elections, so that it survives the loss of one leader."""
 READ_TIMEOUT_SECONDS = 0.9
-"""Time for a read; who asks goes to another gateway after a second."""
+"""Timeout of a read; operators try another gateway after a second."""
 REPLICA_TIMEOUT_SECONDS = 0.3
-"""Silence of a replica after which another one is asked."""
+"""Timeout after which the next replica is queried."""
 
 
 class ControlClient:
-    """Bring changes and reads to the replicas."""
+    """Send changes and reads to the replicas."""
 
     def __init__(self, gateway: ActorRef, post: Post) -> None:
         self.gateway = gateway
@@ -43,7 +43,7 @@
         self.pending_reads: dict[str, asyncio.Future[RoutesDocument]] = {}
 
     async def change(self, command: ControlCommand) -> ControlOutcome | Refusal | None:
-        """Commit a command; return nothing where no answer came in time."""
+        """Commit a command; return None if no answer arrives in time."""
         loop = asyncio.get_running_loop()
         reply = LoopReply(loop)
         deadline = time.monotonic() + CHANGE_TIMEOUT_SECONDS
@@ -58,10 +58,10 @@
     async def read(
         self, replicas: tuple[InstanceId, ...], held: RoutesDocument
     ) -> RoutesDocument | None:
-        """Return what a quorum holds; nothing where none confirms it in time.
+        """Return what a quorum holds, or None if no quorum confirms it in time.
 
-        The replicas are asked in their order.
-        Where that is what this gateway holds, only a digest of it travels.
+        The replicas are queried in the given order. If a quorum holds the same document
+        as this gateway, only its digest is transferred.
         """
         ends = time.monotonic() + READ_TIMEOUT_SECONDS
         answer = await self.ask_replicas(replicas, held.version, ends)
@@ -77,7 +77,7 @@
         have: ConfigurationVersion,
         ends: float,
     ) -> RoutesDocument | None:
-        """Ask one replica after the other until one brings a quorum's word."""
+        """Query the replicas in turn until an answer is confirmed by a quorum."""
         query_id = uuid.uuid4().hex
         future: asyncio.Future[RoutesDocument] = (
             asyncio.get_running_loop().create_future()
@@ -107,7 +107,7 @@
             )
 
     def record_answer(self, snapshot: RoutesSnapshot) -> None:
-        """Take in a replica's answer; only a quorum's word counts."""
+        """Resolve a pending read by a replica's answer, if a quorum confirmed it."""
         future = self.pending_reads.get(snapshot.query_id)
         if snapshot.confirmed_by_quorum and future is not None and not future.done():
             future.set_result(snapshot.document)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_handler.py
@@ -1,4 +1,4 @@
-"""Answer operators and upstreams at the control address."""
+"""Answer operators and upstreams on the control address."""
 
 import time
 
@@ -41,15 +41,15 @@
 UNAVAILABLE = 503
 JSON = (b"content-type", b"application/json")
 MAX_COMPRESSED_BYTES = 3 * 1024 * 1024
-"""Bound on a configuration as it travels: a message between gateways has 4 MiB. A
-larger one was dropped on its way without a word, and its operator heard that no replica
-answered. Some 150,000 routes of 21 bytes each, packed."""
+"""Largest compressed configuration: a message between gateways has at most 4 MiB.
+Larger ones were dropped silently on the way, and the operator was told that no replica
+answered. It holds some 150,000 routes of 21 bytes each, compressed."""
 MAX_LOGGED_PATH_CHARACTERS = 120
-"""Characters of a refused call's path that are logged; strangers may send any."""
+"""Characters of a refused call's path that are logged; anybody may send any path."""
 
 
 class ControlHandler:
-    """Serve changes and reads of the configuration, and upstreams' heartbeats."""
+    """Serve configuration changes and reads, and heartbeats of upstreams."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
     async def put_configuration(
         self, request: HttpRequest, responder: Responder
     ) -> None:
-        """Have a configuration accepted by a quorum, or say why not."""
+        """Submit a configuration to a quorum and answer with the outcome."""
         match self.dialect.read_configuration(request.body):
             case Err(problem):
                 LOG.warning("Configuration refused.", reason=problem)
@@ -94,11 +94,11 @@
                 document = read.document
         outcome = self.known_outcome(document)
         if outcome is None:
-            small = compressed_document(document)
-            if len(small.body) > MAX_COMPRESSED_BYTES:
-                await self.refuse_too_large(small, responder)
+            compressed = compressed_document(document)
+            if len(compressed.body) > MAX_COMPRESSED_BYTES:
+                await self.refuse_too_large(compressed, responder)
                 return
-            outcome = await self.client.change(PutRoutes(small))
+            outcome = await self.client.change(PutRoutes(compressed))
         match outcome:
             case RoutesHeld():
                 status = DONE
@@ -121,7 +121,7 @@
     async def refuse_too_large(
         self, document: RoutesDocument, responder: Responder
     ) -> None:
-        """Refuse a configuration that no message could carry."""
+        """Refuse a configuration that exceeds the message size limit."""
         problem = (
             f"packed, it takes {len(document.body)} bytes, "
             f"and {MAX_COMPRESSED_BYTES} at most may be sent to the replicas"
@@ -132,18 +132,18 @@
     def known_outcome(
         self, document: RoutesDocument
     ) -> RoutesHeld | RoutesConflict | None:
-        """Return what becomes of a change whose version has been reached.
+        """Return the outcome of a change whose version is already in force, or None.
 
-        What this gateway holds was committed, so no later word differs. Operators
-        repeat a change whose answer was late, and each repeat would go through the
-        log once more, before the changes that wait.
+        The version that this gateway holds was committed, so the replicas would decide
+        the same. Operators resend a change whose answer was late; each copy would pass
+        through the log again, ahead of the changes that wait.
         """
         if document.version > self.view.document.version:
             return None
         return RouteRegister(self.view.document).put(PutRoutes(document))
 
     async def read_configuration(self, responder: Responder) -> None:
-        """Return what a quorum holds, or refuse where that is not certain."""
+        """Answer with what a quorum holds, or refuse if no quorum confirms it."""
         replicas = self.view.peers.replicas_to_ask(time.monotonic())
         document = await self.client.read(replicas, self.view.document)
         if document is None:
@@ -157,7 +157,7 @@
     async def send_configuration(
         self, document: RoutesDocument, responder: Responder
     ) -> None:
-        """Answer with a configuration as its operator wrote it."""
+        """Answer with a configuration exactly as the operator wrote it."""
         match decompress_configuration(document.body):
             case Ok(body):
                 await responder.respond(DONE, [JSON], body)
@@ -172,7 +172,7 @@
     async def record_heartbeat(
         self, name: UpstreamName, request: HttpRequest, responder: Responder
     ) -> None:
-        """Take in a heartbeat and pass it on."""
+        """Record a heartbeat and forward it to the other gateways."""
         read = self.dialect.read_heartbeat(name, request.body).and_then(
             self.check_heartbeat
         )
@@ -182,21 +182,21 @@
                     "Heartbeat refused.", problem, request, responder
                 )
             case Ok(heartbeat):
-                news = self.view.record_heartbeat(heartbeat, 0.0)
-                self.gossip.forward_heartbeat(heartbeat, urgent=news)
+                changed = self.view.record_heartbeat(heartbeat, 0.0)
+                self.gossip.forward_heartbeat(heartbeat, urgent=changed)
                 await responder.respond(DONE, [JSON], b"{}")
 
     def check_heartbeat(
         self, heartbeat: UpstreamHeartbeat
     ) -> Result[UpstreamHeartbeat, str]:
-        """Pass on a heartbeat that may be its upstream's own, or say why it can't."""
+        """Return a heartbeat, or why it can't come from the upstream itself."""
         problem = self.view.heartbeat_problem(heartbeat)
         return Ok(heartbeat) if problem is None else Err(problem)
 
     async def remove_upstream(
         self, name: UpstreamName, request: HttpRequest, responder: Responder
     ) -> None:
-        """Take an upstream out for good, and tell the others."""
+        """Remove an upstream that leaves, and tell the other gateways."""
         match self.dialect.read_leaving(request.body):
             case Err(problem):
                 await self.refuse_message(
@@ -210,7 +210,7 @@
     async def refuse_message(
         self, event: str, problem: str, request: HttpRequest, responder: Responder
     ) -> None:
-        """Answer word of an upstream that can't be believed; it changes nothing."""
+        """Refuse an invalid message about an upstream; it changes nothing."""
         LOG.warning(
             event,
             peer=request.peer,
@@ -222,7 +222,7 @@
 
 
 def compressed_document(document: RoutesDocument) -> RoutesDocument:
-    """Return a configuration as it travels and is held."""
+    """Return a configuration compressed, as it is sent and stored."""
     return RoutesDocument(
         document.version, document.digest, compress_configuration(document.body)
     )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/engine_memory.py
@@ -1,4 +1,4 @@
-"""Reserve memory on engines for one prompt, keep it reserved, and give it back."""
+"""Reserve memory on engines for one prompt, renew it, and release it."""
 
 import asyncio
 import time
@@ -18,25 +18,25 @@
 LOG = part_logger("engine_memory")
 
 ORDER_TIMEOUT_SECONDS = 0.8
-"""Time for an engine to answer an order or a question, which needs no slot."""
+"""Timeout of an order or a probe; the engine needs no free slot to answer it."""
 RELEASE_ATTEMPTS = 2
 
 
 def ignore_expiry(_reason: str) -> None:
-    """Do nothing where memory lapses before a request uses it."""
+    """Do nothing if the memory expires before a request uses it."""
 
 
 @dataclass(slots=True)
 class ReservedMemory:
-    """Be what was reserved for one prompt."""
+    """Hold the result of reserving memory for one prompt."""
 
     granted: bool
     on_expiry: Callable[[str], None] = ignore_expiry
-    """Ends the request, whose memory is not renewed any more."""
+    """Ends the request, given a reason, once its memory is no longer renewed."""
 
 
 class EngineMemory:
-    """Send the orders that concern memory."""
+    """Send memory orders to engines."""
 
     def __init__(self, view: FleetView, pool: UpstreamPool, dialect: Dialect) -> None:
         self.view = view
@@ -48,7 +48,7 @@
     async def reserved(
         self, tickets: tuple[MemoryTicket, ...], user: UpstreamHeartbeat
     ) -> AsyncIterator[ReservedMemory]:
-        """Hold memory for an engine during the context, all of it or none."""
+        """Reserve memory for an engine during the context, all of it or none."""
         if not tickets:
             yield ReservedMemory(granted=True)
             return
@@ -80,11 +80,11 @@
         lease: MemoryLease,
         memory: ReservedMemory,
     ) -> None:
-        """Go on to reserve while the engine that uses the memory lives.
+        """Renew the reservation while the engine that uses the memory is alive.
 
-        A prompt whose memory expires is cut off by the engines; so the request ends
-        with the lease, and goes on elsewhere as soon as that is sure. A question that
-        is not answered does not delay the next one, so that two may be lost.
+        Engines cut off a prompt whose memory expires, so the request ends with the
+        lease and can be retried elsewhere at once. An unanswered probe does not delay
+        the next one, so two probes may be lost.
         """
         due = now = time.monotonic()
         while True:
@@ -105,10 +105,10 @@
         memory.on_expiry("its engine gives no sign of life")
 
     async def probe_engine(self, user: UpstreamHeartbeat, lease: MemoryLease) -> None:
-        """Ask an engine for a sign of life.
+        """Probe whether an engine is alive.
 
-        Its heartbeats are none: they come by way of other gateways and seconds late,
-        so that one may be older than the engine's end.
+        Heartbeats don't prove it: they arrive through other gateways and seconds late,
+        so one may have been sent before the engine died.
         """
         asked_at = time.monotonic()
         request = self.dialect.ask_report(user.upstream_id, user.address)
@@ -117,7 +117,7 @@
             lease.record_alive(asked_at)
 
     def release_in_background(self, tickets: tuple[MemoryTicket, ...]) -> None:
-        """Give memory back in a task of its own, which a caller's leaving spares."""
+        """Release memory in separate tasks, which survive a caller that disconnects."""
         for ticket in tickets:
             task = asyncio.create_task(self.release(ticket))
             self.releasing.add(task)
@@ -126,19 +126,19 @@
     async def reserve_all(
         self, tickets: tuple[MemoryTicket, ...], lease: MemoryLease
     ) -> list[bool]:
-        """Reserve memory on each engine for as long as the lease allows."""
+        """Reserve memory on every engine for as long as the lease allows."""
         seconds = lease.hold_seconds(time.monotonic())
         reserving = (self.reserve(ticket, seconds) for ticket in tickets)
         return await asyncio.gather(*reserving)
 
     async def reserve(self, ticket: MemoryTicket, seconds: float) -> bool:
-        """Reserve memory on one engine; return whether it is held."""
+        """Reserve memory on one engine; return whether it was granted."""
         request = self.dialect.reserve_memory(ticket, seconds)
         status = await self.send_order(ticket, request)
         return status is not None and self.dialect.is_memory_granted(status)
 
     async def release(self, ticket: MemoryTicket) -> None:
-        """Give memory back; an engine that does not hear it takes it back by itself."""
+        """Release memory; an engine that misses the order frees it when it expires."""
         request = self.dialect.release_memory(ticket)
         for _ in range(RELEASE_ATTEMPTS):
             if await self.send_order(ticket, request) is not None:
@@ -148,7 +148,7 @@
     async def send_order(
         self, ticket: MemoryTicket, request: OutgoingRequest
     ) -> int | None:
-        """Give an order on some memory; return the answer's status, if any came."""
+        """Send an order about memory; return the status, if it was answered."""
         status = await self.exchange(ticket.upstream_id, ticket.address, request)
         if status is None:
             LOG.warning("Order not answered.", ticket=ticket.name, peer=ticket.address)
@@ -157,7 +157,7 @@
     async def exchange(
         self, upstream_id: UpstreamId, address: str, request: OutgoingRequest
     ) -> int | None:
-        """Send an order or a question; return the status of the answer, if any came."""
+        """Send an order or a probe; return the status, if it was answered."""
         connection = None
         answered = False
         try:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/event_stream.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Cut a stream into whole events, so that a broken one can be resumed."""
+"""Split a stream into complete events, so that a broken one can be resumed."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class EventBatch(NamedTuple):
-    """Be some whole events, with the id of the last one that had any."""
+    """Hold some complete events and the last event id among them."""
 
     data: bytes
     last_id: str | None
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Hold back the bytes of an event until it is whole.
+    """Buffer the bytes of an event until it is complete.
 
-    An upstream may stop in the middle of an event. Its first half must not reach the
-    caller, since the upstream that resumes the stream sends the whole event.
+    An upstream may fail in the middle of an event. The first half must not reach the
+    caller, since the upstream that resumes the stream sends the whole event again.
     """
 
     buffer: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> EventBatch | None:
-        """Take bytes, and return the events that they complete."""
-        # The blank line that ends an event may begin in what is held already.
+        """Add bytes and return the events that they complete, or None."""
+        # The blank line that ends an event may begin in the buffered bytes.
         begin = max(0, len(self.buffer) - len(LINE_ENDS[0]))
         self.buffer += data
         end = max(
@@ -44,7 +44,7 @@
         return EventBatch(whole, last_event_id(whole))
 
     def take_rest(self) -> bytes:
-        """Return what is left at the end of a stream that is complete."""
+        """Return and clear the bytes left at the end of a complete stream."""
         rest = bytes(self.buffer)
         self.buffer.clear()
         return rest
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -1,4 +1,4 @@
-"""Hold what one gateway believes of the fleet: routes, upstreams, work, peers."""
+"""Hold one gateway's view of the fleet: routes, upstreams, work and peers."""
 
 import asyncio
 import time
@@ -46,40 +46,40 @@
 LOG = part_logger("fleet_view")
 
 MAX_MISSED_HEARTBEATS = 4
-"""Heartbeats of an upstream that may be missed. They come late by seconds at times;
-an upstream that is dead shows sooner, by a connection that fails."""
+"""Heartbeats that an upstream may miss. They are seconds late at times; a dead upstream
+is detected sooner, by a connection that fails."""
 RESTORED_SECONDS = 2.5
-"""Time for which upstreams known before a restart count: two heartbeats, and the time
-that an upstream takes to find a gateway that answers again."""
+"""Time for which upstreams restored after a restart are used: two heartbeats, plus the
+time that an upstream takes to find a gateway that answers again."""
 NO_DOCUMENT = RoutesDocument(RouteConfiguration(0).version, "", b"")
 
 
 @dataclass(slots=True)
 class FleetView:
-    """Be the beliefs of one gateway; only its event loop touches them."""
+    """Hold the view of one gateway; only its event loop may access it."""
 
     settings: GatewaySettings
     registry: UpstreamRegistry
     peers: PeerTable
     retry_budget: ServiceRetryBudget
     on_work_changed: Callable[[WorkChanged], None]
-    """Tells the other gateways; set once the process is put together."""
+    """Sends a change of engine work to the other gateways; set in assembly."""
     on_start_replaced: Callable[[UpstreamStart, UpstreamStart], None]
-    """Ends what is open at a start that gave way to a later one; set likewise."""
+    """Drops attempts on a replaced start, given with its successor; set in assembly."""
     engines: EngineTracker = field(default_factory=EngineTracker)
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
     answer_times: AnswerTimes = field(default_factory=AnswerTimes)
     open_requests: dict[UpstreamId, int] = field(default_factory=dict)
-    """Requests that this gateway has at each upstream."""
+    """Number of open requests of this gateway at each upstream."""
     random: Random = field(default_factory=Random)
     table: RouteTable | None = None
     document: RoutesDocument = NO_DOCUMENT
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set when a first configuration or an upstream comes; replaced each time."""
+    """Set and replaced when a configuration comes into force or an upstream changes."""
 
     @classmethod
     def from_settings(cls, settings: GatewaySettings) -> Self:
-        """Begin with no beliefs."""
+        """Create an empty view."""
         silence = MAX_MISSED_HEARTBEATS * settings.upstream_heartbeat_seconds
         return cls(
             settings,
@@ -100,7 +100,7 @@
         )
 
     def use_settings(self, settings: GatewaySettings) -> None:
-        """Take over new settings; addresses and the data folder stay as they were."""
+        """Apply new settings; addresses and the data folder do not change."""
         self.settings = settings
         self.peers.seeds = settings.seeds
         self.retry_budget.config = retry_budget_config(settings)
@@ -110,7 +110,7 @@
     ) -> bool:
         """Put a newer configuration in force; return whether it is newer.
 
-        An older one may arrive late, from a gateway that was cut off; going back to
+        An older one may arrive late, from a gateway that was partitioned; going back to
         it would undo what callers have seen.
         """
         if document.version <= self.document.version:
@@ -132,12 +132,12 @@
         return True
 
     def is_behind(self) -> bool:
-        """Tell whether another gateway has a later configuration than this one."""
+        """Return whether another gateway has a newer configuration than this one."""
         now = time.monotonic()
         return bool(self.peers.peers_with_newer(self.document.version, now))
 
     def record_heartbeat(self, heartbeat: UpstreamHeartbeat, age: float) -> bool:
-        """Take in an upstream's heartbeat; return whether its phase is news."""
+        """Record an upstream's heartbeat; return whether its phase changed."""
         known = self.registry.latest_start(heartbeat.upstream_id)
         changed = self.registry.record(heartbeat, time.monotonic() - age)
         if changed:
@@ -158,12 +158,12 @@
     def forget_replaced_start(
         self, former: KnownUpstream, heartbeat: UpstreamHeartbeat, age: float
     ) -> None:
-        """Forget all that is believed of a start, if it gave way to a later one.
+        """Forget a start that a later one replaced, and drop its attempts.
 
-        The later one has its own id, so nothing of this is believed of it; but what
-        is open at the former one would wait for a silence to be noticed. Not where the
-        later one is only known to have left: its time may be that at which a gateway
-        that knew nothing heard so, and the upstream still finishes what is open there.
+        The later start has its own id and inherits nothing; attempts on the former one
+        would otherwise wait until their silence is noticed. They are kept if the later
+        start is only known to have left: a gateway that did not know the upstream may
+        have made up its start time, and the upstream still finishes its open attempts.
         """
         upstream_id = former.start.upstream_id
         if upstream_id in self.registry.known:
@@ -183,12 +183,12 @@
         self.on_start_replaced(former.start, UpstreamStart.of(heartbeat.upstream_id))
 
     def heartbeat_problem(self, heartbeat: UpstreamHeartbeat) -> str | None:
-        """Say why a heartbeat can't be the upstream's own, if that is plain.
+        """Return why a heartbeat can't come from the upstream itself, or None.
 
-        Somebody else may write under the id of a sound upstream; taken in, that would
-        take it out of use at all gateways. A service may be unknown here because its
-        configuration is still on its way, so only one that contradicts what is known
-        tells.
+        Another writer may use the id of a healthy upstream; recording its heartbeat
+        would take the upstream out of use at all gateways. An unknown service is no
+        reason, since its configuration may still be on the way; only one that
+        contradicts what is known is refused.
         """
         known = self.registry.latest_start(heartbeat.upstream_id)
         if known is None or known.heartbeat.phase is UpstreamPhase.LEFT:
@@ -201,10 +201,10 @@
         return None
 
     def remove_upstream(self, name: UpstreamName, began_ms: int) -> HeartbeatSeen:
-        """Take an upstream out for good; return what to tell the other gateways.
+        """Remove an upstream that left; return what to send to the other gateways.
 
-        Where the start is not told, the latest one leaves; one that was never heard of
-        began before now, and word of it that comes late must not bring it back.
+        Without a start time, the latest known start leaves. An unknown upstream is
+        taken to have started before now, so that a late heartbeat does not revive it.
         """
         start = UpstreamStart(name, began_ms)
         known = self.registry.latest_start(UpstreamId(name))
@@ -221,31 +221,31 @@
         return seen
 
     def notify_waiters(self) -> None:
-        """Wake the requests that wait for what this gateway has yet to learn."""
+        """Wake the requests that wait for a configuration or an upstream."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def wait_until(self, known: Callable[[], bool], seconds: float) -> bool:
-        """Wait until something is known, for a time at most; return whether it is.
+    async def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Wait until a condition holds or the time is over; return whether it holds.
 
-        A gateway that has just started learns its configuration and its upstreams
-        within a second or so, and serves sooner than the caller could come back.
+        A gateway that has just started receives its configuration and upstreams within
+        about a second, sooner than the caller could retry.
         """
         try:
             async with asyncio.timeout(seconds):
-                while not known():
+                while not condition():
                     await self.changed.wait()
         except TimeoutError:
-            return known()
+            return condition()
         return True
 
     def record_heartbeats(self, message: HeartbeatsSeen) -> None:
-        """Take in heartbeats that another gateway passes on."""
+        """Record heartbeats that another gateway forwarded."""
         for seen in message.seen:
             self.record_heartbeat(seen.with_start_id, seen.age_seconds)
 
     def record_work(self, owner: InstanceId, message: WorkChanged) -> None:
-        """Take in what another gateway does on engines."""
+        """Record another gateway's work on engines."""
         now = time.monotonic()
         for work in message.begun:
             self.engines.begin(work, owner, now)
@@ -255,34 +255,34 @@
             self.engines.end(attempt_id, now)
 
     def begin_work(self, work: EngineWork) -> None:
-        """Note work that this gateway places, and tell the others."""
+        """Record work that this gateway places, and tell the others."""
         self.engines.begin(work, self.settings.instance, time.monotonic())
         self.on_work_changed(WorkChanged(begun=(work,)))
 
     def first_token(self, attempt_id: AttemptId) -> None:
-        """Note a first token, and tell the others."""
+        """Record a first token, and tell the others."""
         self.engines.first_token(attempt_id, time.monotonic())
         self.on_work_changed(WorkChanged(first_tokens=(attempt_id,)))
 
     def end_work(self, attempt_id: AttemptId) -> None:
-        """Note the end of work, and tell the others."""
+        """Record the end of work, and tell the others."""
         self.engines.end(attempt_id, time.monotonic())
         self.on_work_changed(WorkChanged(ended=(attempt_id,)))
 
     def upstreams_of(self, service: ServiceName) -> list[UpstreamHeartbeat]:
-        """List the upstreams of a service that take new work."""
+        """List the upstreams of a service that accept new work."""
         return self.registry.ready_upstreams(service, time.monotonic())
 
     def heartbeat_age(self, upstream: UpstreamHeartbeat) -> float:
-        """Return how old the last word of an upstream is, in seconds."""
+        """Return the age of the last heartbeat of an upstream, in seconds."""
         known = self.registry.known.get(upstream.upstream_id)
         return 0.0 if known is None else time.monotonic() - known.heard_at
 
     def idle_connections(self, upstream_id: UpstreamId) -> int:
         """Return how many idle connections to an upstream this gateway may keep.
 
-        An upstream resets connections beyond its bound, whoever they are from; kept
-        ones of all gateways take half of it at most.
+        An upstream resets connections beyond its limit over all callers; the idle ones
+        of all gateways use at most half of the limit.
         """
         known = self.registry.known.get(upstream_id)
         services = {} if self.table is None else self.table.services
@@ -292,11 +292,11 @@
         return max(1, service.max_connections // (2 * self.gateway_count()))
 
     def gateway_count(self) -> int:
-        """Return how many gateways there seem to be, this one included."""
+        """Return how many gateways are alive, this one included."""
         return len(self.peers.alive(time.monotonic())) + 1
 
     def forget_old(self) -> None:
-        """Forget what is too old to matter."""
+        """Drop expired upstreams, peers and work."""
         now = time.monotonic()
         for upstream_id in self.registry.forget_old(now):
             self.forget_upstream(upstream_id)
@@ -306,22 +306,22 @@
             LOG.warning("Work forgotten whose end was not told.", attempts=forgotten)
 
     def forget_upstream(self, upstream_id: UpstreamId) -> None:
-        """Forget what was learned of an upstream; attempts there end by themselves."""
+        """Forget the health and work of an upstream; its attempts end on their own."""
         self.health.forget(upstream_id)
         self.engines.forget_engine(upstream_id)
 
     def request_started(self, upstream_id: UpstreamId) -> None:
-        """Count a request that this gateway has at an upstream."""
+        """Count a request of this gateway at an upstream."""
         self.open_requests[upstream_id] = self.open_requests.get(upstream_id, 0) + 1
 
     def request_ended(self, upstream_id: UpstreamId) -> None:
-        """Count it no longer; the last one leaves nothing behind."""
+        """Stop counting a request, and drop the entry of the last one."""
         self.open_requests[upstream_id] -= 1
         if not self.open_requests[upstream_id]:
             del self.open_requests[upstream_id]
 
     def restore(self, seen: tuple[HeartbeatSeen, ...]) -> None:
-        """Take upstreams known before a restart for there, until they are silent."""
+        """Use upstreams known before a restart until they count as silent."""
         silence = self.registry.config.silence_seconds
         recent = max(0.0, silence - RESTORED_SECONDS)
         for each in seen:
@@ -330,16 +330,16 @@
     def heartbeats_of(
         self, upstream_ids: Iterable[UpstreamId]
     ) -> tuple[HeartbeatSeen, ...]:
-        """List the newest heartbeats of some upstreams."""
+        """List the latest heartbeats of some upstreams."""
         return self.registry.heartbeats_of(upstream_ids, time.monotonic())
 
     def all_heartbeats(self) -> tuple[HeartbeatSeen, ...]:
-        """List every upstream known, for a gateway that may have missed some."""
+        """List the latest heartbeats of all upstreams."""
         return self.registry.all_heartbeats(time.monotonic())
 
 
 def retry_budget_config(settings: GatewaySettings) -> ServiceRetryBudgetConfig:
-    """Return the allowance of repeats that the settings give."""
+    """Return the retry budget that the settings define."""
     return ServiceRetryBudgetConfig(
         settings.retry_budget_window_seconds,
         settings.retry_budget_ratio,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -1,4 +1,4 @@
-"""Tell the other gateways what this one learns, and take in what they tell."""
+"""Exchange heartbeats, engine work and suspect requests with the other gateways."""
 
 import asyncio
 import time
@@ -37,30 +37,30 @@
 LOG = part_logger("gossip")
 
 ALIVE_INTERVAL_SECONDS = 0.5
-"""Pause between two words that this gateway is there, in its own data centre; others
-get every second one. Heartbeats of upstreams are collected for as long: they come each
-second or so from every upstream, and few are news."""
+"""Interval of alive messages within the data centre; others get every second one.
+Upstream heartbeats are batched for as long: each upstream sends one about every second,
+and few report a change."""
 PEER_LIST_INTERVAL = 10
-"""Words of which one lists the other gateways. Who is new gets a list at once; this
-one joins groups that never heard of each other."""
+"""Every so many alive messages, one lists the known gateways. New gateways get a list
+at once; this one merges groups that don't know of each other."""
 WORK_BATCH_SECONDS = 0.005
-"""Time for which changes of work are collected; as long as a message travels."""
+"""Time for which work changes are batched; about the latency of one message."""
 URGENT_SENDS = 3
-"""Times that news of an upstream is told: a message may be lost, and an upstream that
+"""Times that a changed upstream is sent: a message may be lost, and an upstream that
 leaves must get no new work two seconds later."""
 MAX_SUSPECTS_PER_SYNC = 200
-"""Suspects that one gateway is told by turns, whatever it knows: some 25 kB."""
+"""Suspects in each periodic full list to one gateway: some 25 kB."""
 FULL_SYNC_SECONDS = 4.0
-"""Pause between two whole lists of upstreams, each to one other gateway by turns. A
-gateway that starts or was cut off gets one at once, and what was lost otherwise is
-told again by the next heartbeat."""
+"""Interval between full lists of upstreams, each to one other gateway in turn. A
+gateway that starts or was partitioned gets one at once, and the next heartbeat makes up
+for other losses."""
 
 Broadcast = HeartbeatsSeen | SuspectRequestsTold | WorkChanged
-"""What is told to far gateways by way of one in their data centre."""
+"""Messages relayed to remote gateways through one in their data centre."""
 
 
 class Gossip:
-    """Own what waits to be told."""
+    """Hold the updates to be sent, and handle messages from other gateways."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.view = view
         self.post = post
         self.heartbeats: set[UpstreamId] = set()
-        """Upstreams that were heard and are to be told of."""
+        """Upstreams whose heartbeats wait to be sent."""
         self.urgent_upstreams: RepeatedNews[UpstreamId] = RepeatedNews()
         self.work_gaps = WorkGapDetector()
         self.work_number = 0
@@ -85,15 +85,15 @@
         instance = view.settings.instance
         self.suspects = SuspectRequests(instance, metrics, self.queue_suspect)
         self.changed_suspects: set[RequestDigest] = set()
-        """Suspects of whom there is news that was not told yet."""
+        """Suspects with changes that were not sent yet."""
         self.urgent_suspects: RepeatedNews[RequestDigest] = RepeatedNews()
         self.routes = RoutesExchange(view, post, client, dialect, self.send_alive)
         self.sync_turn = 0
 
-    # Telling.
+    # Sending.
 
     def send_to_all(self, message: Message) -> None:
-        """Send to every other gateway that was heard of lately."""
+        """Send to every other gateway that is alive."""
         self.send_to(self.view.peers.alive(time.monotonic()), message)
 
     def send(self, peer: InstanceId, message: Message) -> None:
@@ -106,10 +106,10 @@
         self.post.send_to_all([settings.peer_address(p) for p in peers], message)
 
     def broadcast(self, message: Broadcast, turn: int) -> None:
-        """Send to every other gateway, to far ones by way of one in each data centre.
+        """Send to all gateways, to remote ones through one relay in each data centre.
 
-        Told to each of them, messages about work and heartbeats were nearly all bytes
-        between data centres: 74 MB a minute with 25 gateways before 78 engines.
+        Sent to each gateway separately, work and heartbeat messages were nearly all
+        traffic between data centres: 74 MB a minute with 25 gateways and 78 engines.
         """
         now = time.monotonic()
         peers = self.view.peers
@@ -118,14 +118,14 @@
         self.send_to(peers.relays(now, turn), relayed)
 
     def tick(self) -> None:
-        """Tell what is told at regular times."""
+        """Send the periodic messages."""
         self.ticks += 1
         self.send_alive(local_only=self.ticks % 2 == 1)
         self.flush_heartbeats()
         self.resend_suspects()
 
     def send_alive(self, local_only: bool = False) -> None:
-        """Say that this gateway is there, to all that it knows and to the seeds."""
+        """Send an alive message to all known gateways and the seeds."""
         peers = self.view.peers
         message = self.alive_message(self.ticks % PEER_LIST_INTERVAL == 0)
         self.send_to(
@@ -133,14 +133,14 @@
         )
 
     def alive_message(self, with_peers: bool) -> PeerAlive:
-        """Return a word that this gateway is there."""
+        """Return the alive message of this gateway."""
         held = self.view.document
         return self.view.peers.alive_message(
             held.version, len(held.body), self.work_number, with_peers
         )
 
     def forward_heartbeat(self, heartbeat: UpstreamHeartbeat, urgent: bool) -> None:
-        """Pass a heartbeat on, soon, or at once and more than once."""
+        """Forward a heartbeat in the next batch; if urgent, at once and repeatedly."""
         if urgent:
             seen = HeartbeatSeen.from_heartbeat(heartbeat, 0.0)
             self.send_to_all(HeartbeatsSeen((seen,)))
@@ -149,10 +149,10 @@
             self.heartbeats.add(heartbeat.upstream_id)
 
     def flush_heartbeats(self) -> None:
-        """Tell the heartbeats that were collected, and repeat the news.
+        """Send the batched heartbeats, and repeat the urgent ones.
 
-        The way changes each time: one that lost them would hide the upstreams that
-        are heard here from a whole data centre.
+        The relay changes each time: a fixed one that lost messages would hide upstreams
+        that report here from a whole data centre.
         """
         collected = self.view.heartbeats_of(self.heartbeats)
         self.heartbeats = set()
@@ -163,16 +163,17 @@
             self.send_to_all(HeartbeatsSeen(news))
 
     def queue_suspect(self, digest: RequestDigest) -> None:
-        """Collect news of a suspect for a moment, then tell it."""
+        """Add a changed suspect to the next batch."""
         if not self.changed_suspects:
             loop = asyncio.get_running_loop()
             loop.call_later(WORK_BATCH_SECONDS, self.flush_suspects)
         self.changed_suspects.add(digest)
 
     def flush_suspects(self) -> None:
-        """Tell the news of suspects, and what is urgent more than once.
+        """Send the changed suspects, urgent ones repeatedly.
 
-        A single end is rarely the request's fault, and most news is of one.
+        A single exit of an upstream is rarely the request's fault, and most changes
+        report one.
         """
         quarantine = self.suspects.quarantine
         changed, self.changed_suspects = self.changed_suspects, set()
@@ -184,13 +185,13 @@
             self.broadcast(self.suspects.told(changed - urgent), self.ticks)
 
     def resend_suspects(self) -> None:
-        """Tell urgent news of suspects again."""
+        """Send urgent changes of suspects again."""
         repeated = self.urgent_suspects.take()
         if repeated:
             self.send_to_all(self.suspects.told(repeated))
 
     def queue_work(self, changed: WorkChanged) -> None:
-        """Collect a change of work for a moment, then tell it."""
+        """Add a work change to the next batch."""
         self.begun += changed.begun
         self.first_tokens += changed.first_tokens
         self.ended += changed.ended
@@ -200,9 +201,9 @@
             loop.call_later(WORK_BATCH_SECONDS, self.flush_work)
 
     def flush_work(self) -> None:
-        """Tell the changes that were collected, always the same way.
+        """Send the batched work changes, always through the same relays.
 
-        By another one the end of an attempt could come before its beginning.
+        Through another relay, an attempt's end could overtake its beginning.
         """
         self.work_due = False
         self.work_number += 1
@@ -216,7 +217,7 @@
         self.broadcast(message, 0)
 
     def tell_everything(self) -> None:
-        """Tell one other gateway, by turns, all upstreams."""
+        """Send all upstreams and the worst suspects to one other gateway, in turn."""
         peers = self.view.peers.alive(time.monotonic())
         if peers:
             self.sync_turn += 1
@@ -225,29 +226,29 @@
             self.send_suspects(peer, self.suspects.told_worst(MAX_SUSPECTS_PER_SYNC))
 
     def send_upstreams(self, peer: InstanceId) -> None:
-        """Tell one gateway all upstreams."""
+        """Send all upstreams to one gateway."""
         self.send(peer, HeartbeatsSeen(self.view.all_heartbeats()))
 
     def send_full_state(self, peer: InstanceId) -> None:
-        """Tell one gateway all upstreams, and what this one has on engines."""
+        """Send all upstreams, engine work and suspects to one gateway."""
         self.send_upstreams(peer)
         self.send_work_snapshot(peer)
         self.send_suspects(peer, self.suspects.told_all())
 
     def send_suspects(self, peer: InstanceId, message: SuspectRequestsTold) -> None:
-        """Tell one gateway of suspects, if there are any."""
+        """Send suspects to one gateway, if there are any."""
         if message.suspects:
             self.send(peer, message)
 
     def send_work_snapshot(self, peer: InstanceId) -> None:
-        """Tell one gateway all that this one has on engines."""
+        """Send this gateway's work on engines to one gateway."""
         own, now = self.view.settings.instance, time.monotonic()
         self.send(peer, self.view.engines.snapshot_of(own, now, self.work_number))
 
-    # Taking in.
+    # Receiving.
 
     def receive(self, delivered: Delivered) -> None:
-        """Take in a message from another gateway, or from this one's replica."""
+        """Handle a message from another gateway, or from this one's replica."""
         match delivered.message:
             case PeerAlive() as alive:
                 self.record_alive(delivered, alive)
@@ -269,7 +270,7 @@
                 self.routes.receive_snapshot(delivered.sender, snapshot)
 
     def handle_broadcast(self, origin: InstanceId, message: Broadcast) -> None:
-        """Take in what a gateway tells all others."""
+        """Handle a message that a gateway sends to all others."""
         match message:
             case SuspectRequestsTold():
                 self.suspects.take(origin, message)
@@ -280,14 +281,14 @@
                 self.view.record_work(origin, message)
 
     def relay(self, sender: InstanceId, relayed: Relayed) -> None:
-        """Pass a message on in this data centre."""
+        """Relay a message to the gateways of this data centre."""
         onward = Relayed(relayed.origin, relayed.message, False)
-        neighbours = self.view.peers.local_peers(time.monotonic())
+        local_peers = self.view.peers.local_peers(time.monotonic())
         known = (sender, relayed.origin)
-        self.send_to([peer for peer in neighbours if peer not in known], onward)
+        self.send_to([peer for peer in local_peers if peer not in known], onward)
 
     def record_alive(self, delivered: Delivered, alive: PeerAlive) -> None:
-        """Note a gateway, and ask it for a newer configuration."""
+        """Record that a gateway is alive; fetch its configuration if newer."""
         now = time.monotonic()
         sender = delivered.sender
         news = self.view.peers.record_alive(sender, alive, now)
@@ -298,7 +299,7 @@
         if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
             self.post.learn(sender, self.view.settings.peer_address(sender))
-            # One that has just started waits for the configuration to serve at all.
+            # A gateway that has just started can't serve without the configuration.
             self.send(sender, self.alive_message(True))
             self.send_full_state(sender)
         if self.work_gaps.has_gap(sender, alive.work_number):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 on asyncio, with bounds on what a caller may send and how slowly."""
+"""Serve HTTP/1.1 on asyncio, with limits on request size and slowness."""
 
 import asyncio
 import socket
@@ -15,13 +15,13 @@
 LOG = part_logger("http_server")
 
 READ_AHEAD_BYTES = 262_144
-"""Bytes taken from a caller that are not asked for yet; more stay in its socket."""
+"""Bytes buffered ahead of the parser; beyond this, reading pauses."""
 CLOSE_TIMEOUT_SECONDS = 2.0
-"""Time for a caller to take the last answer before its connection is dropped."""
+"""Time for a caller to read the last answer before its connection is dropped."""
 
 
 class HttpRequest(NamedTuple):
-    """Be a whole request."""
+    """Hold a complete request."""
 
     method: str
     target: str
@@ -32,19 +32,19 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the target without the query string."""
         return self.target.partition("?")[0]
 
 
 class AnswerCutError(Exception):
-    """Say that an answer was begun and can't be finished."""
+    """Report that an answer was begun and can't be completed."""
 
 
 Handler = Callable[[HttpRequest, "Responder"], Awaitable[None]]
 
 
 class Responder:
-    """Write the answer to one request."""
+    """Send the answer to one request."""
 
     def __init__(self, connection: "HttpConnection") -> None:
         self.connection = connection
@@ -52,7 +52,7 @@
         self.ended = False
 
     async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = (b"content-length", str(len(body)).encode())
         framed = [pair for pair in headers if pair[0] != b"content-length"]
         self.begin(status, [*framed, length])
@@ -60,7 +60,7 @@
         await self.end()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length, the pieces go out as chunks."""
+        """Send the head; without a content length, the body is sent chunked."""
         self.begun = True
         if self.connection.server.closing or self.connection.close_after:
             headers = [*headers, (b"connection", b"close")]
@@ -68,20 +68,20 @@
         self.connection.send(response)
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body, and wait while the caller is behind."""
+        """Send a part of the body, and wait while the caller reads too slowly."""
         if data and self.connection.method != "HEAD":
             self.connection.send(h11.Data(data=data))
             await self.connection.drained()
 
     async def end(self) -> None:
-        """Send what completes the answer."""
+        """Complete the answer."""
         self.connection.send(h11.EndOfMessage())
         self.ended = True
         await self.connection.drained()
 
 
 class HttpServer:
-    """Listen at one address and hand each request to a handler."""
+    """Listen on one address and pass each request to a handler."""
 
     def __init__(
         self,
@@ -99,7 +99,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, address: str, listener: socket.socket | None = None) -> None:
-        """Listen at an address, given as IP and port, or by a socket that does."""
+        """Listen on an address, given as IP and port, or on a bound socket."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         if listener is None:
@@ -112,16 +112,16 @@
 
     @property
     def busy(self) -> int:
-        """Return how many requests are being answered."""
+        """Return the number of requests being answered."""
         return sum(connection.busy for connection in self.connections)
 
     def stop_listening(self) -> None:
-        """Accept no more connections; those that are open stay."""
+        """Accept no more connections; open ones stay."""
         if self.server is not None:
             self.server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing was asked."""
+        """Close the connections without a request."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
@@ -133,7 +133,7 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Read requests from one caller, one after the other, and answer them."""
+    """Read and answer the requests of one caller connection, one at a time."""
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
@@ -152,16 +152,16 @@
         self.busy = False
         self.close_after = False
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve."""
+        """Start serving, unless the connection limit is reached."""
         self.transport = transport  # type: ignore[assignment]
         peer = transport.get_extra_info("peername")
         self.peer = f"{peer[0]}:{peer[1]}" if peer else ""
         if len(self.server.connections) >= self.server.max_connections:
-            # Beyond the descriptors that the process may open, accepting fails for
-            # everybody; one connection is dropped instead.
+            # Without free file descriptors, accepting would fail for every caller; one
+            # connection is dropped instead.
             LOG.warning("Connection dropped.", server=self.server.name, reason="full")
             self.transport.abort()
             return
@@ -169,25 +169,25 @@
         self.task = asyncio.get_running_loop().create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; stop reading where the caller sends too far ahead."""
+        """Buffer received bytes; pause reading if the buffer is full."""
         self.incoming += data
         if len(self.incoming) > READ_AHEAD_BYTES:
             self.transport.pause_reading()
         self.arrived.set()
 
     def eof_received(self) -> bool:
-        """Take the end of what the caller sends as its leaving."""
+        """Treat the end of the caller's data as a disconnect."""
         self.caller_left()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the work for a caller that has gone, which is no failure of ours."""
+        """Stop the work for a caller that disconnected, which is no error."""
         LOG.debug("Connection lost.", peer=self.peer, error=str(exc))
         self.server.connections.discard(self)
         self.caller_left()
 
     def caller_left(self) -> None:
-        """End the task: nobody waits for what it does any more."""
+        """Cancel the task, since the caller is gone."""
         self.ended = True
         self.arrived.set()
         self.writable.set()
@@ -195,23 +195,23 @@
             self.task.cancel("caller left")
 
     def pause_writing(self) -> None:
-        """Hold the answer back while the caller does not read."""
+        """Pause the answer while the caller does not read."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Go on with the answer."""
+        """Resume the answer."""
         self.writable.set()
 
-    # What the task does.
+    # Methods of the serving task.
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing of a request has arrived."""
+        """Return whether no request is being answered or received."""
         return not self.busy and not self.has_begun
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether bytes of the next request have arrived."""
+        """Return whether bytes of the next request have arrived."""
         return bool(self.incoming or self.parser.trailing_data[0])
 
     async def serve(self) -> None:
@@ -224,9 +224,10 @@
                 if not await self.answer(request):
                     break
                 if self.server.closing and not self.has_begun:
-                    # The head of an answer that began before does not say that the
-                    # connection closes. Left open, it brings requests until the grace
-                    # is over, and the last of them is cut.
+                    # The head of this answer may have been sent before the shutdown
+                    # began, without `connection: close`. Left open, the connection
+                    # would bring requests until the grace period ends, and the last one
+                    # would be cut.
                     break
                 self.parser.start_next_cycle()
             await self.finish()
@@ -244,7 +245,7 @@
         try:
             await self.server.handler(request, responder)
         except AnswerCutError:
-            # Closed without its last chunk, the answer can't be taken for whole.
+            # Without the last chunk, the caller can't take the answer for complete.
             self.abort()
             return False
         finally:
@@ -252,7 +253,7 @@
         return self.parser.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
 
     async def read_request(self) -> HttpRequest | None:
-        """Read a whole request, or answer why it can't be, or return nothing."""
+        """Read a complete request; refuse an invalid one and return None."""
         limits = self.server.limits()
         try:
             head = await self.read_head(limits)
@@ -280,7 +281,7 @@
         )
 
     async def read_head(self, limits: CallerLimits) -> h11.Request | None:
-        """Wait for a request to begin, then for its head."""
+        """Wait for a request to begin, then read its head."""
         while not self.has_begun:
             if self.ended:
                 return None
@@ -290,7 +291,7 @@
         return event if isinstance(event, h11.Request) else None
 
     async def read_body(self, head: h11.Request, limits: CallerLimits) -> bytes | None:
-        """Read the body, or refuse one that is too long before it is in."""
+        """Read the body; refuse a too long one before all of it has arrived."""
         length = next((int(v) for n, v in head.headers if n == b"content-length"), 0)
         if length > limits.body_bytes:
             await self.refuse(413)
@@ -313,7 +314,7 @@
                     return None
 
     async def next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """Return the next event that the caller's bytes make."""
+        """Return the next event of the HTTP parser, waiting for bytes if needed."""
         while True:
             event = self.parser.next_event()
             if event is not h11.NEED_DATA:
@@ -329,13 +330,13 @@
             self.transport.resume_reading()
 
     async def wait_for_bytes(self, seconds: float | None) -> None:
-        """Wait until the caller sends or leaves."""
+        """Wait until the caller sends bytes or disconnects."""
         self.arrived.clear()
         async with asyncio.timeout(seconds):
             await self.arrived.wait()
 
     async def refuse(self, status: int) -> None:
-        """Answer a request that can't be read, and close."""
+        """Answer an unreadable request with an error, and close."""
         LOG.info("Request not read.", peer=self.peer, status=status)
         self.close_after = True
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -348,12 +349,12 @@
             self.transport.write(data)
 
     async def drained(self) -> None:
-        """Wait while the caller is behind with reading."""
+        """Wait while the caller reads too slowly."""
         if not self.writable.is_set():
             await self.writable.wait()
 
     async def finish(self) -> None:
-        """Let the last bytes go out, then close."""
+        """Flush the last bytes, then close."""
         if self.transport.is_closing():
             return
         self.close()
@@ -361,7 +362,7 @@
         self.abort()
 
     def close(self) -> None:
-        """Close once everything written has gone out."""
+        """Close once all written bytes are sent."""
         if not self.transport.is_closing():
             self.transport.close()
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/loop_inbox.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/loop_inbox.py
@@ -1,4 +1,4 @@
-"""Bring messages and answers from other threads to the gateway's event loop."""
+"""Pass messages and answers from other threads to the gateway's event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class LoopInbox:
-    """Take messages as an actor's reference does, and handle them on the loop."""
+    """Accept messages like an actor reference, and handle them on the event loop."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         self.metrics = metrics
 
     def tell(self, message: Any) -> None:
-        """Hand a message over from any thread; a loop that has ended drops it."""
+        """Pass a message to the loop from any thread; a closed loop drops it."""
         if not self.loop.is_closed():
             self.loop.call_soon_threadsafe(self.handle, message)
 
     def handle(self, message: Delivered) -> None:
-        """Handle one message; one that fails takes no other one with it."""
+        """Handle one message; a failure does not affect the others."""
         try:
             self.receive(message)
         except Exception:
@@ -43,18 +43,18 @@
 
 
 class LoopReply:
-    """Take one answer from another thread for a task on the loop."""
+    """Receive one answer from another thread for a task on the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.future: asyncio.Future[Any] = loop.create_future()
 
     def put(self, answer: Any) -> None:
-        """Give the answer; one that nobody waits for any more is dropped."""
+        """Set the answer from any thread; it is dropped if no task waits for it."""
         if not self.loop.is_closed():
             self.loop.call_soon_threadsafe(self.settle, answer)
 
     def settle(self, answer: Any) -> None:
-        """Wake the task."""
+        """Resolve the future with the answer."""
         if not self.future.done():
             self.future.set_result(answer)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Place one attempt of a request, by what the gateway believes of the upstreams."""
+"""Choose the upstream for one attempt, by the gateway's view of the fleet."""
 
 import time
 import uuid
@@ -24,26 +24,26 @@
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 
 RETRY_AFTER_SECONDS = 1.0
-"""Pause told to a caller where no upstream is known: a heartbeat's time."""
+"""Retry-after if no upstream is known: one heartbeat interval."""
 
 
 class SilenceLimits(NamedTuple):
-    """Bound the silences of one attempt, in seconds, where there is a bound."""
+    """Limit the silences of one attempt, in seconds; None means no limit."""
 
     first_event_seconds: float | None = None
     between_events_seconds: float | None = None
 
 
 class Placement(NamedTuple):
-    """Be an upstream for one attempt."""
+    """Hold the upstream chosen for one attempt, and how to use it."""
 
     upstream: UpstreamHeartbeat
     work: EngineWork | None = None
     helpers: tuple[PrefillHelper, ...] = ()
     tickets: tuple[MemoryTicket, ...] = ()
-    """Memory that must be reserved before the request is sent."""
+    """Memory to reserve before the request is sent."""
     first_token_seconds: float | None = None
-    """Predicted time to the first event."""
+    """Predicted time to the first event of the answer."""
     priority: int | None = None
     candidates: int = 0
     cost: float = 0.0
@@ -51,12 +51,12 @@
 
     @property
     def helper_parts(self) -> tuple[EnginePart, ...]:
-        """Return the parts of the prompt that other engines read."""
+        """Return the parts of the prompt that other engines prefill."""
         return () if self.work is None else self.work.parts[1:]
 
 
 class NoPlacement(NamedTuple):
-    """Say that there is no upstream, why, and when to come back."""
+    """Report why there is no upstream, and when to retry."""
 
     reason: str
     retry_after_seconds: float
@@ -70,7 +70,7 @@
     left_seconds: float,
     excluded: frozenset[UpstreamId],
 ) -> Placement | NoPlacement:
-    """Choose an upstream that was not tried yet."""
+    """Choose an upstream that was not tried before."""
     known = view.upstreams_of(service)
     upstreams = [each for each in known if each.upstream_id not in excluded]
     if not upstreams:
@@ -83,7 +83,7 @@
 
 
 def place_by_load(view: FleetView, upstreams: list[UpstreamHeartbeat]) -> Placement:
-    """Choose by load, failures and distance."""
+    """Choose by load, failure rate and data centre."""
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
@@ -112,7 +112,7 @@
     upstreams: list[UpstreamHeartbeat],
     model: EngineModel,
 ) -> Placement | NoPlacement:
-    """Choose the engines that cost least."""
+    """Choose the engines with the lowest cost."""
     now = time.monotonic()
     candidates = []
     for upstream in upstreams:
@@ -153,7 +153,7 @@
 def tickets_of(
     chosen: EnginesChosen, by_id: dict[UpstreamId, UpstreamHeartbeat]
 ) -> tuple[MemoryTicket, ...]:
-    """Name the memory that helpers must hold for a prompt too large for one engine."""
+    """List the memory that helpers reserve for a prompt too large for one engine."""
     return tuple(
         MemoryTicket(
             part.upstream_id,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
@@ -1,4 +1,4 @@
-"""Keep this machine's replica running, and start it again after a failure."""
+"""Run this machine's replica, and restart it after a failure."""
 
 import asyncio
 import time
@@ -40,18 +40,18 @@
 
 HEARTBEAT_SECONDS = 0.25
 ELECTION_SECONDS = 1.0
-"""Shortest silence before an election. A process that is slowed or busy must not be
-deposed for it; and a change waits for an election and a half at most."""
+"""Minimum election timeout. A leader that is merely slow or busy must not be deposed,
+and a change must wait for one and a half elections at most."""
 BOOTSTRAP_DELAY_SECONDS = 1.5
-"""Age of a gateway at which it may found: all start within a fraction of a second."""
+"""Delay before the bootstrap; all gateways start within a fraction of a second."""
 STATUS_INTERVAL_SECONDS = 1.0
-"""Pause between two looks at the replica, for its metrics and its disk."""
+"""Interval between status queries to the replica, for its metrics and its disk."""
 RESTART_DELAY_SECONDS = 1.0
-"""Pause before a replica whose disk failed is started again."""
+"""Delay before a replica whose disk failed is restarted."""
 
 
 class ReplicaSupervisor:
-    """Own this machine's replica, if it holds one."""
+    """Supervise this machine's replica, if it runs one."""
 
     def __init__(
         self,
@@ -75,11 +75,11 @@
 
     @property
     def should_run(self) -> bool:
-        """Tell whether this machine holds a replica."""
+        """Return whether this machine runs a replica."""
         return self.view.peers.holds_replica
 
     def tick(self) -> None:
-        """Start what is missing, tell who else holds replicas, and let time pass."""
+        """Start the replica if needed, announce the other replicas, and send a tick."""
         now = time.monotonic()
         if not self.should_run:
             self.announce_replicas()
@@ -96,10 +96,10 @@
         self.actor.tell(Tick())
 
     def join_when_wanted(self, now: float) -> None:
-        """Hold a replica, too, where none has a disk and more are wanted.
+        """Run a replica here as well, where none has a disk and more are needed.
 
-        Only once a configuration is in force: then the cluster is founded, and it is
-        found by those that the settings name alone.
+        This waits for a configuration in force, which shows that the cluster has been
+        bootstrapped; only the gateways named in the settings may bootstrap it.
         """
         if now < self.status_due or self.view.table is None:
             return
@@ -109,7 +109,7 @@
             self.view.peers.holds_replica = True
 
     def start(self) -> None:
-        """Load what is stored and start the replica that it holds."""
+        """Load the stored state and start the replica from it."""
         settings = self.view.settings
         opened = self.open_storage()
         loaded = opened.and_then(lambda storage: storage.load())
@@ -140,7 +140,7 @@
         LOG.info("Replica started.", folder=stored.replica_id.folder)
 
     def open_storage(self) -> Result[ReplicaStorage | VolatileStorage, StorageError]:
-        """Open the data folder; without a disk the replica is in memory alone."""
+        """Open the data folder; without a disk, the replica is kept in memory only."""
         settings = self.view.settings
         if settings.data_folder is None:
             return Ok(VolatileStorage(settings.instance))
@@ -150,7 +150,7 @@
         )
 
     def ask_status_when_due(self, now: float) -> None:
-        """Ask the replica how it is; the answer comes on the loop."""
+        """Query the replica's status; the answer arrives on the event loop."""
         if now < self.status_due:
             return
         self.status_due = now + STATUS_INTERVAL_SECONDS
@@ -159,10 +159,10 @@
         self.actor.tell(ControlStateQuery(lambda _, status: status, reply))
 
     def record_status(self, future: asyncio.Future[ReplicaStatus]) -> None:
-        """Show how the replica is, and start it again where its disk has failed.
+        """Record the status as metrics, and restart the replica if its disk failed.
 
-        A disk that was full for some seconds takes writes again, but what the replica
-        holds in memory may be ahead of it; only what a new start reads counts.
+        A disk that was full for some seconds may accept writes again, but the replica's
+        memory may be ahead of it; only the state that a restart reads is valid.
         """
         if future.cancelled():
             return
@@ -183,7 +183,7 @@
             self.start_due = time.monotonic() + RESTART_DELAY_SECONDS
 
     def announce_replicas(self) -> None:
-        """Tell the replica and the gateway's client who holds replicas now."""
+        """Tell the replica and the control client which gateways run replicas now."""
         replicas = self.view.peers.replicas()
         if replicas == self.replicas:
             return
@@ -194,7 +194,7 @@
             self.actor.tell(ReplicasSeen(replicas))
 
     def bootstrap_when_due(self, now: float) -> None:
-        """Found the cluster, once, where it falls to this gateway."""
+        """Bootstrap the cluster once, if this gateway is chosen to."""
         settings = self.view.settings
         if self.bootstrapped or not (settings.first_start and settings.holds_replica):
             return
@@ -206,11 +206,11 @@
             self.actor.tell(BootstrapCluster())
 
     def transfer_leadership(self) -> None:
-        """Give leadership away before the process ends."""
+        """Transfer leadership before the process ends."""
         if self.actor is not None:
             self.actor.tell(TransferLeadership())
 
     def stop(self) -> None:
-        """End the replica, which may be waiting for its disk."""
+        """Stop the replica without waiting, since its disk may be stalled."""
         if self.actor is not None and self.actor.is_alive():
             self.actor.stop(block=False)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""Answer callers: find the route, try upstreams, and say truly what happened."""
+"""Answer callers: match the route, try upstreams, and report what happened."""
 
 import asyncio
 import math
@@ -50,31 +50,31 @@
 BAD_ANSWER = 502
 OUT_OF_TIME = 504
 BUSY_RETRY_SECONDS = 0.2
-"""Shortest pause told to callers of full upstreams: some passes of an engine."""
+"""Minimum retry-after if the upstreams are full: a few passes of an engine."""
 MIN_LEFT_SECONDS = 0.02
-"""Time left below which no upstream is asked: the way there and back takes it."""
+"""Time left below which no upstream is tried: one round trip takes as long."""
 MAX_UNREACHED = 4
-"""Upstreams that one request may find dead; they don't count as attempts."""
+"""Unreachable upstreams that one request may try; they don't count as attempts."""
 
 
 @dataclass(slots=True)
 class RequestProgress:
-    """Hold what happened to a request so far."""
+    """Hold the state of a request across its attempts."""
 
     excluded: set[UpstreamId] = field(default_factory=set)
     sent: int = 0
     unreached: int = 0
     may_have_run: bool = False
     waited: bool = False
-    """Whether it has waited for a first upstream."""
+    """Whether the request has waited for a first upstream."""
     last_failure: FailedThere | None = None
     last_reason: str = ""
     retry_after_seconds: float | None = BUSY_RETRY_SECONDS
-    """When to come back; nothing where that would not help."""
+    """Retry-after in seconds; None if a retry would not help."""
 
 
 class RequestHandler:
-    """Serve the requests of callers."""
+    """Handle the requests of callers."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self.metrics = metrics
 
     async def __call__(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request; a caller that leaves ends it."""
+        """Answer one request; it is cancelled if the caller disconnects."""
         began = time.monotonic()
         facts = self.dialect.caller_facts(request.headers)
         try:
@@ -124,7 +124,7 @@
         responder: Responder,
         began: float,
     ) -> int:
-        """Find the route and the customer, then serve; return the status."""
+        """Match the route and the customer, then serve; return the status."""
         admitted = await admit(self.view, request, facts)
         if isinstance(admitted, Denied):
             return await self.refuse(
@@ -154,7 +154,7 @@
         return await self.serve(task)
 
     async def serve(self, task: AttemptTask) -> int:
-        """Try upstreams until one answers or the time is up."""
+        """Try upstreams until one answers or the deadline passes; return the status."""
         progress = RequestProgress()
         service = choose_service(task.route, self.view.random)
         self.view.retry_budget.count_request(service, time.monotonic())
@@ -174,7 +174,7 @@
     async def try_upstreams(
         self, task: AttemptTask, service: ServiceName, progress: RequestProgress
     ) -> Answered | None:
-        """Try one upstream after the other; return nothing where none may be tried."""
+        """Try upstreams in turn; return None once no other may be tried."""
         while True:
             left = task.deadline - time.monotonic()
             if left < MIN_LEFT_SECONDS:
@@ -214,7 +214,7 @@
     async def wait_for_upstream(
         self, service: ServiceName, left: float, progress: RequestProgress
     ) -> bool:
-        """Wait, once, for the first upstream of a service to be heard of."""
+        """Wait, once per request, until an upstream of the service is known."""
         if progress.waited or self.view.upstreams_of(service):
             return False
         progress.waited = True
@@ -224,7 +224,7 @@
         )
 
     def may_retry(self, service: ServiceName) -> bool:
-        """Spend a repeat of the common budget."""
+        """Take one retry from the budget shared by all gateways, if any is left."""
         now = time.monotonic()
         return self.view.retry_budget.allow_retry(
             service, self.view.gateway_count(), now
@@ -233,13 +233,13 @@
     async def attempt(
         self, task: AttemptTask, placement: Placement, progress: RequestProgress
     ) -> AttemptOutcome:
-        """Run one attempt and note what it came to."""
+        """Run one attempt and record its outcome."""
         began = time.monotonic()
         upstream_id = placement.upstream.upstream_id
         progress.sent += 1
         self.log_attempt_begin(task, placement, progress)
-        # Until the outcome is known, the upstream may be running it: a timeout in
-        # between must not be answered with the promise that it did not.
+        # Until the outcome is known, the upstream may be running the request: an answer
+        # to a timeout in between must not say that nothing ran.
         ran_before, progress.may_have_run = progress.may_have_run, True
         may_retry = task.route.repeatable and progress.sent < task.route.max_attempts
         limits = silence_limits(
@@ -271,7 +271,7 @@
     def record_for_quarantine(
         self, task: AttemptTask, placement: Placement, outcome: AttemptOutcome
     ) -> None:
-        """Note whether an upstream ended under a request, or answered it."""
+        """Record whether an upstream exited under the request, or answered it."""
         match outcome:
             case Broken(upstream_exited=True):
                 upstream_id = placement.upstream.upstream_id
@@ -282,7 +282,7 @@
     def log_attempt_begin(
         self, task: AttemptTask, placement: Placement, progress: RequestProgress
     ) -> None:
-        """Log which upstream was chosen, and what decided on it."""
+        """Log the chosen upstream and what the choice was based on."""
         LOG.info(
             "Attempt begins.",
             request=task.facts.attempt_id,
@@ -311,7 +311,7 @@
         outcome: AttemptOutcome,
         began: float,
     ) -> None:
-        """Log what an attempt came to."""
+        """Log the outcome of an attempt."""
         pace = getattr(outcome, "pace", None)
         LOG.info(
             "Attempt ended.",
@@ -328,7 +328,7 @@
     def record_no_placement(
         self, task: AttemptTask, placement: NoPlacement, progress: RequestProgress
     ) -> None:
-        """Remember and log why there was no upstream."""
+        """Record and log why no upstream was chosen."""
         progress.last_reason = placement.reason
         progress.retry_after_seconds = max(
             progress.retry_after_seconds, placement.retry_after_seconds
@@ -343,7 +343,7 @@
         )
 
     async def fail(self, task: AttemptTask, progress: RequestProgress) -> int:
-        """Give the caller the failure that is true."""
+        """Send the caller the last failure of an upstream, or a refusal."""
         failure = progress.last_failure
         if failure is not None and not task.responder.begun:
             await self.runner.deliver(task, failure.head, failure.body)
@@ -354,7 +354,7 @@
     async def give_up(
         self, task: AttemptTask, progress: RequestProgress, status: int
     ) -> int:
-        """End a request without an upstream's answer."""
+        """Refuse a request, or cut its answer if that was begun."""
         if task.responder.begun:
             LOG.info(
                 "Answer cut.",
@@ -382,7 +382,7 @@
         status: int,
         retry_after_seconds: float | None = None,
     ) -> int:
-        """Send an answer of our own."""
+        """Send a refusal from the gateway itself; return its status."""
         headers = self.dialect.refusal_headers(facts.attempt_id)
         if retry_after_seconds is not None:
             tenths = math.ceil(retry_after_seconds * 10) / 10
@@ -394,7 +394,7 @@
 def may_try_another(
     task: AttemptTask, outcome: AttemptOutcome, progress: RequestProgress
 ) -> bool:
-    """Tell whether another upstream may be tried after this outcome."""
+    """Return whether another upstream may be tried after this outcome."""
     match outcome:
         case NotReached():
             return progress.unreached < MAX_UNREACHED
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -1,4 +1,4 @@
-"""Fetch newer configurations from other gateways, and give them the own one."""
+"""Fetch newer configurations from other gateways, and send them this one's."""
 
 import time
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class RoutesExchange:
-    """Own what is being fetched."""
+    """Hold the state of the current fetch."""
 
     def __init__(
         self,
@@ -31,23 +31,23 @@
         self.client = client
         self.dialect = dialect
         self.send_alive = send_alive
-        """Tells the other gateways which version is in force here."""
+        """Announces to the other gateways which version is in force here."""
         self.fetch = RoutesFetch()
         self.copies = 0
-        """Configurations that came, whatever they were worth."""
+        """Copies of configurations received, useful or not."""
 
     def answer(self, address: str, question: FetchRoutes) -> None:
-        """Give the own configuration to who has an older one."""
+        """Send the configuration in force to a gateway with an older one."""
         if self.view.document.version > question.have_version:
             self.post.send(address, RoutesSnapshot(self.view.document, False))
 
     def fetch_when_due(self) -> None:
-        """Go on with what is being fetched; called several times a second."""
+        """Continue a fetch in progress; called several times a second."""
         if self.fetch.due is not None:
             self.fetch_newer()
 
     def fetch_newer(self) -> None:
-        """Ask somebody for a newer configuration, if it is time to."""
+        """Request a newer configuration from a peer, unless an answer is pending."""
         now = time.monotonic()
         peers = self.view.peers
         if self.fetch.is_waiting(lambda peer: peers.is_alive(peer, now), now):
@@ -73,7 +73,7 @@
         self.post.send(address, FetchRoutes(have))
 
     def receive_snapshot(self, sender: InstanceId, snapshot: RoutesSnapshot) -> None:
-        """Take in a configuration: a copy, an answer, or what the own replica holds."""
+        """Handle a peer's copy, the answer to a read, or the own replica's document."""
         document = snapshot.document
         if snapshot.query_id:
             self.client.record_answer(snapshot)
@@ -83,7 +83,7 @@
             self.fetch.record_copy(len(document.body), time.monotonic())
 
     def record_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
-        """Log and count a copy of the configuration; those in vain fill links."""
+        """Log and count a received copy; needless copies saturate links."""
         self.copies += 1
         LOG.info(
             "Configuration came.",
@@ -96,15 +96,15 @@
         )
 
     def apply_routes(self, document: RoutesDocument) -> bool:
-        """Put a newer configuration in force and tell of it; return whether it is."""
+        """Put a newer configuration in force and announce it; return whether it was."""
         if document.version <= self.view.document.version:
             return False
         read = decompress_configuration(document.body).and_then(
             self.dialect.read_accepted
         )
         if read.is_err():
-            # It was checked before it was accepted; only a gateway of another
-            # version can disagree, and it keeps what it has.
+            # It was validated before it was accepted; only a gateway of another
+            # software version can reject it, and keeps its configuration.
             LOG.error(
                 "Configuration not understood.",
                 version=document.version,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
@@ -1,4 +1,4 @@
-"""Run the gateway that an adapter describes, as the daemon's process."""
+"""Run a gateway with an adapter as the daemon's process."""
 
 import asyncio
 import importlib
@@ -25,9 +25,9 @@
 
 
 def run_gateway(adapter_name: str, early_listener: socket.socket | None) -> NoReturn:
-    """Run a gateway with an adapter, given by its package's name, and end the process.
+    """Run a gateway with the named adapter package, and end the process.
 
-    The package's module `gateway` offers `MachineSettings` and `MachinesDialect`.
+    The package's module `gateway` provides `MachineSettings` and `MachinesDialect`.
     """
     adapter = importlib.import_module(f"{adapter_name}.gateway")
     source = adapter.MachineSettings.from_environment()
@@ -38,8 +38,8 @@
             print(problem, file=sys.stderr)
             end_process(EXIT_BAD_SETTINGS)
     writer = configure_queued_logs(LogSettings(), sys.stdout)
-    # Not closed: that would wait for threads which write to a disk, and at the end of
-    # the grace there is no time to cancel what is left one by one.
+    # The runner is not closed: that would wait for threads that write to a disk, and
+    # the shutdown grace period leaves no time to cancel the remaining tasks.
     runner = asyncio.Runner()
     try:
         dialect = adapter.MachinesDialect()
@@ -51,6 +51,6 @@
 
 
 def end_with_logs(writer: QueuedLineWriter, code: int) -> NoReturn:
-    """End the process once its log is written."""
+    """Flush the logs and end the process."""
     writer.stop()
     end_process(code)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/settings.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Define what a gateway is told before it starts."""
+"""Define the settings of a gateway."""
 
 from typing import NamedTuple, Protocol
 
@@ -8,52 +8,52 @@
 
 
 class GatewaySettings(NamedTuple):
-    """Be everything that one gateway is told, by the adapter of its machines."""
+    """Hold the settings of one gateway, as its adapter reads them."""
 
     instance: InstanceId
-    """The machine's IP number; peers reach it there, all at the same port."""
+    """The machine's IP address; peers connect to it, all on the same port."""
     name: str
     data_centre: DataCentre
     peer_port: int
     seeds: tuple[InstanceId, ...]
-    """Some other gateways, which may be gone by now."""
+    """Some other gateways, which may no longer exist."""
     first_start: bool
     """Whether the whole system starts for the first time, with empty disks."""
     data_folder: str | None
-    """Where data outlives the process; nothing on machines without a disk."""
+    """Folder of persistent data; None on machines without a disk."""
     max_failures: int
-    """Replicas that may be lost at once."""
+    """Replicas that may fail at the same time."""
     callers_address: str | None
     ready_address: str | None
     control_address: str | None
     metrics_address: str | None = None
     max_descriptors: int = 1024
     upstream_heartbeat_seconds: float = 1.0
-    """Time between two heartbeats of an upstream."""
+    """Interval between heartbeats of an upstream."""
     shutdown_seconds: float = 8.0
-    """Time from the signal to end until the process is killed."""
+    """Time from the shutdown signal until the process is killed."""
     retry_budget_ratio: float = 0.2
-    """Repeats that all gateways together may send, for each request."""
+    """Retries that all gateways together may send per request."""
     retry_budget_slack: float = 10.0
-    """Repeats allowed besides, in each window."""
+    """Retries allowed in addition, per window."""
     retry_budget_window_seconds: float = 10.0
     memory_release_seconds: float = 4.0
-    """Time after the end of a request within which its engine memory must be free."""
+    """Time after the end of a request by which its engine memory must be released."""
     replica_in_memory: bool = False
-    """Whether a replica is held without a disk, from the start on."""
+    """Whether this gateway holds a replica without a disk from the start."""
 
     @property
     def holds_replica(self) -> bool:
-        """Tell whether a replica is held here from the start on."""
+        """Return whether this gateway holds a replica from the start."""
         return self.data_folder is not None or self.replica_in_memory
 
     def peer_address(self, instance: InstanceId) -> str:
-        """Return where a gateway listens for its peers."""
+        """Return the address on which a gateway listens for peers."""
         return f"{instance}:{self.peer_port}"
 
 
 class SettingsSource(Protocol):
-    """Read the settings again when they have changed."""
+    """Reload the settings when they have changed."""
 
     def load_if_changed(self) -> Result[GatewaySettings, str] | None:
-        """Return new settings, or what is wrong with them; nothing if unchanged."""
+        """Return new settings or what is wrong with them, or None if unchanged."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/silence_limits.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/silence_limits.py
@@ -1,4 +1,4 @@
-"""Say how long an attempt may be silent before another upstream is tried."""
+"""Define how long an attempt may be silent before another upstream is tried."""
 
 from cowslipshelf_core.gateway import AnswerTimes, Route, RouteKind
 from cowslipshelf_core.identifiers import ServiceName
@@ -6,14 +6,14 @@
 
 FIRST_EVENT_FACTOR = 2.0
 FIRST_EVENT_MARGIN_SECONDS = 1.0
-"""Beyond twice the predicted time to a first event, an engine is taken for silent:
-predictions are within 0.3 s for nine prompts in ten."""
+"""Added to twice the predicted time to a first event, after which an engine counts as
+silent. Nine in ten predictions are within 0.3 s."""
 MIN_BETWEEN_SECONDS = 1.7
-"""Shortest silence in a stream that counts, since callers leave after two seconds. An
-engine that reads for others is excused: its passes take as long, and a stream that
-goes on elsewhere would be read again there."""
+"""Shortest limit between events of a stream, since callers disconnect after two
+seconds. An engine that prefills other prompts gets longer: its passes take as long, and
+another engine would have to prefill the stream's prompt again."""
 PAUSE_FACTOR = 4.0
-"""Allowed pauses that a stream may be silent for, where that is longer."""
+"""Multiple of the route's allowed pause that a stream may be silent, if longer."""
 
 
 def silence_limits(
@@ -23,7 +23,7 @@
     times: AnswerTimes,
     may_retry: bool,
 ) -> SilenceLimits:
-    """Return how long to wait; without end where nobody else may be asked."""
+    """Return the limits; there are none if no other upstream may be tried."""
     if not may_retry:
         return SilenceLimits()
     if placement.first_token_seconds is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/suspect_requests_file.py
@@ -1,4 +1,4 @@
-"""Remember over a restart which requests ended upstreams."""
+"""Store the requests under which upstreams exited, for a restart."""
 
 import time
 
@@ -11,43 +11,43 @@
 
 
 class SuspectRequestsDocument(msgspec.Struct, frozen=True, array_like=True):
-    """Be what a gateway knew of requests under which upstreams ended."""
+    """Hold what a gateway knew of requests under which upstreams exited."""
 
     written_at: float
-    """Seconds since 1970."""
+    """Unix time in seconds."""
     told: SuspectRequestsTold
 
 
 class SuspectRequestsFile(HintFile[SuspectRequestsDocument]):
-    """Own one file in the data folder.
+    """Manage the file of suspect requests in the data folder.
 
-    After all gateways were killed at once, none is left to tell the others.
+    If all gateways are killed at once, none is left to tell the others of them.
     """
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder, FILE_NAME, SuspectRequestsDocument)
 
     def read(self) -> SuspectRequestsTold:
-        """Return what was written last, with ages as of now."""
+        """Return what was written last, with the ages brought up to now."""
         document = self.read_document()
         if document is None:
             return SuspectRequestsTold(())
-        # The time of day may have been put back since.
+        # The system clock may have been set back since.
         passed = max(0.0, time.time() - document.written_at)
         suspects = document.told.suspects
         return SuspectRequestsTold(tuple(aged(each, passed) for each in suspects))
 
     def needs_write(self, changes: int) -> bool:
-        """Tell whether anything has changed since it was written, and may be."""
+        """Return whether there are changes to write and no write is in progress."""
         return not self.is_writing() and changes != (self.written_key or 0)
 
     def write_soon(self, told: SuspectRequestsTold, changes: int) -> None:
-        """Write what is known after so many changes."""
+        """Begin to write the suspects known after a number of changes."""
         self.begin_write(SuspectRequestsDocument(time.time(), told), changes)
 
 
 def aged(suspect: SuspectRequestReport, seconds: float) -> SuspectRequestReport:
-    """Return word of a request as it would be told some seconds later."""
+    """Return a report with all ages increased by some seconds."""
     exits = tuple(
         each._replace(age_seconds=each.age_seconds + seconds) for each in suspect.exits
     )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/unix_time.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/unix_time.py
@@ -1,4 +1,4 @@
-"""Tell the time of day as messages between processes give it."""
+"""Read the system clock in the unit that messages use."""
 
 import time
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
@@ -1,4 +1,4 @@
-"""Exchange requests and answers with one upstream over one connection."""
+"""Exchange requests and answers with one upstream over one HTTP connection."""
 
 import asyncio
 import socket
@@ -11,17 +11,17 @@
 
 READ_BYTES = 65_536
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-"""Longest answer that is held until it is whole; twice the bodies that callers send."""
+"""Longest answer or event that is buffered; twice the largest request body."""
 UNACKNOWLEDGED_MILLISECONDS = 3_000
-"""Time after which the kernel gives a connection up whose bytes nobody acknowledges:
-a machine that lost power or was cut off sends no reset. Longer than a packet that is
-lost twice takes."""
+"""Time after which the kernel drops a connection with unacknowledged data: a machine
+that lost power or was partitioned sends no reset. It exceeds the time that a packet needs
+to arrive after it was lost twice."""
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 3
 
 
 class UpstreamLostError(Exception):
-    """Say at which step a connection to an upstream was lost."""
+    """Report at which step a connection to an upstream was lost."""
 
     def __init__(
         self, step: str, peer: str, detail: str, upstream_exited: bool = False
@@ -31,18 +31,18 @@
         self.peer = peer
         self.detail = detail
         self.upstream_exited = upstream_exited
-        """Whether the upstream closed the connection, as one that ends does."""
+        """Whether the upstream closed the connection, as a process that exits does."""
 
 
 class UpstreamHead(NamedTuple):
-    """Be the status and headers of an answer."""
+    """Hold the status and headers of an answer."""
 
     status: int
     headers: Headers
 
 
 class UpstreamConnection:
-    """Own one connection to an upstream."""
+    """Manage one connection to an upstream."""
 
     def __init__(
         self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -54,13 +54,13 @@
         self.idle_since = 0.0
         self.keep_alive_seconds: float | None = None
         self.max_silence_seconds: float | None = None
-        """Silence after which the upstream is given up; nothing waits without end."""
+        """Silence after which the upstream counts as lost; None means no limit."""
         self.excused_seconds: Callable[[], float] = no_excuse
-        """Tells how much longer a silence has a reason; zero where it has none."""
+        """Returns how much longer a silence is excused; zero if it is not."""
         self.dropped: str | None = None
-        """Why this side has ended the exchange, if it has."""
+        """Why this side dropped the connection, if it did."""
         self.upstream_restarted = False
-        """Whether it did so since the upstream was heard to have started again."""
+        """Whether it was dropped because the upstream restarted."""
 
     @classmethod
     async def connect(cls, address: str, seconds: float) -> "UpstreamConnection":
@@ -76,7 +76,7 @@
         return cls(address, reader, writer)
 
     def send(self, request: OutgoingRequest) -> None:
-        """Send a whole request; raise `UpstreamLostError` if that is known to fail."""
+        """Send a request; raise `UpstreamLostError` if sending fails at once."""
         head = h11.Request(
             method=request.method, target=request.target, headers=request.headers
         )
@@ -90,7 +90,7 @@
             raise UpstreamLostError("send", self.address, str(error)) from error
 
     async def head(self) -> UpstreamHead:
-        """Wait for the answer's head."""
+        """Wait for the head of the answer."""
         while True:
             event = await self.next_event("wait for answer")
             match event:
@@ -103,7 +103,7 @@
                     raise self.lost("wait for answer", "closed", True)
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Go through the body; raise `UpstreamLostError` where it is cut."""
+        """Yield the body in pieces; raise `UpstreamLostError` if it is cut."""
         while True:
             event = await self.next_event("read answer")
             match event:
@@ -115,7 +115,7 @@
                     raise self.lost("read answer", "closed", True)
 
     async def whole_body(self) -> bytes:
-        """Read the whole body; one that is too long to be held counts as lost."""
+        """Read the whole body; one that is too long to buffer counts as lost."""
         body = bytearray()
         async for data in self.body():
             body += data
@@ -124,7 +124,7 @@
         return bytes(body)
 
     async def next_event(self, step: str) -> h11.Event | type[h11.PAUSED]:
-        """Return the next event that the upstream's bytes make."""
+        """Return the next event of the HTTP parser, reading bytes as needed."""
         try:
             while True:
                 event = self.parser.next_event()
@@ -136,7 +136,7 @@
             raise self.lost(step, detail, self.closed_by_upstream(error)) from error
 
     def closed_by_upstream(self, error: Exception) -> bool:
-        """Tell whether the upstream broke the exchange off, or ended meanwhile."""
+        """Return whether the upstream closed the connection or has restarted."""
         if self.dropped is not None:
             return self.upstream_restarted
         if isinstance(error, h11.RemoteProtocolError):
@@ -144,35 +144,35 @@
         return isinstance(error, ConnectionResetError | BrokenPipeError)
 
     async def read(self) -> bytes:
-        """Wait for bytes; raise `OSError` after a silence without excuse or a drop."""
+        """Wait for bytes; raise `OSError` after an unexcused silence or a drop."""
         data = await self.read_until_silent()
         if self.dropped is not None:
             raise ConnectionAbortedError(self.dropped)
         return data
 
     async def read_until_silent(self) -> bytes:
-        """Wait for bytes; raise `TimeoutError` after a silence without excuse."""
-        patience = self.max_silence_seconds
+        """Wait for bytes; raise `TimeoutError` after an unexcused silence."""
+        seconds = self.max_silence_seconds
         while True:
             try:
-                async with asyncio.timeout(patience):
+                async with asyncio.timeout(seconds):
                     return await self.reader.read(READ_BYTES)
             except TimeoutError:
-                patience = self.excused_seconds()
-                if not patience:
+                seconds = self.excused_seconds()
+                if not seconds:
                     raise
 
     def lost(
         self, step: str, detail: str, upstream_exited: bool = False
     ) -> UpstreamLostError:
-        """Return the error of this connection."""
+        """Return the error that reports the loss of this connection."""
         return UpstreamLostError(step, self.address, detail, upstream_exited)
 
     def can_be_reused(self) -> bool:
-        """Tell whether the exchange is over and left nothing behind.
+        """Return whether the exchange is complete and left no bytes behind.
 
-        Bytes after a complete answer belong to no request, and the next one would be
-        given them; a request body that is still being sent would be taken for it.
+        Bytes after a complete answer would be read as the answer to the next request; a
+        request body that is still being sent would be read as the next request.
         """
         states = self.parser.states
         return (
@@ -183,30 +183,30 @@
         )
 
     def prepare_next(self) -> None:
-        """Make ready for the next exchange."""
+        """Prepare the connection for the next exchange."""
         self.parser.start_next_cycle()
         self.excused_seconds = no_excuse
 
     def is_quiet(self) -> bool:
-        """Tell whether an idle connection has neither been closed nor been sent to."""
+        """Return whether an idle connection is open and has received no bytes."""
         return not (
             self.reader.at_eof()
-            or self.reader._buffer  # noqa: SLF001 - asyncio offers no other look at it
+            or self.reader._buffer  # noqa: SLF001 - asyncio has no public access to it
             or self.writer.transport.is_closing()
         )
 
     def drop(self, reason: str, upstream_restarted: bool = False) -> None:
-        """End an exchange from outside the task that reads its answer.
+        """Drop the connection from outside the task that reads the answer.
 
-        The task sees the end of the bytes, as it does where an answer without a length
-        is complete; what came until then must not be taken for the whole answer.
+        The task then sees the end of the data, which also completes an answer without a
+        content length; the partial answer must not be taken for a complete one.
         """
         self.dropped = reason
         self.upstream_restarted = upstream_restarted
         self.abort()
 
     def abort(self) -> None:
-        """Drop the connection, which makes the upstream drop the request."""
+        """Reset the connection, which makes the upstream cancel the request."""
         self.writer.transport.abort()
 
 
@@ -216,7 +216,7 @@
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Make silence show: without these, a dead peer is waited for without end."""
+    """Set options that detect a dead peer; without them, reads would wait forever."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Keep idle connections to upstreams for the next request."""
+"""Pool idle connections to upstreams."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,17 +10,16 @@
 from cowslipshelf_host.metrics import Metrics
 
 CONNECT_SECONDS = 0.6
-"""Time for a new connection: several round trips within a region, and less than the
-second after which a lost opening packet is sent again, so that another upstream is
-tried instead."""
+"""Timeout of a new connection: several round trips within a region, but less than the
+second after which a lost SYN is resent, so that another upstream is tried instead."""
 KEEP_ALIVE_SHARE = 0.4
-"""Part of the announced idle time for which a connection is used again: a request
-that crosses the upstream's close may or may not have run."""
+"""Share of the announced keep-alive time during which a connection is reused: if the
+upstream closes it while a request is sent, it is unknown whether the request ran."""
 DEFAULT_IDLE_SECONDS = 1.0
-"""Idle time for which a connection is used again where none is announced."""
+"""Idle time for which a connection is reused if no keep-alive time is announced."""
 MAX_IDLE_CONNECTIONS = 8
-"""Idle connections kept for one upstream, where its bound on all callers' connections
-leaves room for so many."""
+"""Idle connections kept per upstream, if its limit on connections from all callers
+allows as many."""
 CONNECTIONS_METRIC = "cowslipshelf_upstream_connections_total"
 
 
@@ -31,12 +30,12 @@
         self.idle: dict[UpstreamId, list[UpstreamConnection]] = {}
         self.metrics = metrics
         self.max_idle = max_idle
-        """Tells how many idle connections an upstream leaves to this gateway."""
+        """Returns how many idle connections to an upstream this gateway may keep."""
 
     async def acquire(
         self, upstream_id: UpstreamId, address: str, fresh: bool
     ) -> UpstreamConnection:
-        """Return a connection, a new one where a request must not meet a stale one."""
+        """Return a pooled connection, or a new one if none fits or `fresh` is set."""
         while not fresh and self.idle.get(upstream_id):
             connection = self.idle[upstream_id].pop()
             if is_usable(connection) and connection.address == address:
@@ -48,7 +47,7 @@
         return await UpstreamConnection.connect(address, CONNECT_SECONDS)
 
     def release(self, upstream_id: UpstreamId, connection: UpstreamConnection) -> None:
-        """Keep a connection whose exchange is over, or close it."""
+        """Return a connection to the pool after its exchange, or close it."""
         idle = self.idle.setdefault(upstream_id, [])
         most = min(MAX_IDLE_CONNECTIONS, self.max_idle(upstream_id))
         if not connection.can_be_reused() or len(idle) >= most:
@@ -58,14 +57,14 @@
         idle.append(connection)
 
     def close_stale(self) -> None:
-        """Close the connections that would not be used again."""
+        """Close the idle connections that are no longer usable."""
         for idle in self.idle.values():
             for connection in [each for each in idle if not is_usable(each)]:
                 idle.remove(connection)
                 connection.abort()
 
     def forget(self, upstream_id: UpstreamId) -> None:
-        """Close all connections to an upstream that has gone."""
+        """Close the idle connections to an upstream that is gone."""
         for connection in self.idle.pop(upstream_id, ()):
             connection.abort()
 
@@ -76,7 +75,7 @@
 
 
 def is_usable(connection: UpstreamConnection) -> bool:
-    """Tell whether an idle connection is still as it was left, and young enough."""
+    """Return whether an idle connection is open, silent and not idle for too long."""
     announced = connection.keep_alive_seconds
     longest = (
         DEFAULT_IDLE_SECONDS if announced is None else announced * KEEP_ALIVE_SHARE
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstreams_file.py
@@ -1,4 +1,4 @@
-"""Remember the upstreams over a restart, so that the first requests find them all."""
+"""Store the known upstreams, so that the first requests after a restart find them."""
 
 import time
 
@@ -12,39 +12,39 @@
 
 FILE_NAME = "upstreams"
 REFRESH_SECONDS = 20.0
-"""Age at which the file is written again although nothing in it has changed; a third
-of the age beyond which it isn't believed."""
+"""Age at which an unchanged file is written again; a third of the age beyond which it
+is ignored."""
 MAX_AGE_SECONDS = 60.0
-"""Age of the file beyond which it says nothing of the present. It goes by the time of
-day, which may be off by seconds."""
+"""Age beyond which the file is ignored. It is measured by the system clock, which may
+be off by seconds."""
 
 
 class UpstreamsDocument(msgspec.Struct, frozen=True, array_like=True):
-    """Be the upstreams that a gateway knew."""
+    """Hold the upstreams that a gateway knew."""
 
     written_at: float
-    """Seconds since 1970."""
+    """Unix time in seconds."""
     seen: tuple[HeartbeatSeen, ...]
 
 
 class UpstreamsFile(HintFile[UpstreamsDocument]):
-    """Own one file in the data folder; what is in it is a hint and may be lost.
+    """Manage the file of known upstreams in the data folder; it may be lost.
 
-    After all gateways were killed at once, each upstream is heard of only with its
-    next heartbeat; until then all requests would go to the few that were first. An
-    upstream that has gone meanwhile costs one failed attempt.
+    After all gateways were killed at once, each upstream becomes known only by its next
+    heartbeat; without the file, all requests would go to the first few until then. An
+    upstream that has left meanwhile costs one failed attempt.
 
-    The file is synced. Written without, a loss of power tore it or brought back one of
-    fifteen seconds before, which named engines that had left since; gossip spread them,
-    and callers' attempts waited 0.6 s for each. Of all attempts in the first six
-    seconds after such a loss 53 failed in three plays of one day, 10 with the sync.
+    The file is synced. Without a sync, a power loss corrupted it or restored one that
+    was fifteen seconds old and named engines that had left since; gossip spread them,
+    and callers' attempts waited 0.6 s for each. In three simulations of one day, 53
+    attempts failed in the first six seconds after a power loss, and 10 with the sync.
     """
 
     def __init__(self, folder: str) -> None:
         super().__init__(folder, FILE_NAME, UpstreamsDocument)
 
     def read(self) -> tuple[HeartbeatSeen, ...]:
-        """Return what was written last, or nothing."""
+        """Return what was written last, or nothing if it is too old."""
         document = self.read_document()
         if document is None:
             return ()
@@ -55,7 +55,7 @@
         return document.seen
 
     def write_soon(self, seen: tuple[HeartbeatSeen, ...]) -> None:
-        """Write what has changed."""
+        """Begin to write the upstreams if they changed or the file is old."""
         if self.is_writing():
             return
         phases = frozenset(restart_key(each) for each in seen)
@@ -66,5 +66,5 @@
 
 
 def restart_key(seen: HeartbeatSeen) -> tuple[str, int, str]:
-    """Return what a restart goes by: the start of an upstream, and its phase."""
+    """Return what matters to a restart: an upstream's start and phase."""
     return seen.heartbeat.upstream_id, seen.began_ms, seen.heartbeat.phase
