--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
@@ -14,8 +14,8 @@
 """Longest answer or event that is buffered; twice the largest request body."""
 UNACKNOWLEDGED_MILLISECONDS = 3_000
 """Time after which the kernel drops a connection with unacknowledged data: a machine
-that lost power or was partitioned sends no reset. It exceeds the time that a packet needs
-to arrive after it was lost twice."""
+that lost power or was partitioned sends no reset. It exceeds the time that a packet
+needs to arrive after it was lost twice."""
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 3
 
--- a/tests/common/crashing_upstreams.py
+++ b/tests/common/crashing_upstreams.py
@@ -1,4 +1,4 @@
-"""Run upstreams whose process ends under one body and starts again soon after."""
+"""Run upstreams that crash under a fatal request and restart soon after."""
 
 import socket
 import struct
@@ -12,15 +12,15 @@
 from common.scripted_upstream import Exchange, ScriptedUpstream
 
 FATAL = b"fatal"
-"""Ends each upstream that runs it."""
+"""Body that crashes each upstream that runs it."""
 RESTART_SECONDS = 1.5
 RUN_SECONDS = 0.05
-"""Time for which a request runs before its upstream ends or answers."""
+"""Time for which a request runs before its upstream crashes or answers."""
 RESET = struct.pack("ii", 1, 0)
 
 
 class Arrival(NamedTuple):
-    """Be a fatal request that reached an upstream."""
+    """Hold a fatal request that reached an upstream."""
 
     at: float
     upstream_id: str
@@ -29,17 +29,17 @@
 
 @dataclass
 class CrashingUpstream(ScriptedUpstream):
-    """Be one start of an upstream; its connections end with it."""
+    """Run one start of an upstream, whose connections end with it."""
 
     connections: list[socket.socket] = field(default_factory=list)
 
     def serve(self, connection: socket.socket) -> None:
-        """Remember a connection, to end it with the process."""
+        """Serve a connection, and remember it to end it in a crash."""
         self.connections.append(connection)
         super().serve(connection)
 
     def end(self) -> None:
-        """End as a process does: nothing listens, and every peer is reset."""
+        """Crash as a process does: stop listening, and reset every connection."""
         self.stop()
         for connection in self.connections:
             try:
@@ -50,7 +50,7 @@
 
 
 class CrashingUpstreams:
-    """Own the upstreams of a service, and judge what reaches them."""
+    """Run the upstreams of a service, and record the fatal requests they get."""
 
     def __init__(
         self, fleet: Fleet, count: int, is_fatal: Callable[[Exchange], bool]
@@ -67,7 +67,7 @@
             self.start()
 
     def start(self) -> None:
-        """Start an upstream under a new id, and let it be heard of."""
+        """Start an upstream with a new id, and send its heartbeat."""
         with self.lock:
             self.starts += 1
             name = f"u-{self.starts}"
@@ -77,13 +77,13 @@
         self.send_heartbeats(upstream)
 
     def send_heartbeats(self, *upstreams: CrashingUpstream) -> None:
-        """Let some upstreams be heard of by each gateway, or all that run."""
+        """Send heartbeats of the given upstreams, or of all, to each gateway."""
         for upstream in upstreams or tuple(self.running):
             for gateway in self.fleet.gateways:
                 upstream.send_heartbeat(gateway.control)
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer, or end under a fatal request."""
+        """Answer, or crash under a fatal request."""
         request, upstream = exchange.request, exchange.upstream
         stream = request.target.startswith("/stream/")
         fatal = self.is_fatal(exchange)
@@ -108,7 +108,7 @@
             exchange.answer(200, b"hello")
 
     def end(self, upstream: CrashingUpstream) -> None:
-        """End an upstream once, and start it again after a while."""
+        """Crash an upstream once, and restart one after a while."""
         with self.lock:
             if upstream.stopped.is_set():
                 return
@@ -119,15 +119,15 @@
             threading.Timer(RESTART_SECONDS, self.start_again).start()
 
     def start_again(self) -> None:
-        """Start one again, unless the test is over."""
+        """Start another upstream, unless the test is over."""
         if not self.stopping.is_set():
             self.start()
 
     def stop(self) -> None:
-        """Start no more of them."""
+        """Start no more upstreams."""
         self.stopping.set()
 
     def arrived_after(self, moment: float) -> int:
-        """Count the fatal requests that reached an upstream after a moment."""
+        """Count the fatal requests that reached an upstream after a given time."""
         with self.lock:
             return sum(arrival.at > moment for arrival in self.arrivals)
--- a/tests/common/forwarder.py
+++ b/tests/common/forwarder.py
@@ -1,4 +1,4 @@
-"""Forward TCP connections to a target, and let them fail in chosen ways."""
+"""Forward TCP connections to a target, and inject failures."""
 
 import socket
 from contextlib import suppress
@@ -17,11 +17,11 @@
 
 
 class ForwardedConnection:
-    """Be one connection through the forwarder; its methods may be called any time.
+    """Forward one connection; its methods may be called at any time.
 
-    A silent connection takes no more bytes and passes none on, not even its end,
-    and shows no error: what is lost between two ends that have been forgotten by
-    something between them. After `resume` the bytes that waited are passed on.
+    A silent connection reads and forwards no bytes, not even its end, and reports no
+    error, like one that a firewall between its ends has dropped from its state table.
+    After `resume`, the pending bytes are forwarded.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self.changed = Condition()
 
     def start(self) -> None:
-        """Begin to pass bytes on."""
+        """Start to forward bytes."""
         caller, target, limits = self.caller, self.target, self.limits
         for direction in (
             (caller, target, limits.after_caller_bytes),
@@ -45,12 +45,12 @@
             Thread(target=self.pump, args=direction, daemon=True).start()
 
     def silence(self) -> None:
-        """Stop passing bytes on, in both directions."""
+        """Stop forwarding bytes, in both directions."""
         with self.changed:
             self.silent = True
 
     def resume(self) -> None:
-        """Pass on what waited, and what follows."""
+        """Forward the pending bytes, and those that follow."""
         with self.changed:
             self.silent = False
             self.changed.notify_all()
@@ -66,7 +66,7 @@
     def pump(
         self, source: socket.socket, sink: socket.socket, limit: int | None
     ) -> None:
-        """Pass bytes on in one direction until the end, or until the limit."""
+        """Forward bytes in one direction until the end, or until the limit."""
         left = limit
         with suppress(OSError):
             while left is None or left > 0:
@@ -81,7 +81,7 @@
             self.cut()
 
     def wait_until_passing(self) -> bool:
-        """Wait while silent; tell whether the connection is still open."""
+        """Wait while silent; return whether the connection is still open."""
         with self.changed:
             self.changed.wait_for(lambda: not self.silent or self.closed)
             delay, open_still = self.delay_seconds, not self.closed
@@ -90,7 +90,7 @@
 
 
 class CutLimits:
-    """Say after how many bytes of either side new connections are cut."""
+    """Hold the number of bytes of either side after which connections are cut."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
         self.stop()
 
     def accept_all(self) -> None:
-        """Forward every connection that comes, until stopped."""
+        """Forward every new connection until stopped."""
         with suppress(OSError):
             while True:
                 caller, _ = self.listener.accept()
@@ -137,7 +137,7 @@
         for end in (caller, target):
             end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ForwardedConnection(caller, target, self.limits)
-        # Listed first: a test that got an answer may cut all connections at once.
+        # It is listed first: a test that got an answer may cut all connections at once.
         self.connections.append(connection)
         connection.start()
 
@@ -147,7 +147,7 @@
             connection.silence()
 
     def resume_existing(self) -> None:
-        """Let every silent connection pass bytes on again."""
+        """Resume every silent connection."""
         for connection in list(self.connections):
             connection.resume()
 
@@ -157,7 +157,7 @@
             connection.cut()
 
     def delay_existing(self, seconds: float) -> None:
-        """Hold each piece of every present connection back for a time."""
+        """Delay each piece on every present connection."""
         for connection in list(self.connections):
             connection.delay_seconds = seconds
 
--- a/tests/common/gateway_fleet.py
+++ b/tests/common/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Run gateways as real processes on loopback addresses, as the machines would."""
+"""Run gateways as real processes on loopback addresses."""
 
 import os
 import re
@@ -24,7 +24,7 @@
 
 
 class Ports(NamedTuple):
-    """Be the ports that all machines of a fleet use."""
+    """Hold the ports that all gateways of a fleet use."""
 
     callers: int
     ready: int
@@ -36,16 +36,16 @@
 def own_hosts(count: int) -> list[str]:
     """Return loopback addresses that no other test process uses.
 
-    Gateways listen at one port on several addresses, and a port can't be held for
-    them until they have started: two test processes that shared addresses drew the
-    same one at the same moment, and one of the fleets did not start.
+    Gateways listen on the same port at several addresses, and the port can't be
+    reserved until they start: two test processes that shared addresses drew the same
+    port at the same time, and one of the fleets did not start.
     """
     high, low = divmod(os.getpid() % 32_512, 256)
     return [f"127.{high + 1}.{low}.{FIRST_HOST + number}" for number in range(count)]
 
 
 def free_ports(hosts: list[str]) -> Ports:
-    """Return ports that are free at every address; the kernel draws them."""
+    """Return ports, chosen by the kernel, that are free at every address."""
     while True:
         held = []
         try:
@@ -66,7 +66,7 @@
 
 @dataclass
 class GatewayProcess:
-    """Be one gateway, which may be killed and started again."""
+    """Run one gateway, which may be killed and restarted."""
 
     folder: Path
     host: str
@@ -74,8 +74,8 @@
     seeds: list[str]
     holds_replica: bool = True
     replica_in_memory: bool = False
-    most_sync_seconds: float = 0.0
-    """Time that a sync of its disk takes at most; none is slowed at zero."""
+    max_sync_seconds: float = 0.0
+    """Maximum time of a disk sync; zero does not slow syncs."""
     process: subprocess.Popen | None = None
 
     @property
@@ -113,8 +113,8 @@
         log.close()
 
     def slowed(self) -> dict[str, str]:
-        """Return the environment in which syncs are slow, if they are to be."""
-        if not self.most_sync_seconds:
+        """Return the environment variables that slow disk syncs, if configured."""
+        if not self.max_sync_seconds:
             return {}
         paths = (
             str(Path(__file__).parent / "slow_syncs"),
@@ -122,11 +122,11 @@
         )
         return {
             "PYTHONPATH": os.pathsep.join(filter(None, paths)),
-            "COWSLIPSHELF_TEST_SYNC_SECONDS": str(self.most_sync_seconds),
+            "COWSLIPSHELF_TEST_SYNC_SECONDS": str(self.max_sync_seconds),
         }
 
     def settings(self, first: bool) -> str:
-        """Write the settings as the machines do."""
+        """Return the contents of the settings file."""
         seeds = ", ".join(f'"{seed}:{self.ports.control}"' for seed in self.seeds)
         disk = f'data_dir = "{self.folder / "data"}"\n' if self.holds_replica else ""
         if self.replica_in_memory:
@@ -147,23 +147,23 @@
         return f"{self.host}:{self.ports.metrics}"
 
     def voters(self) -> int:
-        """Return how many voters its replica counts; zero where that is not shown."""
+        """Return the number of voters in its metrics, or zero if it is not shown."""
         _, text = call(self.metrics, "GET", "/metrics")
         shown = re.search(rb"^cowslipshelf_replica_voters (\d+)", text, re.MULTILINE)
         return int(shown[1]) if shown else 0
 
     def is_ready(self) -> bool:
-        """Ask whether callers should be sent to it."""
+        """Return whether its readiness probe succeeds."""
         status, _ = call(f"{self.host}:{self.ports.ready}", "GET", "/api/ready")
         return status == 200
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
     def ask_to_end(self) -> None:
-        """Send the signal to end."""
+        """Send the shutdown signal."""
         self.process.send_signal(signal.SIGTERM)
 
     def wipe(self) -> None:
@@ -172,7 +172,7 @@
 
 
 class Fleet(NamedTuple):
-    """Be some gateways with one configuration."""
+    """Hold some gateways with a common configuration."""
 
     gateways: list[GatewayProcess]
 
@@ -181,7 +181,7 @@
         return call(self.gateways[at].control, "PUT", "/api/config", document)[0]
 
     def accept(self, document: dict) -> None:
-        """Have a configuration accepted and in force at every gateway."""
+        """Put a configuration and wait until it is in force at every gateway."""
         turn = iter(range(10_000))
         wait_for(lambda: self.put(document, next(turn) % len(self.gateways)) == 200)
         for gateway in self.gateways:
@@ -189,8 +189,8 @@
 
 
 def serves(gateway: GatewayProcess, version: int) -> bool:
-    """Tell whether a gateway has a version in force, by the route named for it."""
-    # The address for callers is the last that a gateway listens at.
+    """Return whether a gateway has a version in force, by the route named after it."""
+    # The gateway listens on the callers' address last.
     try:
         return ask(gateway, f"/version-{version}/x").status != 404
     except ConnectionRefusedError:
@@ -198,7 +198,7 @@
 
 
 def document(version: int, *routes: dict, services=("plain", "engine")) -> dict:
-    """Write a configuration; each version has a route of its own to be known by."""
+    """Return a configuration with a route that identifies its version."""
     mark = route(f"/version-{version}/", service=services[0], public=True)
     return {
         "version": version,
@@ -209,7 +209,7 @@
 
 
 def route(prefix: str, **changes) -> dict:
-    """Write a route."""
+    """Return a route of a configuration."""
     return {
         "name": prefix,
         "host": HOST,
@@ -229,7 +229,7 @@
     body: bytes | None = None,
     **headers: str,
 ) -> HTTPResponse:
-    """Make one caller's request; the answer's body is still to be read."""
+    """Send a caller's request; the body of the answer is not read yet."""
     connection = HTTPConnection(gateway.host, gateway.ports.callers, timeout=20)
     sent = {
         "Host": HOST,
@@ -246,11 +246,11 @@
     folder: Path,
     size: int = 3,
     in_memory: int | None = None,
-    most_sync_seconds: float = 0.0,
+    max_sync_seconds: float = 0.0,
 ) -> Iterator[Fleet]:
-    """Run gateways with replicas until the test is over.
+    """Run gateways with replicas until the test ends.
 
-    With `in_memory`, none has a disk, and so many hold a replica from the start on.
+    With `in_memory`, none has a disk, and that many hold a replica from the start.
     """
     hosts = own_hosts(size + 1)
     ports = free_ports(hosts)
@@ -258,7 +258,7 @@
         GatewayProcess(folder / host, host, ports, hosts[:3]) for host in hosts[:size]
     ]
     for number, gateway in enumerate(gateways):
-        gateway.most_sync_seconds = most_sync_seconds
+        gateway.max_sync_seconds = max_sync_seconds
         if in_memory is not None:
             gateway.holds_replica = False
             gateway.replica_in_memory = number < in_memory
@@ -273,7 +273,7 @@
 
 
 def send_heartbeats(fleet: Fleet, *upstreams: ScriptedUpstream) -> None:
-    """Let upstreams send a heartbeat to each gateway."""
+    """Send a heartbeat of each upstream to each gateway."""
     for gateway in fleet.gateways:
         for upstream in upstreams:
             wait_for(lambda g=gateway, u=upstream: u.send_heartbeat(g.control) == 200)
--- a/tests/common/scripted_upstream.py
+++ b/tests/common/scripted_upstream.py
@@ -1,4 +1,4 @@
-"""Be an upstream that answers as a test says, on a real socket."""
+"""Run an upstream on a real socket that answers as a test's script says."""
 
 import json
 import socket
@@ -12,7 +12,7 @@
 
 
 class SeenRequest(NamedTuple):
-    """Be a request as the upstream got it."""
+    """Hold a request as the upstream received it."""
 
     method: str
     target: str
@@ -21,7 +21,7 @@
 
 
 class Exchange:
-    """Be one request with the connection on which it came."""
+    """Hold one request and the connection on which it arrived."""
 
     def __init__(self, upstream: "ScriptedUpstream", connection: socket.socket) -> None:
         self.upstream = upstream
@@ -30,7 +30,7 @@
         self.request: SeenRequest | None = None
 
     def answer(self, status: int, body: bytes = b"", **headers: str) -> None:
-        """Send a whole answer, signed as the upstream's own."""
+        """Send a complete answer with the upstream's signature headers."""
         fields = {"Content-Length": str(len(body))} | self.signature() | headers
         self.connection.sendall(head(status, fields) + body)
 
@@ -43,7 +43,7 @@
         self.connection.sendall(head(200, fields))
 
     def chunk(self, data: bytes) -> None:
-        """Send a piece of a stream."""
+        """Send one chunk of a stream."""
         self.connection.sendall(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end_stream(self) -> None:
@@ -58,7 +58,7 @@
         self.connection.close()
 
     def wait_until_caller_left(self, seconds: float) -> bool:
-        """Return whether the other side closes within a time."""
+        """Return whether the other side closes the connection in time."""
         self.connection.settimeout(seconds)
         try:
             return self.connection.recv(1) == b""
@@ -76,7 +76,7 @@
 
 
 def head(status: int, headers: dict[str, str]) -> bytes:
-    """Write the head of an answer."""
+    """Return the encoded head of an answer."""
     lines = [f"HTTP/1.1 {status} Said"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
@@ -84,7 +84,7 @@
 
 @dataclass
 class ScriptedUpstream:
-    """Own a listening socket, and a thread for each connection."""
+    """Listen on a socket, with a thread for each connection."""
 
     upstream_id: str
     service: str
@@ -92,7 +92,7 @@
     seen: list[SeenRequest] = field(default_factory=list)
     sequence: int = 0
     born: int | None = None
-    """Milliseconds since 1970 at which it began, if it tells."""
+    """Reported start time, as Unix time in milliseconds, or None."""
 
     def __post_init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -112,7 +112,7 @@
             threading.Thread(target=self.serve, args=(connection,), daemon=True).start()
 
     def serve(self, connection: socket.socket) -> None:
-        """Answer the requests of one connection, one after the other."""
+        """Answer the requests of one connection in order."""
         exchange = Exchange(self, connection)
         try:
             while (request := read_request(exchange.reader)) is not None:
@@ -123,7 +123,7 @@
             return
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self.stopped.set()
         self.listener.close()
 
@@ -133,11 +133,11 @@
         return self.put_heartbeat(control, self.heartbeat(state))
 
     def put_heartbeat(self, control: str, body: object) -> int:
-        """Send anything in place of a heartbeat; return the answer's status."""
+        """Send any body as a heartbeat; return the answer's status."""
         return call(control, "PUT", f"/api/runners/{self.upstream_id}", body)[0]
 
     def heartbeat(self, state: str = "ready") -> dict:
-        """Say of itself what a heartbeat holds."""
+        """Return the fields of a heartbeat."""
         started = {} if self.born is None else {"born": self.born}
         return started | {
             "service": self.service,
@@ -152,7 +152,7 @@
 
 
 def read_request(reader) -> SeenRequest | None:
-    """Read one request; return nothing at the end of the connection."""
+    """Read one request; return None at the end of the connection."""
     line = reader.readline().decode().split()
     if len(line) != 3:
         return None
@@ -165,7 +165,7 @@
 
 
 def call(address: str, method: str, path: str, body=None) -> tuple[int, bytes]:
-    """Make one call with a JSON body; return its status and body."""
+    """Send a request with a JSON body; return the status and body of the answer."""
     host, _, port = address.partition(":")
     connection = HTTPConnection(host, int(port), timeout=10)
     try:
--- a/tests/common/slow_disks.py
+++ b/tests/common/slow_disks.py
@@ -1,4 +1,4 @@
-"""Run replicas whose disks take their time, as the daemon's actor runs them."""
+"""Simulate replicas with slow disks, scheduled as the daemon's actor runs them."""
 
 from collections import deque
 from collections.abc import Callable
@@ -33,12 +33,12 @@
 
 @dataclass
 class SlowNode:
-    """Be one replica, which handles nothing while its disk is at work."""
+    """Hold one replica, which handles no events while its disk is writing."""
 
     replica: Replica
     inbox: deque[tuple[float, Event]] = field(default_factory=deque)
     held: list[Effect] = field(default_factory=list)
-    """What is performed once the batch before is durable."""
+    """Effects to perform once the last batch is durable."""
     began: float = 0.0
     busy_until: float | None = None
     with_vote: bool = False
@@ -47,12 +47,12 @@
 
 @dataclass
 class SlowFleet:
-    """Let replicas found a cluster over disks of which each has its own pace."""
+    """Simulate replicas that bootstrap a cluster on disks of different speeds."""
 
     nodes: dict[str, SlowNode]
     random: Random
     sync_seconds: Callable[[str, float], float]
-    """Time of one sync, by instance and time of day."""
+    """Duration of one sync, by instance and simulated time."""
     now: float = 0.0
     leaders: dict[int, str] = field(default_factory=dict)
     role_changes: list[tuple[float, str, Role]] = field(default_factory=list)
@@ -64,7 +64,7 @@
     def of_size(
         cls, size: int, seed: int, sync_seconds: Callable[[str, float], float]
     ) -> "SlowFleet":
-        """Begin with empty disks; the first replica founds."""
+        """Create replicas with empty disks; the first one bootstraps the cluster."""
         names = tuple(f"replica-{number}" for number in range(size))
         config = ReplicaConfig(
             names,
@@ -85,16 +85,16 @@
         return fleet
 
     def put(self, name: str, event: Event, delay: float) -> None:
-        """Let an event come at a replica, if it is there."""
+        """Deliver an event to a replica after a delay, if the replica exists."""
         if name in self.nodes:
             self.nodes[name].inbox.append((self.now + delay, event))
 
     def propose(self, name: str, proposal_id: str) -> None:
-        """Propose a command at a replica."""
+        """Propose a command to a replica."""
         self.put(name, CommandProposed(proposal_id, b"x", 0.0), 0.0)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += STEP_SECONDS
@@ -102,7 +102,7 @@
                 self.step(name, node)
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> float:
-        """Return after how many seconds a condition holds; fail where it never does."""
+        """Run until a condition holds; return the time taken, or fail after a limit."""
         began = self.now
         while not condition():
             assert self.now - began < seconds, self.describe()
@@ -110,7 +110,7 @@
         return self.now - began
 
     def step(self, name: str, node: SlowNode) -> None:
-        """Let a replica handle what waits, unless its disk is at work."""
+        """Let a replica handle its pending events, unless its disk is writing."""
         if node.busy_until is not None:
             if self.now < node.busy_until:
                 return
@@ -132,7 +132,7 @@
             self.finish(name, node)
 
     def waiting(self, node: SlowNode) -> list[Event]:
-        """Take what has come, and a tick where one is due."""
+        """Remove and return the events that have arrived, with a tick if one is due."""
         events: list[Event] = []
         if self.now >= node.tick_due:
             node.tick_due = self.now + TICK_SECONDS
@@ -142,7 +142,7 @@
         return events
 
     def finish(self, name: str, node: SlowNode) -> None:
-        """Perform what follows from a batch that is durable."""
+        """Perform the effects of a batch that is durable."""
         if any(isinstance(e, Persist | SaveSnapshot) for e in node.held):
             node.replica.sync_ended(self.now - node.began, node.with_vote)
         effects, node.held, node.busy_until = node.held, [], None
@@ -150,7 +150,7 @@
             self.perform(name, effect)
 
     def perform(self, name: str, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Perform one effect."""
         match effect:
             case SendTo(instance, message):
                 self.put(instance, PeerMessageArrived(name, message), LINK_SECONDS)
@@ -165,7 +165,7 @@
                     assert self.leaders.setdefault(term, name) == name
 
     def leader(self) -> str | None:
-        """Return the replica that leads in the latest term, if one does."""
+        """Return the leader of the latest term, if there is one."""
         leading = {
             status.term: name
             for name, node in self.nodes.items()
@@ -174,19 +174,19 @@
         return leading[max(leading)] if leading else None
 
     def voters(self) -> int:
-        """Return how many voters the leader counts."""
+        """Return the leader's number of voters."""
         leader = self.leader()
         if leader is None:
             return 0
         return len(self.nodes[leader].replica.status().membership.voters)
 
     def describe(self) -> str:
-        """Tell what happened, for a test that fails."""
+        """Return a summary for a failed assertion."""
         return f"at {self.now:.1f} s, {self.voters()} voters: {self.role_changes[-30:]}"
 
 
 def any_entries(writes: list[Persist | SaveSnapshot]) -> bool:
-    """Tell whether the log itself is written."""
+    """Return whether the log itself is written."""
     return any(
         isinstance(each, SaveSnapshot) or each.entries or each.truncate_from
         for each in writes
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -1,4 +1,4 @@
-"""Play gateways whose messages take the time that their links need, on a clock."""
+"""Simulate gateways on slow links, on a simulated clock."""
 
 import asyncio
 import heapq
@@ -24,12 +24,12 @@
 from cowslipshelf_host.metrics import Metrics
 
 DATA_CENTRES = ("first", "second", "third")
-WAY_SECONDS = 0.001
+LATENCY_SECONDS = 0.001
 NAME_CHARACTERS = "abcdefghijklmnopqrstuvwxyz0123456789"
 
 
 def many_routes(version: int, count_of_routes: int) -> bytes:
-    """Write a configuration whose names are as random as operators' own."""
+    """Return a configuration with names as random as those of operators."""
     random = Random(1)
 
     def name() -> str:
@@ -58,7 +58,7 @@
 
 
 def accepted(body: bytes) -> RoutesDocument:
-    """Return a configuration as the gateway that takes it has it accepted."""
+    """Return a configuration as a gateway submits it to the replicas."""
     commands: list[PutRoutes] = []
 
     async def change(command: PutRoutes) -> RoutesHeld:
@@ -81,7 +81,7 @@
 
 
 class Clock:
-    """Stand in for the module `time` where a part asks it for the time."""
+    """Replace the module `time` in the simulated modules."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -91,7 +91,7 @@
 
 
 class Link:
-    """Be one machine's link, which carries one byte after the other each way."""
+    """Simulate one machine's link of limited bandwidth in each direction."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self.bytes_per_second = bytes_per_second
@@ -111,7 +111,7 @@
 
 
 class LinkPost:
-    """Send a gateway's messages over its link."""
+    """Send a gateway's messages over its simulated link."""
 
     def __init__(self, world: "SlowLinkFleet", instance: str) -> None:
         self.world = world
@@ -131,18 +131,18 @@
 
 
 class SlowLinkFleet:
-    """Hold gateways, some with a replica, and what is under way between them."""
+    """Simulate gateways, some with a replica, and the messages between them."""
 
     def __init__(self, monkeypatch, replicas: int, others: int, rate: float) -> None:
         self.clock = Clock()
         for module in (gossip, fleet_view, routes_exchange):
             monkeypatch.setattr(module, "time", self.clock)
-        self.under_way: list = []
+        self.pending: list = []
         self.order = count()
         self.links: dict[str, Link] = {}
         self.gateways: dict[str, Gossip] = {}
         self.copies: dict[int, Counter] = defaultdict(Counter)
-        """Copies of each version that each gateway got from another one."""
+        """Number of copies of each version that each gateway received from others."""
         self.in_force_at: dict[tuple[str, int], float] = {}
         names = [f"10.0.0.{number + 1}" for number in range(replicas + others)]
         self.replicas = names[:replicas]
@@ -157,51 +157,53 @@
             view = FleetView.from_settings(settings)
             post = LinkPost(self, name)
             self.gateways[name] = Gossip(view, post, None, MachinesDialect(), Metrics())
-            # They don't all speak at the same moment.
-            self.at(self.clock.now + number * 0.01, self.speak, name)
+            # The gateways don't all send at the same time.
+            self.schedule(self.clock.now + number * 0.01, self.send_periodically, name)
 
-    def at(self, when: float, act, *arguments) -> None:
-        heapq.heappush(self.under_way, (when, next(self.order), act, arguments))
+    def schedule(self, when: float, act, *arguments) -> None:
+        heapq.heappush(self.pending, (when, next(self.order), act, arguments))
 
-    def speak(self, name: str) -> None:
+    def send_periodically(self, name: str) -> None:
         self.gateways[name].tick()
-        self.at(self.clock.now + ALIVE_INTERVAL_SECONDS, self.speak, name)
+        self.schedule(
+            self.clock.now + ALIVE_INTERVAL_SECONDS, self.send_periodically, name
+        )
 
     def carry(self, post: LinkPost, receiver: str, message, size: int) -> None:
         sent = self.links[post.instance].send(size, self.clock.now)
         delivered = Delivered(post.instance, post.address, message)
-        self.at(sent + WAY_SECONDS, self.arrive, receiver, delivered, size)
+        self.schedule(sent + LATENCY_SECONDS, self.arrive, receiver, delivered, size)
 
     def arrive(self, receiver: str, delivered: Delivered, size: int) -> None:
         whole = self.links[receiver].receive(size, self.clock.now)
-        self.at(whole, self.take, receiver, delivered)
+        self.schedule(whole, self.receive, receiver, delivered)
 
-    def take(self, receiver: str, delivered: Delivered) -> None:
+    def receive(self, receiver: str, delivered: Delivered) -> None:
         match delivered.message:
             case RoutesSnapshot(document=document):
                 self.copies[document.version][receiver] += 1
         self.gateways[receiver].receive(delivered)
-        self.note(receiver)
+        self.record_in_force(receiver)
 
-    def note(self, name: str) -> None:
+    def record_in_force(self, name: str) -> None:
         version = self.gateways[name].view.document.version
         self.in_force_at.setdefault((name, version), self.clock.now)
 
     def commit(self, document: RoutesDocument) -> None:
-        """Have every replica apply a configuration now."""
+        """Apply a configuration at every gateway with a replica now."""
         for name in self.replicas:
             self.gateways[name].routes.apply_routes(document)
-            self.note(name)
+            self.record_in_force(name)
 
     def run(self, seconds: float) -> None:
         ends = self.clock.now + seconds
-        while self.under_way and self.under_way[0][0] <= ends:
-            self.clock.now, _, act, arguments = heapq.heappop(self.under_way)
+        while self.pending and self.pending[0][0] <= ends:
+            self.clock.now, _, act, arguments = heapq.heappop(self.pending)
             act(*arguments)
         self.clock.now = ends
 
     def received(self) -> int:
-        """Return the bytes that the gateways without a replica got."""
+        """Return the number of bytes received by the gateways without a replica."""
         return sum(
             link.received
             for name, link in self.links.items()
@@ -209,7 +211,7 @@
         )
 
     def last_in_force(self, version: int) -> float:
-        """Return when the last gateway had a version, or a later one, in force."""
+        """Return when the last gateway had a version or a newer one in force."""
         return max(
             min(
                 (
@@ -224,13 +226,13 @@
 
 
 def replica_that_holds(document: RoutesDocument, post) -> SimpleNamespace:
-    """Return what a replica answers questions from, once it holds a configuration."""
+    """Return the parts of a replica that answer queries about a configuration."""
     state = ControlState()
     state.apply(PutRoutes(document), 1, 0.0)
     return SimpleNamespace(state=state, post=post)
 
 
 def answer_of(replica: SimpleNamespace, question: FetchRoutes) -> None:
-    """Have a replica answer a question that a quorum has confirmed."""
+    """Let a replica answer a query that a quorum has confirmed."""
     asked = Delivered("10.0.0.9", "10.0.0.9:7000", question)
     ReplicaActor.answer_routes(replica, asked, True)
--- a/tests/common/slow_syncs/sitecustomize.py
+++ b/tests/common/slow_syncs/sitecustomize.py
@@ -1,17 +1,17 @@
-"""Make each sync of a process slow; Python loads this where it is on the path."""
+"""Slow down the disk syncs of a process; Python loads this module from the path."""
 
 import os
 import random
 import time
 
-MOST_SECONDS = float(os.environ.get("COWSLIPSHELF_TEST_SYNC_SECONDS", "0"))
+MAX_SECONDS = float(os.environ.get("COWSLIPSHELF_TEST_SYNC_SECONDS", "0"))
 
 
 def slowed(sync):
-    """Let a sync take from a half of the time up to the whole."""
+    """Return a sync that is delayed by half to all of the maximum time."""
 
     def slow_sync(descriptor):
-        time.sleep(random.uniform(MOST_SECONDS / 2, MOST_SECONDS))
+        time.sleep(random.uniform(MAX_SECONDS / 2, MAX_SECONDS))
         return sync(descriptor)
 
     return slow_sync
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -1,4 +1,4 @@
-"""Check what a gateway tells the others of the attempts that it runs."""
+"""Check how a gateway runs attempts, and what it reports about them."""
 
 import asyncio
 import time
@@ -36,8 +36,8 @@
 HEADERS = [(b"x-attempt-id", b"a-1")]
 
 
-class SilentResponder:
-    """Take an answer and show it to nobody."""
+class NullResponder:
+    """Accept an answer and discard it."""
 
     begun = False
 
@@ -51,8 +51,8 @@
         return None
 
 
-class PlayedConnection:
-    """Answer with a head and some pieces, and perhaps break."""
+class FakeConnection:
+    """Answer with a head and some body pieces, and optionally break off."""
 
     def __init__(self, status: int, *pieces: bytes, breaks: bool = False) -> None:
         self.status = status
@@ -87,13 +87,13 @@
         return None
 
 
-class PlayedPool:
-    """Give one connection after the other."""
+class FakePool:
+    """Hand out the given connections in order."""
 
-    def __init__(self, *connections: PlayedConnection) -> None:
+    def __init__(self, *connections: FakeConnection) -> None:
         self.connections = list(connections)
 
-    async def acquire(self, upstream_id, address, fresh) -> PlayedConnection:
+    async def acquire(self, upstream_id, address, fresh) -> FakeConnection:
         return self.connections.pop(0)
 
     def release(self, upstream_id, connection) -> None:
@@ -112,21 +112,21 @@
         CallerFacts("a-1", None, None, None, None),
         route(kind=RouteKind.STREAM, resumable=True),
         None,
-        SilentResponder(),
+        NullResponder(),
         DeliveryProgress(None),
         time.monotonic() + 5.0,
         JudgedRequest("a-1", "digest-1", None),
     )
 
 
-def run(*connections: PlayedConnection):
-    """Run an attempt for each connection; return the outcomes and what was told."""
+def run(*connections: FakeConnection):
+    """Run one attempt per connection; return the outcomes and the work changes."""
 
     async def attempts():
         view = FleetView.from_settings(GATEWAY_SETTINGS)
         told: list[WorkChanged] = []
         view.on_work_changed = told.append
-        runner = AttemptRunner(view, PlayedPool(*connections), MachinesDialect())
+        runner = AttemptRunner(view, FakePool(*connections), MachinesDialect())
         shared = task()
         outcomes = [
             await runner.run(shared, placement(f"w-{number}"))
@@ -138,14 +138,14 @@
 
 
 def test_a_moved_stream_tells_its_first_token_at_each_engine():
-    """An engine is taken for reading until the stream that was moved to it ends.
+    """Guards against an engine that counts as prefilling until a resumed stream ends.
 
-    The first engine breaks off; the stream goes on at another one. Whoever is placed
-    meanwhile keeps off that one, as if its prompt were still to be read.
+    The first engine breaks off, and the stream resumes on another one. Until it ends,
+    other prompts avoid that engine as if the prompt still had to be prefilled.
     """
     outcomes, told, view = run(
-        PlayedConnection(200, b"id: 1\ndata: x\n\n", breaks=True),
-        PlayedConnection(200, b"id: 2\ndata: x\n\n"),
+        FakeConnection(200, b"id: 1\ndata: x\n\n", breaks=True),
+        FakeConnection(200, b"id: 2\ndata: x\n\n"),
     )
     assert [type(outcome) for outcome in outcomes] == [Broken, Answered]
     first = [name for changed in told for name in changed.first_tokens]
@@ -154,7 +154,7 @@
 
 
 def test_work_is_told_to_end_whatever_came_of_it():
-    _, told, view = run(PlayedConnection(503), PlayedConnection(200, breaks=True))
+    _, told, view = run(FakeConnection(503), FakeConnection(200, breaks=True))
     ended = [name for changed in told for name in changed.ended]
     assert ended == ["w-0", "w-1"]
     assert view.engines.placed == {}
@@ -162,18 +162,18 @@
 
 @pytest.mark.parametrize(("status", "avoided"), [(421, True), (200, False)])
 def test_an_address_that_belongs_to_somebody_else_is_avoided(status, avoided):
-    """Every second request of a service is refused for seconds.
+    """Guards against a service that refuses every second request for seconds.
 
-    An upstream crashed and its address was given to another one; its last heartbeat
-    still counts.
+    An upstream crashed and its address now belongs to another one, while its last
+    heartbeat is still valid.
     """
-    outcomes, _, view = run(PlayedConnection(status, b"data: x\n\n"))
+    outcomes, _, view = run(FakeConnection(status, b"data: x\n\n"))
     assert isinstance(outcomes[0], NotRun) is avoided
     assert view.health.estimate("u-1", time.monotonic()).avoided is avoided
 
 
-class HangingConnection(PlayedConnection):
-    """Take a request and never answer it."""
+class HangingConnection(FakeConnection):
+    """Accept a request and never answer it."""
 
     async def head(self) -> UpstreamHead:
         await asyncio.Event().wait()
@@ -181,17 +181,17 @@
 
 @pytest.mark.parametrize("answered_before", [True, False])
 def test_a_route_that_nobody_ever_answers_speaks_against_no_upstream(answered_before):
-    """Every other call goes to a far data centre, past the upstream that is near.
+    """Guards against a healthy local upstream that is avoided for a remote one.
 
-    One route asks for work that takes longer than its callers wait. Each of them that
-    gave up counted against the upstream, which answers all other routes at once.
+    The work of one route takes longer than its callers wait. Each timeout counted
+    against the upstream, which answers all other routes at once.
     """
 
     async def wait_in_vain() -> bool:
         view = FleetView.from_settings(GATEWAY_SETTINGS)
         for _ in range(10):
             view.answer_times.add("s", 0.001)
-        pool = PlayedPool(PlayedConnection(200, b"data: x\n\n"), HangingConnection(200))
+        pool = FakePool(FakeConnection(200, b"data: x\n\n"), HangingConnection(200))
         runner = AttemptRunner(view, pool, MachinesDialect())
         if answered_before:
             await runner.run(task(), Placement(heartbeat()))
@@ -216,10 +216,10 @@
 def test_what_is_open_ends_with_a_later_start_and_not_with_a_leaving(
     later, phase, dropped
 ):
-    """Streams are cut at an upstream that leaves and would have finished them.
+    """Guards against cut streams on an upstream that leaves and would finish them.
 
-    A gateway that had just started heard that it leaves, knew nothing of its start,
-    and told the others of one that left just now.
+    A gateway that had just started did not know the upstream, and reported its leaving
+    with a start time of its own.
     """
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     ended = []
--- a/tests/cover/gateway/test_control_changes.py
+++ b/tests/cover/gateway/test_control_changes.py
@@ -1,7 +1,7 @@
-"""Check what operators hear of changes whose version has been reached.
+"""Check the answers to changes whose version is already in force.
 
-A large change was answered late, and was sent again elsewhere by its operator, again
-and again: each went through the log once more, before the changes that waited.
+A large change was answered late, and its operator sent it again to other gateways. Each
+copy went through the replicated log once more, ahead of the changes that waited.
 """
 
 import asyncio
@@ -20,8 +20,8 @@
 HELD = many_routes(7, 2)
 
 
-class NoReplicas:
-    """Count the changes that reach the replicas, and answer none."""
+class CountingClient:
+    """Count the changes sent to the replicas, and answer none."""
 
     def __init__(self) -> None:
         self.changes = 0
@@ -30,8 +30,8 @@
         self.changes += 1
 
 
-class Answer:
-    """Keep the status that an operator is answered."""
+class RecordedAnswer:
+    """Record the status of the answer."""
 
     status = 0
 
@@ -39,12 +39,12 @@
         self.status = status
 
 
-def sent(body: bytes) -> tuple[int, int]:
-    """Send a configuration to a gateway; return the status, and how many went on."""
+def put(body: bytes) -> tuple[int, int]:
+    """Put a configuration; return the status and the number of changes submitted."""
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     read = MachinesDialect().read_configuration(HELD).unwrap()
     view.apply_configuration(read.document, read.configuration)
-    replicas, answer = NoReplicas(), Answer()
+    replicas, answer = CountingClient(), RecordedAnswer()
     handler = ControlHandler(view, replicas, None, MachinesDialect(), Metrics())
     request = HttpRequest("PUT", "/api/config", [], body, "", "operator")
     asyncio.run(handler(request, answer))
@@ -53,23 +53,23 @@
 
 @pytest.mark.parametrize("body", [HELD, HELD + b" ", many_routes(6, 1)])
 def test_what_is_held_or_was_overtaken_is_acknowledged_without_the_log(body):
-    assert sent(body) == (200, 0)
+    assert put(body) == (200, 0)
 
 
 def test_other_content_under_the_held_version_is_a_conflict():
-    assert sent(many_routes(7, 3)) == (409, 0)
+    assert put(many_routes(7, 3)) == (409, 0)
 
 
 def test_a_newer_version_goes_to_the_replicas():
-    assert sent(many_routes(8, 2)) == (503, 1)
+    assert put(many_routes(8, 2)) == (503, 1)
 
 
 def test_an_invalid_version_is_refused_whatever_is_held():
-    assert sent(HELD[:-1]) == (400, 0)
+    assert put(HELD[:-1]) == (400, 0)
 
 
 def test_what_no_message_could_carry_is_refused_with_the_reason():
-    """It was dropped on its way, and the operator heard that no replica answered."""
+    """Guards against a silent drop that the operator sees as no replica answering."""
     noise = Random(1).randbytes(3 * 1024 * 1024).hex().encode()
     large = b'{"note":"' + noise + b'",' + many_routes(8, 1)[1:]
-    assert sent(large) == (413, 0)
+    assert put(large) == (413, 0)
--- a/tests/cover/gateway/test_draining.py
+++ b/tests/cover/gateway/test_draining.py
@@ -1,4 +1,4 @@
-"""Check what a gateway that ends does with connections that were busy till then."""
+"""Check what a gateway does at shutdown with connections that were busy."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 async def ask_again_on_the_connection() -> list[str]:
-    """Ask, let the server begin to end, hear the answer, ask again; list what ran."""
+    """Send a request, begin the shutdown, read the answer, send another; list both."""
     begun, go_on = asyncio.Event(), asyncio.Event()
     handled: list[str] = []
 
@@ -43,10 +43,10 @@
 
 
 def test_a_connection_whose_answer_began_before_the_end_takes_no_further_request():
-    """An answer is cut that was asked for seven seconds after a planned end began.
+    """Guards against an answer that is cut at the end of a planned shutdown.
 
-    The answer before it on its connection had begun before the signal, so that its head
-    does not say that the connection closes. The caller asks again on it; the gateway
-    serves that until its grace is over, and cuts it.
+    The previous answer on the connection began before the signal, so its head does not
+    say that the connection closes. The caller sends another request seven seconds into
+    the shutdown; the gateway serves it until the grace period ends, and cuts it.
     """
     assert asyncio.run(ask_again_on_the_connection()) == ["/1"]
--- a/tests/cover/gateway/test_event_stream.py
+++ b/tests/cover/gateway/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Check that a stream is passed on in whole events, wherever the network cuts it."""
+"""Check that a stream is forwarded in whole events, however it is fragmented."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,23 +18,23 @@
 
 @given(EVENTS, st.lists(st.integers(1, 9), min_size=1), st.binary(max_size=5))
 def test_whole_events_come_out_however_they_are_cut(events, cuts, half):
-    """A caller gets half an event twice.
+    """Guards against a caller that gets half an event twice.
 
-    An upstream stops in the middle of an event. The one that goes on sends that
-    event whole, so its first half must not have been passed on.
+    An upstream fails in the middle of an event. The one that resumes sends the whole
+    event, so its first half must not have been forwarded.
     """
     half = half.replace(b"\n", b"").replace(b"\r", b"")
     whole = b"".join(event(*each) for each in events)
-    cutter, out, last = EventSplitter(), b"", None
+    splitter, out, last = EventSplitter(), b"", None
     data, position, turn = whole + half, 0, 0
     while position < len(data):
         step = cuts[turn % len(cuts)]
         turn += 1
-        piece = cutter.feed(data[position : position + step])
+        batch = splitter.feed(data[position : position + step])
         position += step
-        if piece is not None:
-            out += piece.data
-            last = piece.last_id or last
+        if batch is not None:
+            out += batch.data
+            last = batch.last_id or last
     assert out == whole
-    assert cutter.take_rest() == half
+    assert splitter.take_rest() == half
     assert last == (str(events[-1][0]) if events else None)
--- a/tests/cover/gateway/test_large_changes.py
+++ b/tests/cover/gateway/test_large_changes.py
@@ -1,16 +1,16 @@
-"""Check that large configurations reach every gateway, and are read, on slow links.
-
-Users saw 404 on a route three seconds after the change that added it had been
-acknowledged; the next change was acknowledged after eight seconds, answers were late
-meanwhile, and at the end nobody could read the configuration back. A change added some
-thousand routes, then one more followed. Each gateway asked again and again for the
-newer version, 0.3 s after it last had, while a copy took a second on its link; copies
-in vain filled the links and made all else late, changes and their repeats included. A
-read sent the whole configuration over the same link and was given up after 0.9 s.
-
-The evidence: on the day's meters every slow link was full for ten seconds while
-processors were at 5%; counted afterwards, 314 copies came where 128 were news, up to
-six of one version to one gateway; and reads failed on links that were all but idle.
+"""Check that large configurations reach all gateways, and can be read, on slow links.
+
+A change added some thousand routes, and another change followed. Each gateway requested
+the newer version again 0.3 s after its last request, while one copy took a second on
+its link. The needless copies saturated the links and delayed all else, changes and
+their repeats included: a route was answered with 404 three seconds after its change was
+acknowledged, and the next change was acknowledged after eight seconds. A read sent the
+whole configuration over the same link and was given up after 0.9 s, so in the end none
+succeeded.
+
+Every slow link was saturated for ten seconds at 5% processor load. 314 copies arrived
+where 128 were new, up to six of one version at one gateway, and reads also failed on
+links that were nearly idle.
 """
 
 import asyncio
@@ -42,15 +42,17 @@
 FIRST_ROUTES = 200
 ROUTES = 1600
 SLOW = 400_000
-"""Bytes a second, so that a configuration as it is written takes 0.9 s."""
+"""Bytes per second; an uncompressed configuration takes 0.9 s."""
 VERY_SLOW = 40_000
-"""Bytes a second, so that it takes seconds whatever is done to make it small."""
+"""Bytes per second; a configuration takes seconds even if compressed."""
 IN_FORCE_SECONDS = 2.5
 REPLICA = "10.0.0.2"
 
 
-def played(monkeypatch, rate: float, seconds: float) -> tuple[SlowLinkFleet, float]:
-    """Commit two large versions, one 0.1 s after the other; return the moment."""
+def commit_two_versions(
+    monkeypatch, rate: float, seconds: float
+) -> tuple[SlowLinkFleet, float]:
+    """Commit two large versions, 0.1 s apart; return when the first was committed."""
     world = SlowLinkFleet(monkeypatch, replicas=6, others=18, rate=rate)
     world.run(3.0)
     world.commit(accepted(many_routes(3, FIRST_ROUTES)))
@@ -64,14 +66,14 @@
 
 
 def test_a_large_change_is_in_force_everywhere_in_time(monkeypatch):
-    world, began = played(monkeypatch, SLOW, 15.0)
+    world, began = commit_two_versions(monkeypatch, SLOW, 15.0)
     assert world.last_in_force(7) - began < IN_FORCE_SECONDS
     assert world.last_in_force(9) - began - 0.1 < IN_FORCE_SECONDS
 
 
 @pytest.mark.parametrize("rate", [SLOW, VERY_SLOW])
 def test_no_gateway_gets_a_version_twice(monkeypatch, rate):
-    world, _ = played(monkeypatch, rate, 60.0)
+    world, _ = commit_two_versions(monkeypatch, rate, 60.0)
     assert world.last_in_force(9) < float("inf")
     assert {
         (version, name): copies
@@ -82,14 +84,14 @@
 
 
 def test_a_large_change_costs_a_copy_for_each_gateway_at_most(monkeypatch):
-    world, _ = played(monkeypatch, SLOW, 15.0)
+    world, _ = commit_two_versions(monkeypatch, SLOW, 15.0)
     others = len(world.gateways) - len(world.replicas)
     two_versions = 2 * others * len(many_routes(9, ROUTES + 1))
     assert world.received() < 1.1 * two_versions
 
 
-class ReadWorld:
-    """Let a gateway ask replicas whose answers take the time that its link needs."""
+class ReadSimulation:
+    """Let a gateway query a replica whose answers take the time of a slow link."""
 
     def __init__(self, held: bytes, replicas_hold: bytes, rate: float) -> None:
         self.instance = "10.0.0.9"
@@ -123,7 +125,7 @@
         self.answered.append((status, body))
 
     def read(self) -> tuple[int, bytes]:
-        """Read the configuration as an operator does."""
+        """Read the configuration as an operator."""
         request = HttpRequest("GET", "/api/config", [], b"", "", "operator")
         asyncio.run(self.handler(request, self))
         return self.answered[-1]
@@ -132,23 +134,23 @@
 @pytest.mark.parametrize("rate", [SLOW, VERY_SLOW])
 def test_what_a_gateway_holds_is_read_back_whole_however_large(rate):
     body = many_routes(9, ROUTES)
-    assert ReadWorld(body, body, rate).read() == (200, body)
+    assert ReadSimulation(body, body, rate).read() == (200, body)
 
 
 def test_a_gateway_that_is_behind_never_reads_its_older_version_back():
     older, newer = many_routes(7, ROUTES), many_routes(9, ROUTES)
-    status, body = ReadWorld(older, newer, 20 * SLOW).read()
+    status, body = ReadSimulation(older, newer, 20 * SLOW).read()
     assert (status, body) == (200, newer)
 
 
 def test_other_content_under_the_same_version_is_never_read_back():
-    """What a replica holds counts, whatever a gateway came to believe."""
+    """The replica's document is returned, whatever the gateway itself holds."""
     believed, held = many_routes(9, ROUTES + 1), many_routes(9, ROUTES)
-    assert ReadWorld(believed, held, 20 * SLOW).read() == (200, held)
+    assert ReadSimulation(believed, held, 20 * SLOW).read() == (200, held)
 
 
 def test_the_newest_version_is_the_one_that_is_in_force(monkeypatch):
-    world, _ = played(monkeypatch, SLOW, 15.0)
+    world, _ = commit_two_versions(monkeypatch, SLOW, 15.0)
     versions = {g.view.document.version for g in world.gateways.values()}
     assert versions == {9}
     tables = [gateway.view.table for gateway in world.gateways.values()]
--- a/tests/cover/gateway/test_shutdown.py
+++ b/tests/cover/gateway/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Check that nothing which waits for a disk or a peer holds up a gateway's end."""
+"""Check that waiting for a disk or a peer does not delay a gateway's shutdown."""
 
 import asyncio
 import threading
@@ -19,7 +19,7 @@
 
 
 class StalledReplica(ThreadingActor):
-    """Wait for a disk that does not answer."""
+    """Block on a disk that does not answer."""
 
     begun = threading.Event()
     disk_answers = threading.Event()
@@ -30,16 +30,16 @@
 
 
 def test_a_replica_whose_disk_stalls_does_not_hold_up_the_end():
-    """A planned restart beside a disk that stalls: the process is killed, not ended.
+    """Guards against a kill at a planned restart while a disk stalls.
 
-    The gateway had answered everything and asked its replica to end. The replica
-    waited for a sync, the gateway for the replica, and the grace ran out.
+    The gateway had answered everything and stopped its replica. The replica waited for
+    a sync and the gateway for the replica, until the grace period was over.
     """
-    keeper = ReplicaSupervisor(None, None, None, None, None)
-    keeper.actor = StalledReplica.start()
-    keeper.actor.tell("sync")
+    supervisor = ReplicaSupervisor(None, None, None, None, None)
+    supervisor.actor = StalledReplica.start()
+    supervisor.actor.tell("sync")
     assert StalledReplica.begun.wait(20)
-    stopping = threading.Thread(target=keeper.stop, daemon=True)
+    stopping = threading.Thread(target=supervisor.stop, daemon=True)
     stopping.start()
     stopping.join(10)
     ended = not stopping.is_alive()
@@ -47,8 +47,8 @@
     assert ended
 
 
-class PlayedTime:
-    """Stand for the clock and for sleeping."""
+class FakeClock:
+    """Replace the clock and sleep."""
 
     now = 0.0
 
@@ -59,28 +59,28 @@
         self.now += seconds
 
 
-async def waited_for_gone_peers() -> float:
-    """Return how long a gateway that ends waits for a peer that is gone."""
+async def flush_seconds_with_a_gone_peer() -> float:
+    """Return how long a gateway waits at shutdown for a peer that is gone."""
     gateway = Gateway(GATEWAY_SETTINGS, None, MachinesDialect())
     link = PeerLink(1.0, 3.0, 20.0, 1024, 0.0, 0.0, 0, dialled=True, sent_bytes=1)
     gone = Peer("10.0.0.9:7000", link, lambda _message: b"", CounterTable())
     gateway.mailbox.peers[gone.address] = gone
-    played = PlayedTime()
+    clock = FakeClock()
     module = "cowslipshelf_fleet.internal.mailbox"
     with (
-        patch(f"{module}.monotonic", played.monotonic),
-        patch(f"{module}.sleep", played.sleep),
+        patch(f"{module}.monotonic", clock.monotonic),
+        patch(f"{module}.sleep", clock.sleep),
     ):
         gateway.mailbox.flush()
     gateway.control_actor.stop()
-    return played.now
+    return clock.now
 
 
 def test_a_gateway_that_has_left_waits_shortly_for_peers_that_are_gone():
-    """A planned restart of many gateways cuts answers, and processes are killed.
+    """Guards against cut answers and kills at a planned restart of many gateways.
 
-    Gateways that answer until the end of their grace have 0.7 s left to close what is
-    open. Each waited 0.5 s of it for all peers to confirm its last messages, those that
-    were restarting themselves included; on a slow machine the rest was not enough.
+    Gateways that answer until the end of the grace period have 0.7 s left to close
+    connections. Each waited 0.5 s of it for peers to acknowledge its last messages,
+    restarting ones included; on a slow machine the rest was not enough.
     """
-    assert asyncio.run(waited_for_gone_peers()) < SHUTDOWN_MARGIN_SECONDS / 2
+    assert asyncio.run(flush_seconds_with_a_gone_peer()) < SHUTDOWN_MARGIN_SECONDS / 2
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -1,4 +1,4 @@
-"""Check what a gateway does with requests under which upstreams ended."""
+"""Check how a gateway handles requests under which upstreams exited."""
 
 import asyncio
 import time
@@ -40,8 +40,8 @@
 LOST = Broken("read answer", "silent")
 
 
-class PlayedRunner:
-    """Give one outcome after the other, each at the upstream that was chosen."""
+class FakeRunner:
+    """Return the given outcomes in order, whichever upstream is chosen."""
 
     def __init__(self, *outcomes: AttemptOutcome) -> None:
         self.outcomes = list(outcomes)
@@ -52,8 +52,8 @@
         return self.outcomes.pop(0)
 
 
-class KeptAnswer:
-    """Keep the status and headers of an answer of our own."""
+class RecordedAnswer:
+    """Record the status and headers of a refusal."""
 
     begun = False
     status: int | None = None
@@ -63,8 +63,8 @@
         self.status, self.headers = status, dict(headers)
 
 
-class PlayedGateway:
-    """Be a gateway whose attempts end as a test says."""
+class GatewayWithFakeRunner:
+    """Run a request handler whose attempts have the given outcomes."""
 
     def __init__(self, *outcomes: AttemptOutcome, **changes) -> None:
         self.view = FleetView.from_settings(GATEWAY_SETTINGS)
@@ -75,15 +75,15 @@
         for number in range(8):
             address = f"10.0.0.{number + 1}:80"
             self.view.record_heartbeat(heartbeat(f"u-{number}", address=address), 0.0)
-        self.runner = PlayedRunner(*outcomes)
+        self.runner = FakeRunner(*outcomes)
         metrics = Metrics()
         self.suspects = SuspectRequests("10.0.0.1", metrics, self.told.append)
         self.handler = RequestHandler(
             self.view, self.runner, MachinesDialect(), metrics, self.suspects
         )
 
-    def ask(self, body: bytes = BODY) -> KeptAnswer:
-        answer = KeptAnswer()
+    def ask(self, body: bytes = BODY) -> RecordedAnswer:
+        answer = RecordedAnswer()
         headers = [(b"x-attempt-id", b"a"), (b"x-deadline-ms", b"3000")]
         request = HttpRequest("POST", "/x", headers, body, "host.example", "caller")
         asyncio.run(self.handler(request, answer))
@@ -91,8 +91,8 @@
 
 
 def test_what_ended_three_upstreams_is_refused_without_a_time_to_come_back():
-    """Guards against callers told to send again what ends every upstream."""
-    gateway = PlayedGateway(ENDED, ENDED, ENDED)
+    """Guards against a retry-after for a request that ends every upstream."""
+    gateway = GatewayWithFakeRunner(ENDED, ENDED, ENDED)
     assert gateway.ask().status == 502
     answer = gateway.ask()
     assert answer.status == 503
@@ -101,8 +101,8 @@
 
 
 def test_another_body_of_the_same_caller_is_served():
-    """Guards against a customer shut out for one of its requests."""
-    gateway = PlayedGateway(ENDED, ENDED, ENDED, Answered(200))
+    """Guards against refusing all requests of a customer because of one."""
+    gateway = GatewayWithFakeRunner(ENDED, ENDED, ENDED, Answered(200))
     gateway.ask()
     gateway.ask(b"harmless")
     assert gateway.runner.sent == 4
@@ -110,21 +110,21 @@
 
 @pytest.mark.parametrize("outcome", [LOST, NotRun(503)])
 def test_attempts_that_were_lost_otherwise_do_not_speak_against_a_request(outcome):
-    gateway = PlayedGateway(*[outcome] * 6)
+    gateway = GatewayWithFakeRunner(*[outcome] * 6)
     for _ in range(2):
         gateway.ask()
     assert gateway.runner.sent == 6
 
 
 def test_all_gateways_are_told_of_each_end_and_of_each_trial():
-    gateway = PlayedGateway(ENDED, ENDED, ENDED)
+    gateway = GatewayWithFakeRunner(ENDED, ENDED, ENDED)
     gateway.ask()
     ends, trial_begins, trial_ends = 3, 1, 1
     assert gateway.told == [DIGEST] * (ends + trial_begins + trial_ends)
 
 
 def test_a_suspect_that_is_tried_elsewhere_is_to_come_back_soon():
-    gateway = PlayedGateway()
+    gateway = GatewayWithFakeRunner()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
         gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
@@ -136,8 +136,8 @@
 
 
 def test_a_caller_that_leaves_ends_the_trial_of_its_request():
-    """Guards against a suspect that nobody may try since its caller left."""
-    gateway = PlayedGateway()
+    """Guards against a suspect that stays blocked after its caller disconnects."""
+    gateway = GatewayWithFakeRunner()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
         gateway.suspects.quarantine.record_exit(DIGEST, upstream, now)
@@ -150,7 +150,7 @@
     async def leave() -> None:
         headers = [(b"x-attempt-id", b"a"), (b"x-deadline-ms", b"3000")]
         request = HttpRequest("POST", "/x", headers, BODY, "host.example", "caller")
-        serving = asyncio.create_task(gateway.handler(request, KeptAnswer()))
+        serving = asyncio.create_task(gateway.handler(request, RecordedAnswer()))
         await asyncio.sleep(0.01)
         assert isinstance(
             gateway.suspects.quarantine.verdict(DIGEST, time.monotonic()), HeldBack
@@ -164,26 +164,26 @@
     ) == AllowedAlone(False)
 
 
-def told(*upstreams: str, age: float = 1.0) -> SuspectRequestReport:
+def report(*upstreams: str, age: float = 1.0) -> SuspectRequestReport:
     ends = tuple(ExitReport(UpstreamExit(each, 0), age, False) for each in upstreams)
     return SuspectRequestReport(DIGEST, ends, 0, 0, 0.0, 0)
 
 
-def written(suspect: SuspectRequestReport, at: float) -> SuspectRequestsDocument:
+def stored(suspect: SuspectRequestReport, at: float) -> SuspectRequestsDocument:
     return SuspectRequestsDocument(at, SuspectRequestsTold((suspect,)))
 
 
 def test_odd_word_beside_sound_word_changes_nothing():
-    """Guards against a gateway that one broken peer makes refuse requests."""
-    gateway = PlayedGateway()
-    odd = told("u-1", "u-2", "u-3", age=float("nan"))
-    gateway.suspects.take("peer", SuspectRequestsTold((odd, told("u-1"))))
+    """Guards against a faulty peer that makes a gateway refuse requests."""
+    gateway = GatewayWithFakeRunner()
+    odd = report("u-1", "u-2", "u-3", age=float("nan"))
+    gateway.suspects.take("peer", SuspectRequestsTold((odd, report("u-1"))))
     assert gateway.suspects.quarantine.exit_count(DIGEST) == 1
 
 
 def test_a_restart_recalls_what_is_held_back(tmp_path):
     file = SuspectRequestsFile(str(tmp_path))
-    document = written(told("u-1", age=1.0), time.time() - 5.0)
+    document = stored(report("u-1", age=1.0), time.time() - 5.0)
     file.write(msgspec.msgpack.encode(document), 1)
     told_again = SuspectRequestsFile(str(tmp_path)).read()
     (recalled,) = told_again.suspects
@@ -195,15 +195,15 @@
 
 def test_a_time_of_day_that_was_put_back_makes_no_end_lie_in_the_future(tmp_path):
     file = SuspectRequestsFile(str(tmp_path))
-    document = written(told("u-1"), time.time() + 900.0)
+    document = stored(report("u-1"), time.time() + 900.0)
     file.write(msgspec.msgpack.encode(document), 1)
     assert file.read().suspects[0].exits[0].age_seconds == 1.0
 
 
 @pytest.mark.parametrize("keep", [0, 1, 7, 20])
 def test_a_torn_file_is_no_reason_not_to_start(tmp_path, keep):
-    """Guards against a gateway that never comes back after a loss of power."""
+    """Guards against a gateway that can't start after a power loss."""
     file = SuspectRequestsFile(str(tmp_path))
-    document = written(told("u-1"), time.time())
+    document = stored(report("u-1"), time.time())
     file.write(msgspec.msgpack.encode(document)[:keep], 1)
     assert file.read() == SuspectRequestsTold(())
--- a/tests/cover/gateway/test_upstream_connection.py
+++ b/tests/cover/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Check what is taken for a whole answer on a real connection."""
+"""Check when an answer on a real connection counts as complete or lost."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 
 
 async def answer_without_length(end_it) -> bytes:
-    """Take an answer that ends with its connection; `end_it` ends that."""
+    """Read an answer that ends with its connection, which `end_it` closes."""
 
     async def serve(reader, writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -44,10 +44,10 @@
 
 
 def test_an_answer_that_was_dropped_is_not_taken_for_whole():
-    """A caller gets half of a suggestion as if it were all.
+    """Guards against a caller that gets a partial answer as a complete one.
 
-    The upstream sends no length, so that the end of its bytes ends the answer. Its
-    gateway heard that it had started again, and ended the exchange itself.
+    The upstream sends no content length, so the end of the data ends the answer. The
+    gateway learned that the upstream had restarted, and dropped the connection itself.
     """
     with pytest.raises(UpstreamLostError, match="began there"):
         asyncio.run(
@@ -57,8 +57,8 @@
         )
 
 
-async def loss_of(act, patience: float = 10.0) -> UpstreamLostError:
-    """Wait for an answer's head while `act` ends the wait."""
+async def loss_of(act, max_silence: float = 10.0) -> UpstreamLostError:
+    """Wait for an answer's head, and return the error that `act` causes."""
 
     async def serve(reader, writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -68,7 +68,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     connection = await UpstreamConnection.connect(f"{host}:{port}", 10.0)
-    connection.max_silence_seconds = patience
+    connection.max_silence_seconds = max_silence
     connection.send(OutgoingRequest("GET", "/", [(b"host", b"h")], b""))
     waiting = asyncio.create_task(connection.head())
     act(connection, await served)
@@ -100,11 +100,11 @@
     ],
 )
 def test_only_what_the_upstream_ended_counts_as_its_end(act, ended):
-    """Guards against requests blamed for what this side or a garbled answer ended."""
+    """Guards against blaming a request for a drop by this side or a garbled answer."""
     assert asyncio.run(loss_of(act)).upstream_exited is ended
 
 
 def test_a_silence_does_not_count_as_the_end_of_an_upstream():
-    """Guards against slow requests held back as if they ended upstreams."""
-    loss = asyncio.run(loss_of(lambda _connection, _writer: None, patience=0.05))
+    """Guards against holding back slow requests as if they ended upstreams."""
+    loss = asyncio.run(loss_of(lambda _connection, _writer: None, max_silence=0.05))
     assert loss.upstream_exited is False
--- a/tests/cover/gateway/test_upstream_pool.py
+++ b/tests/cover/gateway/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Check which connections to upstreams are kept for the next request."""
+"""Check which connections to upstreams are pooled."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 from cowslipshelf_host.metrics import Metrics
 
 
-class UsedConnection:
-    """Be a connection whose exchange is over."""
+class IdleConnection:
+    """Imitate a connection whose exchange is complete."""
 
     keep_alive_seconds = 30.0
     idle_since = 0.0
@@ -37,9 +37,9 @@
 
 @pytest.mark.parametrize("room", [1, 3, MAX_IDLE_CONNECTIONS + 5])
 def test_no_more_idle_connections_are_kept_than_the_upstream_leaves_room_for(room):
-    async def keep() -> list[UsedConnection]:
+    async def keep() -> list[IdleConnection]:
         pool = UpstreamPool(Metrics(), lambda _upstream_id: room)
-        used = [UsedConnection() for _ in range(MAX_IDLE_CONNECTIONS + 3)]
+        used = [IdleConnection() for _ in range(MAX_IDLE_CONNECTIONS + 3)]
         for connection in used:
             pool.release("u-1", connection)
         return used
@@ -52,7 +52,7 @@
     async def use_again() -> tuple[object, object, str]:
         metrics = Metrics()
         pool = UpstreamPool(metrics, lambda _upstream_id: 2)
-        connection = UsedConnection()
+        connection = IdleConnection()
         pool.release("u-1", connection)
         again = await pool.acquire("u-1", connection.address, fresh=False)
         return connection, again, metrics.prometheus_text()
@@ -63,10 +63,10 @@
 
 
 def test_all_gateways_together_keep_half_of_an_upstreams_connections_at_most():
-    """An application's instance resets new calls: its connections are all taken.
+    """Guards against an upstream that resets new connections at its limit.
 
-    It takes 100 from all callers together. Two dozen gateways each kept as many idle
-    ones as they liked.
+    It accepts 100 connections in total. Two dozen gateways each kept an unlimited
+    number of idle ones.
     """
     view = FleetView.from_settings(GATEWAY_SETTINGS)
     view.apply_configuration(RoutesDocument(1, "d", b""), configuration(route()))
--- a/tests/cover/gateway/test_upstreams_file.py
+++ b/tests/cover/gateway/test_upstreams_file.py
@@ -1,4 +1,4 @@
-"""Check what a gateway remembers of the upstreams over a restart."""
+"""Check what a gateway knows of the upstreams after a restart."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
 SEEN = (HeartbeatSeen(heartbeat("u-1"), 0.5), HeartbeatSeen(heartbeat("u-2"), 1.5))
 
 
-def written(tmp_path) -> UpstreamsFile:
+def stored(tmp_path) -> UpstreamsFile:
     file = UpstreamsFile(str(tmp_path))
     file.write(encoded(SEEN), frozenset())
     return file
@@ -32,7 +32,7 @@
 
 
 def test_what_was_written_is_read(tmp_path):
-    assert written(tmp_path).read() == SEEN
+    assert stored(tmp_path).read() == SEEN
 
 
 def test_a_first_start_knows_nothing(tmp_path):
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize("keep", [0, 1, 7, 20])
 def test_a_torn_file_is_no_reason_not_to_start(tmp_path, keep):
-    """A gateway never comes back after a loss of power.
+    """Guards against a gateway that can't start after a power loss.
 
-    A disk that does not keep what it has synced may lose any part of the file.
+    A disk that does not keep synced data may lose any part of the file.
     """
-    file = written(tmp_path)
+    file = stored(tmp_path)
     file.path.write_bytes(file.path.read_bytes()[:keep])
     assert file.read() == ()
 
@@ -57,19 +57,19 @@
 
 
 def test_what_was_written_outlives_a_loss_of_power(tmp_path, monkeypatch):
-    """Callers wait for engines that left long ago, one after the other.
+    """Guards against requests that try engines which left long ago.
 
-    Every instance lost power. A file that was not synced came back as it had been
-    fifteen seconds before, and named seven engines that had left since.
+    Every instance lost power. A file that was not synced came back fifteen seconds old,
+    and named seven engines that had left since.
     """
     synced = []
     monkeypatch.setattr(os, "fsync", lambda fd: synced.append(os.fstat(fd).st_mode))
-    written(tmp_path)
+    stored(tmp_path)
     assert [stat.S_ISDIR(mode) for mode in synced] == [False, True]
 
 
 def test_the_file_is_written_where_something_in_it_has_changed(tmp_path):
-    """A disk that others wait for is synced each second for nothing."""
+    """Guards against needless syncs, one a second, that delay others on the disk."""
 
     async def write(file: UpstreamsFile, seen) -> bytes:
         file.write_soon(seen)
--- a/tests/nocover/gateway/test_fleets_without_disks.py
+++ b/tests/nocover/gateway/test_fleets_without_disks.py
@@ -1,4 +1,4 @@
-"""Lose gateways of a fleet without disks, and keep its configuration."""
+"""Check that a fleet without disks keeps its configuration as gateways fail."""
 
 import json
 
@@ -9,9 +9,9 @@
 from common.scripted_upstream import call
 
 REPLICAS = 7
-"""Gateways of the fleet, all of which come to hold a replica."""
+"""Gateways of the fleet, all of which eventually hold a replica."""
 NAMED_REPLICAS = 3
-"""Gateways that the settings ask for a replica."""
+"""Gateways whose settings ask for a replica."""
 
 
 @pytest.fixture
@@ -23,18 +23,18 @@
 
 
 def has_voters(fleet: Fleet, count: int) -> bool:
-    """Tell whether every gateway's replica counts so many voters."""
+    """Return whether every gateway's replica counts a number of voters."""
     return all(gateway.voters() == count for gateway in fleet.gateways)
 
 
 def reads_back(gateway: GatewayProcess, expected: dict) -> bool:
-    """Tell whether a gateway returns just this configuration."""
+    """Return whether a gateway returns exactly this configuration."""
     status, body = call(gateway.control, "GET", "/api/config")
     return status == 200 and json.loads(body) == expected
 
 
 def test_a_configuration_outlives_the_gateways_that_the_settings_name(fleet):
-    """Gateways that live serve by a configuration that none reads back or changes."""
+    """Guards against a configuration that is served but can't be read or changed."""
     newest = document(5)
     fleet.accept(newest)
     for gateway in fleet.gateways[:NAMED_REPLICAS]:
--- a/tests/nocover/gateway/test_gateway_processes.py
+++ b/tests/nocover/gateway/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""Serve by route with real processes, and break what may break."""
+"""Check real gateway processes under requests and failures."""
 
 import json
 import socket
@@ -93,10 +93,10 @@
 def test_large_changes_are_taken_served_and_read_back_without_a_replica(
     fleet, follower
 ):
-    """A change of thousands of routes could be read from replicas alone.
+    """Guards against large changes that only gateways with replicas can read.
 
-    A gateway without a replica takes it, serves a route that it added, and returns the
-    whole of it; then a second one comes right behind, as changes do.
+    A gateway without a replica accepts one, serves a route that it added, and returns
+    all of it; then a second change follows at once.
     """
     everywhere = Fleet([*fleet.gateways, follower])
     for version, many in ((5, 4000), (7, 4001)):
@@ -111,7 +111,7 @@
 
 
 def test_what_was_accepted_outlives_the_death_of_all_processes(fleet):
-    """A route is gone after all processes were killed at the same moment."""
+    """Guards against losing a route when all processes are killed at once."""
     newest = document(9, *ROUTES)
     fleet.accept(newest)
     for gateway in fleet.gateways:
@@ -126,10 +126,10 @@
 
 
 def test_disks_may_be_lost_one_after_the_other(fleet):
-    """A change is gone although never more than one disk was lost at a time.
+    """Guards against losing a change although only one disk is lost at a time.
 
-    Each disk in turn comes back empty; the others must bring it up to date before
-    the next one is lost.
+    Each disk in turn comes back empty, and the other replicas must bring it up to date
+    before the next one is lost.
     """
     for turn, gateway in enumerate(fleet.gateways):
         newest = document(20 + turn, *ROUTES)
@@ -144,15 +144,15 @@
 
 
 def has_three_voters(gateway) -> bool:
-    """Tell whether a gateway's replica counts three voters and has what they have."""
+    """Return whether a gateway's replica counts three voters."""
     return gateway.voters() == 3
 
 
 def test_without_disks_a_lost_configuration_is_sent_again_to_a_new_cluster(fleet):
-    """Nothing is served any more after a loss of power, whatever operators send.
+    """Guards against a fleet that never serves again after a power loss.
 
-    All replicas were in memory. Started as after any restart, none founds a cluster,
-    since another one might still live; started as for the first time, they found one.
+    All replicas were in memory. After a normal restart, none bootstraps a cluster,
+    since another one might still exist; after a first start, they bootstrap one.
     """
     for gateway in fleet.gateways:
         gateway.replica_in_memory = True
@@ -166,7 +166,7 @@
 
 
 def serves_nothing(gateway: GatewayProcess) -> bool:
-    """Tell whether a gateway listens and knows no configuration."""
+    """Return whether a gateway listens and has no configuration."""
     try:
         return ask(gateway, "/safe/x").status == 503
     except ConnectionRefusedError:
@@ -174,10 +174,10 @@
 
 
 def test_a_request_that_may_run_once_is_not_sent_again_after_a_cut(fleet):
-    """A payment line is doubled.
+    """Guards against running a non-idempotent request twice.
 
-    The upstream gets the request and its connection breaks: nobody can say whether
-    it ran. The caller must not be told that it did not.
+    The upstream gets the request and the connection breaks, so it is unknown whether
+    the request ran. The caller must not be told that it did not.
     """
     first = upstream(lambda exchange: exchange.cut(), "u-1")
     second = upstream(lambda exchange: exchange.cut(), "u-2")
@@ -208,10 +208,10 @@
 
 
 def test_a_stream_goes_on_at_another_upstream_without_a_gap(fleet):
-    """A summary breaks off in the middle of a sentence, or says a part twice.
+    """Guards against a stream that breaks off or repeats a part.
 
-    The upstream dies in the middle of an event. Another one goes on after the last
-    whole event, within the same answer.
+    The upstream fails in the middle of an event. Another one resumes after the last
+    complete event, within the same answer.
     """
 
     def begin(exchange: Exchange) -> None:
@@ -238,7 +238,7 @@
 
 
 def test_a_caller_that_leaves_ends_the_work_for_it(fleet):
-    """An engine writes for seconds to a caller who closed the page."""
+    """Guards against an engine that decodes for seconds after its caller is gone."""
     left = threading.Event()
 
     def write_on(exchange: Exchange) -> None:
@@ -267,7 +267,7 @@
 
 
 def serves_only(fleet: Fleet, staying, leaving) -> bool:
-    """Tell whether every gateway has stopped to use an upstream."""
+    """Return whether no gateway uses an upstream any more."""
     before = len(leaving.seen)
     for gateway in fleet.gateways:
         for _ in range(4):
@@ -276,7 +276,7 @@
 
 
 def test_a_graceful_end_cuts_no_request(fleet):
-    """A booking is answered with a closed connection during a planned restart."""
+    """Guards against an answer that a planned restart cuts."""
     begun, go_on = threading.Event(), threading.Event()
 
     def wait_and_answer(exchange: Exchange) -> None:
@@ -301,7 +301,7 @@
 
 
 def test_a_head_that_trickles_in_is_not_waited_for(fleet):
-    """A hundred callers who send a byte a second hold all connections."""
+    """Guards against a hundred slow callers that occupy all connections."""
     limits = {"header_timeout_ms": 300}
     fleet.accept(document(3, *ROUTES) | {"limits": limits})
     gateway = fleet.gateways[0]
@@ -312,9 +312,9 @@
 
 
 def test_changed_seeds_are_taken_over_without_a_restart(fleet):
-    """A gateway that is cut off for long can't find the others, which have moved.
+    """Guards against a partitioned gateway that can't find peers with new addresses.
 
-    The settings' file names other seeds; nobody sends a signal.
+    The settings file names other seeds, and no signal is sent.
     """
     gateway = fleet.gateways[0]
     changed = gateway.settings(first=False).replace(
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -1,4 +1,4 @@
-"""Check for how long engines hold memory for a prompt whose own engine is silent."""
+"""Check how long engines hold memory for a prompt whose own engine is silent."""
 
 import asyncio
 import json
@@ -29,12 +29,12 @@
 
 HEAD, HOLDER = "10.0.0.1:80", "10.0.0.2:80"
 FREE_SECONDS = 4.0
-"""Time that operators leave between the end of a request and that of its memory."""
+"""Allowed time between the end of a request and the release of its memory."""
 WATCHED_SECONDS = 6.0
 
 
 class HeldOrder(NamedTuple):
-    """Be an order to hold memory, as an engine got it."""
+    """Hold an order to reserve memory, as an engine received it."""
 
     at: float
     hold_seconds: float
@@ -45,17 +45,17 @@
 
 
 class Engine:
-    """Answer orders and questions, unless it is dark; answer no prompt."""
+    """Answer orders and probes unless the engine is dark; never answer a prompt."""
 
-    def __init__(self, dark: bool, lost_questions: int = 0) -> None:
+    def __init__(self, dark: bool, lost_probes: int = 0) -> None:
         self.dark = dark
-        self.lost_questions = lost_questions
-        """Questions that are lost on their way before one arrives."""
+        self.lost_probes = lost_probes
+        """Number of probes that are lost before one arrives."""
         self.held: list[HeldOrder] = []
 
     async def status_of(self, request: OutgoingRequest) -> int:
-        if request.method == "GET" and self.lost_questions:
-            self.lost_questions -= 1
+        if request.method == "GET" and self.lost_probes:
+            self.lost_probes -= 1
             await asyncio.Event().wait()
         if self.dark or request.target == "/prompt":
             await asyncio.Event().wait()
@@ -68,7 +68,7 @@
 
 
 class EngineConnection:
-    """Be one connection to an engine."""
+    """Imitate one connection to an engine."""
 
     keep_alive_seconds = None
     max_silence_seconds = None
@@ -105,8 +105,8 @@
         return None
 
 
-class Engines:
-    """Connect to engines by their addresses."""
+class EnginePool:
+    """Imitate the connection pool, by the address of the engine."""
 
     def __init__(self, **engines: Engine) -> None:
         self.engines = {HEAD: engines["head"], HOLDER: engines["holder"]}
@@ -119,7 +119,7 @@
 
 
 def spread_prompt() -> Placement:
-    """Place a prompt on one engine whose memory lies at another one too."""
+    """Place a prompt on one engine that uses memory of another one."""
     parts = (EnginePart("u-1", 9.0, 1, decodes=True), EnginePart("u-2", 9.0, 1, False))
     work = EngineWork("w-1", parts, 9.0, 4.0, 1.0)
     ticket = MemoryTicket("u-2", HOLDER, "w-1-0", 150_000)
@@ -141,11 +141,11 @@
 
 
 def watch(head: Engine, holder: Engine) -> AttemptOutcome | None:
-    """Run the prompt for a while; return what came of it until then."""
+    """Run the prompt for a limited time; return its outcome, if there is one."""
 
     async def attempt() -> AttemptOutcome | None:
         view = FleetView.from_settings(GATEWAY_SETTINGS)
-        pool = Engines(head=head, holder=holder)
+        pool = EnginePool(head=head, holder=holder)
         runner = AttemptRunner(view, pool, MachinesDialect())
         running = asyncio.create_task(runner.run(long_task(), spread_prompt()))
         done, _ = await asyncio.wait({running}, timeout=WATCHED_SECONDS)
@@ -159,11 +159,11 @@
 
 
 def test_memory_ends_soon_after_the_last_word_of_the_engine_that_it_is_for():
-    """Memory of an engine is lost to others for seconds, and so is a caller's time.
+    """Guards against engine memory that stays reserved for a dead engine.
 
-    A prompt is read by one engine and lies in part at another one. The first is gone
-    without a word. Its silence was excused for as long as such a prompt is read, and
-    all the while the gateway went on to renew the memory at the other engine.
+    One engine prefills a prompt that is partly in another one's memory, and dies
+    silently. Its silence was excused for as long as such a prefill takes, and the
+    gateway kept renewing the memory, which cost other prompts and the caller seconds.
     """
     head, holder = Engine(dark=True), Engine(dark=False)
     began = time.monotonic()
@@ -174,8 +174,8 @@
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_memory_is_kept_for_an_engine_that_reads_for_long_and_answers_questions(lost):
-    """A prompt is read for seconds behind a link that loses a packet now and then."""
-    head, holder = Engine(dark=False, lost_questions=lost), Engine(dark=False)
+    """Guards against ending a long prefill because a few probes are lost."""
+    head, holder = Engine(dark=False, lost_probes=lost), Engine(dark=False)
     began = time.monotonic()
     assert watch(head, holder) is None
     for earlier, later in zip(holder.held, holder.held[1:], strict=False):
--- a/tests/nocover/gateway/test_requests_that_end_upstreams.py
+++ b/tests/nocover/gateway/test_requests_that_end_upstreams.py
@@ -1,4 +1,4 @@
-"""Send a request that ends each upstream that runs it to real gateways."""
+"""Send a request that ends every upstream that runs it to real gateways."""
 
 import threading
 import time
@@ -21,13 +21,13 @@
 
 UPSTREAMS = 8
 PAUSE_SECONDS = 0.3
-"""Pause between two returns of the request."""
+"""Pause before the request is sent again."""
 KNOWN_SECONDS = 3.0
-"""Time after the third end by which each gateway must know."""
+"""Time after the third exit by which each gateway must know of it."""
 WATCHED_SECONDS = 5.0
-"""Time for which the request still comes after that."""
+"""Time for which the request is still sent after that."""
 THIRD_END_SECONDS = 20.0
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 ROUTES = (
     route("/safe/", attempts=3),
     route("/once/", kind="non_idempotent"),
@@ -54,7 +54,7 @@
 def send(
     gateway: GatewayProcess, path: str, name: str, body: bytes = FATAL
 ) -> int | None:
-    """Send a request under an id of its own; return the status of a whole answer."""
+    """Send a request with its own id; return the status of a complete answer."""
     try:
         answer = ask(gateway, path, "POST", body, X_Attempt_Id=name)
         answer.read()
@@ -64,7 +64,7 @@
 
 
 def send_until_known(fleet: Fleet, upstreams: CrashingUpstreams, path: str) -> float:
-    """Send it to each gateway in turn; return when each of them must know."""
+    """Send it to each gateway in turn; return the time by which all must know."""
     numbers, began = count(), time.monotonic()
     while time.monotonic() < began + THIRD_END_SECONDS:
         number = next(numbers)
@@ -77,7 +77,7 @@
 
 
 def keep_sending(fleet: Fleet, path: str) -> list[int | None]:
-    """Go on for a while; return the answers' statuses."""
+    """Continue to send the request for a while; return the statuses."""
     began, statuses = time.monotonic(), []
     while time.monotonic() < began + WATCHED_SECONDS:
         gateway = fleet.gateways[len(statuses) % len(fleet.gateways)]
@@ -91,7 +91,7 @@
     """Guards against one request that ends every upstream of a service."""
     known_at = send_until_known(fleet, upstreams, path)
     statuses = keep_sending(fleet, path)
-    assert upstreams.arrived_after(known_at) <= MOST_RETRIES
+    assert upstreams.arrived_after(known_at) <= MAX_RETRIES
     assert statuses[-1] == 503
 
 
@@ -111,11 +111,11 @@
     restart_all(fleet)
     upstreams.send_heartbeats()
     keep_sending(fleet, "/safe/x")
-    assert upstreams.arrived_after(known_at) <= MOST_RETRIES
+    assert upstreams.arrived_after(known_at) <= MAX_RETRIES
 
 
 class HarmlessCaller(threading.Thread):
-    """Send one harmless request again and again."""
+    """Send one harmless request repeatedly."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         super().__init__(daemon=True)
@@ -125,7 +125,7 @@
         self.answers: list[tuple[float, int | None]] = []
 
     def run(self) -> None:
-        """Send until the end, to each gateway in turn."""
+        """Send to each gateway in turn until told to stop."""
         for number in count(self.number):
             if self.ending.is_set():
                 return
@@ -135,12 +135,12 @@
             self.answers.append((time.monotonic(), status))
 
     def unserved_after(self, moment: float) -> int:
-        """Count the requests that were answered otherwise after a moment."""
+        """Count the requests after a time that were not answered with 200."""
         return sum(at > moment and status != 200 for at, status in self.answers)
 
 
 def test_a_harmless_request_beside_it_is_served(fleet, upstreams):
-    """Guards against callers that are refused for what ran beside their request."""
+    """Guards against refusing requests that only ran beside the fatal one."""
     callers = [HarmlessCaller(fleet, number) for number in range(6)]
     for caller in callers:
         caller.start()
--- a/tests/nocover/gateway/test_soak.py
+++ b/tests/nocover/gateway/test_soak.py
@@ -1,4 +1,4 @@
-"""Run the soak for a short time, and every seed again that ever failed."""
+"""Run a short soak test, with every seed that ever failed."""
 
 import pytest
 
--- a/tests/nocover/gateway/test_upstream_heartbeats.py
+++ b/tests/nocover/gateway/test_upstream_heartbeats.py
@@ -1,4 +1,4 @@
-"""Let upstreams start again, and strangers write for them, before real gateways."""
+"""Check real gateways with restarted upstreams and forged heartbeats."""
 
 import threading
 import time
@@ -20,7 +20,7 @@
 from common.scripted_upstream import Exchange, ScriptedUpstream, call
 
 VERY_LONG_MS = 100_000
-"""Times that no test reaches: what happens sooner happens for another reason."""
+"""Longer than any test takes, so that no timeout causes what happens."""
 ROUTES = (
     route("/safe/"),
     route("/once/", kind="non_idempotent", timeout_ms=VERY_LONG_MS),
@@ -47,7 +47,7 @@
 
 
 def started(script, born: int, upstream_id: str = "u-1") -> ScriptedUpstream:
-    """Start an upstream that tells when it began."""
+    """Start an upstream that reports its start time."""
     return ScriptedUpstream(upstream_id, "plain", script, born=born)
 
 
@@ -55,17 +55,17 @@
     exchange.answer(200, b"hello")
 
 
-def heard_again(gateway: GatewayProcess, upstream: ScriptedUpstream) -> bool:
-    """Tell whether a gateway sends requests to an upstream and to no other."""
+def uses_only(gateway: GatewayProcess, upstream: ScriptedUpstream) -> bool:
+    """Return whether a gateway sends requests to this upstream only."""
     before = len(upstream.seen)
     answers = [ask(gateway, "/safe/x").status for _ in range(4)]
     return answers == [200] * 4 and len(upstream.seen) == before + 4
 
 
-def ask_meanwhile(
+def ask_on_a_thread(
     gateway: GatewayProcess, path: str
 ) -> tuple[threading.Thread, list[bytes]]:
-    """Make a request on a thread; its answer's body comes into the list."""
+    """Send a request on a thread; the body of the answer is added to the list."""
     bodies: list[bytes] = []
     caller = threading.Thread(
         target=lambda: bodies.append(ask(gateway, path, "POST", **LONG_DEADLINE).read())
@@ -75,10 +75,10 @@
 
 
 def test_a_new_start_is_used_at_once_by_all_gateways_and_the_former_never(fleet):
-    """A sound upstream gets nothing for minutes, after a crash.
+    """Guards against a restarted upstream that gets no requests for minutes.
 
-    It starts again under its name at another address, and counts anew. Word of the
-    former start comes late, to one gateway only.
+    It restarts under its name at another address, with a new sequence. A heartbeat of
+    the former start arrives late, at one gateway only.
     """
     former = started(say_hello, now_ms())
     former.sequence = 500
@@ -86,12 +86,12 @@
     later = started(say_hello, now_ms() + 1)
     assert later.send_heartbeat(fleet.gateways[0].control) == 200
     for gateway in fleet.gateways:
-        wait_for(lambda g=gateway: heard_again(g, later))
+        wait_for(lambda g=gateway: uses_only(g, later))
     assert former.send_heartbeat(fleet.gateways[1].control) == 200
     assert former.send_heartbeat(fleet.gateways[1].control, state="draining") == 200
     seen = len(former.seen)
     for gateway in fleet.gateways:
-        assert heard_again(gateway, later)
+        assert uses_only(gateway, later)
     assert len(former.seen) == seen
 
 
@@ -103,14 +103,14 @@
     wait_for(lambda: ask(fleet.gateways[2], "/safe/x").status == 503)
     later = started(say_hello, now_ms() + 60_000)
     assert later.send_heartbeat(control) == 200
-    wait_for(lambda: heard_again(fleet.gateways[2], later))
+    wait_for(lambda: uses_only(fleet.gateways[2], later))
 
 
 def test_a_stream_moves_on_as_soon_as_its_upstream_is_known_to_have_restarted(fleet):
-    """An installer waits before a stream that stands still, for seconds.
+    """Guards against a stream that stalls for seconds.
 
-    The upstream's process died with its instance, so that no reset came. Its next
-    start says so with its first heartbeat.
+    The upstream's process died with its instance, so no reset arrived. The first
+    heartbeat of its next start reveals that.
     """
     begun, end = threading.Event(), threading.Event()
 
@@ -128,7 +128,7 @@
 
     gateway = fleet.gateways[0]
     started(begin_and_hang, now_ms()).send_heartbeat(gateway.control)
-    caller, bodies = ask_meanwhile(gateway, "/stream/x")
+    caller, bodies = ask_on_a_thread(gateway, "/stream/x")
     assert begun.wait(30)
     started(go_on, now_ms() + 1).send_heartbeat(gateway.control)
     caller.join(30)
@@ -137,10 +137,10 @@
 
 
 def test_what_may_run_once_is_not_sent_to_the_next_start(fleet):
-    """A code is recorded twice.
+    """Guards against running a non-idempotent request twice.
 
-    The upstream took the call and was heard to have started again before it answered.
-    Whether it ran is not known, so it stays where it was sent.
+    The upstream got the request and was reported as restarted before it answered. It is
+    unknown whether the request ran, so it is not sent elsewhere.
     """
     begun, go_on = threading.Event(), threading.Event()
 
@@ -151,18 +151,18 @@
 
     gateway = fleet.gateways[0]
     started(wait_and_answer, now_ms()).send_heartbeat(gateway.control)
-    caller, bodies = ask_meanwhile(gateway, "/once/x")
+    caller, bodies = ask_on_a_thread(gateway, "/once/x")
     assert begun.wait(30)
     later = started(say_hello, now_ms() + 1)
     later.send_heartbeat(gateway.control)
-    wait_for(lambda: heard_again(gateway, later))
+    wait_for(lambda: uses_only(gateway, later))
     go_on.set()
     caller.join(30)
     assert bodies == [b"recorded"]
     assert not [each for each in later.seen if each.target == "/once/x"]
 
 
-FOREIGN = (
+FORGED = (
     {"seq": 10**30},
     {"slots": 10**30},
     {"slots": -1},
@@ -179,25 +179,25 @@
 
 
 def test_word_of_another_writer_takes_no_sound_upstream_away(fleet):
-    """All callers are refused, or find no process that listens.
+    """Guards against a forged heartbeat that removes an upstream or ends a gateway.
 
-    One message under the id of a sound upstream took it out of use at all gateways;
-    another one could not be told on, and ended the process that had taken it in.
+    One message with the id of a healthy upstream took it out of use at all gateways;
+    another one could not be forwarded, and ended the process that had accepted it.
     """
     sound = started(say_hello, now_ms())
     send_heartbeats(fleet, sound)
     for gateway in fleet.gateways:
-        for changes in FOREIGN:
-            foreign = sound.heartbeat() | {"seq": sound.sequence + 1} | changes
-            assert sound.put_heartbeat(gateway.control, foreign) == 400, changes
+        for changes in FORGED:
+            forged = sound.heartbeat() | {"seq": sound.sequence + 1} | changes
+            assert sound.put_heartbeat(gateway.control, forged) == 400, changes
         without_start = sound.heartbeat() | {"seq": sound.sequence + 1}
         del without_start["born"]
         assert sound.put_heartbeat(gateway.control, without_start) == 400
     for gateway in fleet.gateways:
-        assert heard_again(gateway, sound)
+        assert uses_only(gateway, sound)
         assert gateway.process.poll() is None
     text = call(fleet.gateways[0].metrics, "GET", "/metrics")[1].decode()
-    refused = len(FOREIGN) + 1
+    refused = len(FORGED) + 1
     assert f"cowslipshelf_refused_words_total {refused}" in text
 
 
@@ -212,7 +212,7 @@
     assert b"version" in problem
 
 
-WORD = {"service": "plain", "zone": "here", "version": "v1", "state": "ready"}
+HEARTBEAT = {"service": "plain", "zone": "here", "version": "v1", "state": "ready"}
 VALUES = (
     st.none()
     | st.booleans()
@@ -221,7 +221,7 @@
     | st.text(max_size=5)
     | st.lists(st.integers(), max_size=2)
 )
-FIELDS = [*WORD, "address", "slots", "seq", "cold_left_ms", "born"]
+FIELDS = [*HEARTBEAT, "address", "slots", "seq", "cold_left_ms", "born"]
 
 
 def test_no_junk_ends_a_gateway_or_changes_what_it_believes(tmp_path):
@@ -231,12 +231,12 @@
         sound.sequence = 2**40
         send_heartbeats(fleet, sound)
         write_junk(fleet, sound)
-        assert heard_again(fleet.gateways[0], sound)
+        assert uses_only(fleet.gateways[0], sound)
         assert fleet.gateways[0].process.poll() is None
 
 
 def write_junk(fleet: Fleet, sound: ScriptedUpstream) -> None:
-    """Write bytes and documents with any fields to each address for control."""
+    """Send arbitrary bytes and documents to each path of the control address."""
     control = fleet.gateways[0].control
 
     @settings(
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -62,7 +62,7 @@
             case FleetKind.DISKS:
                 return {}
             case FleetKind.SLOW_DISKS:
-                return {"most_sync_seconds": 0.2}
+                return {"max_sync_seconds": 0.2}
             case FleetKind.MEMORY:
                 return {"size": 7, "in_memory": 3}
 
