--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sort the messages that arrive at an entry to the actors they are for."""
+"""Dispatch the messages that arrive at an entry to its actors."""
 
 from typing import NamedTuple
 
@@ -18,13 +18,13 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_fleet.mailboxes import Received
 
 
 class MessageDispatcher(NamedTuple):
-    """Know the actors of one entry."""
+    """Dispatch messages to the actors of one entry."""
 
     routing: ActorRef
     configuration: ActorRef
@@ -34,7 +34,7 @@
     suspects: SuspectRequests
 
     def receive(self, received: Received) -> None:
-        """Take a message from another process; runs on the mailbox's thread."""
+        """Dispatch a message from another process; runs on the mailbox's thread."""
         version = received.configuration_version
         if version > self.in_force.index.configuration.version:
             seen = VersionSeen(received.sender_address, version)
@@ -43,13 +43,13 @@
             case Announce() | Withdraw() | Suspect() | EntryAlive():
                 self.routing.tell(received)
             case SuspectRequestsTold() as told:
-                self.suspects.take(received.sender, told)
+                self.suspects.merge_reports(received.sender, told)
             case message:
                 delivered = Delivered(received.sender, received.sender_address, message)
                 self.deliver(delivered)
 
     def deliver(self, delivered: Delivered) -> None:
-        """Take a message for an actor, from this process or another."""
+        """Dispatch a message from this process or another to its actor."""
         match delivered.message:
             case ConfigurationSnapshot():
                 self.configuration.tell(delivered)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_start.py
@@ -1,4 +1,4 @@
-"""Load a data folder and start the replica that it holds."""
+"""Start a replica from its data folder."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
     ReplicaParts,
 )
 from cowslipshelf_daemon.internal.errors import StartError
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.process_parts import replica_instances
 from cowslipshelf_host.settings import DaemonSettings
 from cowslipshelf_host.storage import ReplicaStorage, ReplicaStorageConfig
@@ -21,9 +21,12 @@
 
 
 def start_replica(
-    settings: DaemonSettings, post: Post, configuration: ActorRef, gateway: ActorRef
+    settings: DaemonSettings,
+    messenger: Messenger,
+    configuration: ActorRef,
+    gateway: ActorRef,
 ) -> ActorRef:
-    """Load the data folder and start the replica that it holds."""
+    """Load the data folder and start the actor of its replica."""
     storage = open_storage(settings)
     stored = load_stored(storage)
     election = settings.timings.election_seconds
@@ -38,12 +41,12 @@
         state = ControlState.from_snapshot(stored.snapshot.state)
     replica = Replica.from_config(config, stored)
     return ReplicaActor.start(
-        ReplicaParts(replica, storage, state, post, configuration, gateway)
+        ReplicaParts(replica, storage, state, messenger, configuration, gateway)
     )
 
 
 def open_storage(settings: DaemonSettings) -> ReplicaStorage:
-    """Open the data folder, or raise `StartError`."""
+    """Open the data folder; raise `StartError` on failure."""
     folder = Path(settings.entry.data_folder)
     config = ReplicaStorageConfig(folder, settings.instance)
     match ReplicaStorage.from_config(config):
@@ -54,7 +57,7 @@
 
 
 def load_stored(storage: ReplicaStorage) -> StoredState:
-    """Load what the data folder holds, or raise `StartError`."""
+    """Load the stored state; raise `StartError` on failure."""
     match storage.load():
         case Ok(stored):
             return stored
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -28,8 +28,8 @@
 from cowslipshelf_daemon.internal.gateway.control_client import ControlClient
 from cowslipshelf_daemon.internal.gateway.fleet_view import FleetView
 from cowslipshelf_daemon.internal.gateway.routes_exchange import RoutesExchange
-from cowslipshelf_daemon.internal.post import Delivered, Post
-from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
+from cowslipshelf_daemon.internal.retransmit_queue import RetransmitQueue
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.metrics import Metrics
@@ -65,16 +65,16 @@
     def __init__(
         self,
         view: FleetView,
-        post: Post,
+        messenger: Messenger,
         client: ControlClient,
         dialect: Dialect,
         metrics: Metrics,
     ) -> None:
         self.view = view
-        self.post = post
+        self.messenger = messenger
         self.heartbeats: set[UpstreamId] = set()
         """Upstreams whose heartbeats wait to be sent."""
-        self.urgent_upstreams: RepeatedNews[UpstreamId] = RepeatedNews()
+        self.urgent_upstreams: RetransmitQueue[UpstreamId] = RetransmitQueue()
         self.work_gaps = WorkGapDetector()
         self.work_number = 0
         self.ticks = 0
@@ -86,8 +86,8 @@
         self.suspects = SuspectRequests(instance, metrics, self.queue_suspect)
         self.changed_suspects: set[RequestDigest] = set()
         """Suspects with changes that were not sent yet."""
-        self.urgent_suspects: RepeatedNews[RequestDigest] = RepeatedNews()
-        self.routes = RoutesExchange(view, post, client, dialect, self.send_alive)
+        self.urgent_suspects: RetransmitQueue[RequestDigest] = RetransmitQueue()
+        self.routes = RoutesExchange(view, messenger, client, dialect, self.send_alive)
         self.sync_turn = 0
 
     # Sending.
@@ -103,7 +103,7 @@
     def send_to(self, peers: Iterable[InstanceId], message: Message) -> None:
         """Send to some gateways."""
         settings = self.view.settings
-        self.post.send_to_all([settings.peer_address(p) for p in peers], message)
+        self.messenger.send_to_all([settings.peer_address(p) for p in peers], message)
 
     def broadcast(self, message: Broadcast, turn: int) -> None:
         """Send to all gateways, to remote ones through one relay in each data centre.
@@ -180,15 +180,15 @@
         urgent = frozenset(filter(quarantine.is_urgent, changed))
         self.urgent_suspects.add(urgent, URGENT_SENDS - 1)
         if urgent:
-            self.send_to_all(self.suspects.told(urgent))
+            self.send_to_all(self.suspects.reports(urgent))
         if changed - urgent:
-            self.broadcast(self.suspects.told(changed - urgent), self.ticks)
+            self.broadcast(self.suspects.reports(changed - urgent), self.ticks)
 
     def resend_suspects(self) -> None:
         """Send urgent changes of suspects again."""
         repeated = self.urgent_suspects.take()
         if repeated:
-            self.send_to_all(self.suspects.told(repeated))
+            self.send_to_all(self.suspects.reports(repeated))
 
     def queue_work(self, changed: WorkChanged) -> None:
         """Add a work change to the next batch."""
@@ -223,7 +223,9 @@
             self.sync_turn += 1
             peer = peers[self.sync_turn % len(peers)]
             self.send_upstreams(peer)
-            self.send_suspects(peer, self.suspects.told_worst(MAX_SUSPECTS_PER_SYNC))
+            self.send_suspects(
+                peer, self.suspects.most_suspect_reports(MAX_SUSPECTS_PER_SYNC)
+            )
 
     def send_upstreams(self, peer: InstanceId) -> None:
         """Send all upstreams to one gateway."""
@@ -233,7 +235,7 @@
         """Send all upstreams, engine work and suspects to one gateway."""
         self.send_upstreams(peer)
         self.send_work_snapshot(peer)
-        self.send_suspects(peer, self.suspects.told_all())
+        self.send_suspects(peer, self.suspects.all_reports())
 
     def send_suspects(self, peer: InstanceId, message: SuspectRequestsTold) -> None:
         """Send suspects to one gateway, if there are any."""
@@ -273,7 +275,7 @@
         """Handle a message that a gateway sends to all others."""
         match message:
             case SuspectRequestsTold():
-                self.suspects.take(origin, message)
+                self.suspects.merge_reports(origin, message)
             case HeartbeatsSeen():
                 self.view.record_heartbeats(message)
             case WorkChanged(number=number):
@@ -298,7 +300,7 @@
             self.routes.fetch.restarted(sender, now)
         if news is not PeerChange.NONE:
             LOG.info("Gateway heard.", peer=sender, news=news.name, epoch=alive.epoch)
-            self.post.learn(sender, self.view.settings.peer_address(sender))
+            self.messenger.add_entry(sender, self.view.settings.peer_address(sender))
             # A gateway that has just started can't serve without the configuration.
             self.send(sender, self.alive_message(True))
             self.send_full_state(sender)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/running.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from cowslipshelf_daemon.internal.gateway.assembly import serve
-from cowslipshelf_daemon.internal.process_end import end_process
+from cowslipshelf_daemon.internal.process_exit import exit_process
 from cowslipshelf_host.logs import (
     QueuedLineWriter,
     configure_queued_logs,
@@ -36,7 +36,7 @@
             pass
         case Err(problem):
             print(problem, file=sys.stderr)
-            end_process(EXIT_BAD_SETTINGS)
+            exit_process(EXIT_BAD_SETTINGS)
     writer = configure_queued_logs(LogSettings(), sys.stdout)
     # The runner is not closed: that would wait for threads that write to a disk, and
     # the shutdown grace period leaves no time to cancel the remaining tasks.
@@ -53,4 +53,4 @@
 def end_with_logs(writer: QueuedLineWriter, code: int) -> NoReturn:
     """Flush the logs and end the process."""
     writer.stop()
-    end_process(code)
+    exit_process(code)
--- a/tests/cover/daemon/test_suspect_requests.py
+++ b/tests/cover/daemon/test_suspect_requests.py
@@ -1,11 +1,11 @@
-"""Check that the threads of one process try a suspect one at a time."""
+"""Check that only one thread of a process at a time tries a suspect request."""
 
 import threading
 import time
 
 from cowslipshelf_core.gateway import AllowedAlone, request_digest
 from cowslipshelf_daemon.internal.suspect_requests import (
-    JudgedRequest,
+    RequestIdentity,
     SuspectRequests,
 )
 from cowslipshelf_host.metrics import Metrics
@@ -15,7 +15,7 @@
 
 
 def test_of_many_threads_that_ask_for_a_suspect_one_may_try_it():
-    """Guards against a suspect that one entry hands to several upstreams at once."""
+    """Guards against sending a suspect request to several upstreams at once."""
     suspects = SuspectRequests("entry-1", Metrics(), lambda _digest: None)
     for upstream in ("u-1", "u-2"):
         suspects.quarantine.record_exit(DIGEST, upstream, time.monotonic())
@@ -23,7 +23,7 @@
 
     def claim(number: int) -> None:
         barrier.wait(10)
-        verdicts.append(suspects.claim(JudgedRequest(f"r-{number}", DIGEST, "c")))
+        verdicts.append(suspects.claim(RequestIdentity(f"r-{number}", DIGEST, "c")))
 
     threads = [threading.Thread(target=claim, args=(n,)) for n in range(THREADS)]
     for thread in threads:
