--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -21,7 +21,7 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 
@@ -35,7 +35,7 @@
 
     view: ConfigurationView
     in_force: ConfigurationInForce
-    post: Post
+    messenger: Messenger
     routing: ActorRef
 
 
@@ -46,7 +46,7 @@
         super().__init__()
         self.view = parts.view
         self.in_force = parts.in_force
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.routing = parts.routing
         self.next_tick = 0.0
 
@@ -61,15 +61,15 @@
                 self.handle(message, now)
             case Delivered(message=ConfigurationSnapshot() as snapshot):
                 self.handle(SnapshotArrived(snapshot, message.sender_address), now)
-            case Delivered(message=FetchConfiguration() as question):
-                self.answer(question, message.sender_address)
+            case Delivered(message=FetchConfiguration() as query):
+                self.answer(query, message.sender_address)
 
     def handle(self, event: ConfigurationViewEvent, now: float) -> None:
         """Pass an event to the configuration view and carry out its effects."""
         for effect in self.view.handle(event, now):
             match effect:
-                case AskForConfiguration(address, question):
-                    self.post.send(address, question)
+                case AskForConfiguration(address, query):
+                    self.messenger.send(address, query)
                 case ApplyConfiguration(configuration):
                     self.in_force.replace(configuration)
                     self.routing.tell(configuration)
@@ -82,9 +82,9 @@
                         "two contents of one version", version=version, peer=address
                     )
 
-    def answer(self, question: FetchConfiguration, address: str) -> None:
+    def answer(self, query: FetchConfiguration, address: str) -> None:
         """Answer with the configuration in force here, unconfirmed by a quorum."""
         snapshot = ConfigurationSnapshot(
-            self.view.in_force, confirmed_by_quorum=False, query_id=question.query_id
+            self.view.in_force, confirmed_by_quorum=False, query_id=query.query_id
         )
-        self.post.send(address, snapshot)
+        self.messenger.send(address, snapshot)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -55,7 +55,7 @@
     ConfigurationInForce,
 )
 from cowslipshelf_daemon.internal.entry.suspect_broadcaster import SuspectBroadcaster
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Received
 from cowslipshelf_host.logs import part_logger
@@ -96,7 +96,7 @@
 class PlacementRequest(NamedTuple):
     """Ask the routing actor for a placement; the answer is put on `reply`."""
 
-    asked: PlacementAsked
+    event: PlacementAsked
     reply: "SimpleQueue[PlacementAnswered]"
 
 
@@ -128,9 +128,9 @@
             seconds,
         )
         placement_id = PlacementId(attempt_id)
-        asked = PlacementAsked(placement_id, facts, excluded)
+        event = PlacementAsked(placement_id, facts, excluded)
         try:
-            self.actor.tell(PlacementRequest(asked, reply))
+            self.actor.tell(PlacementRequest(event, reply))
             return reply.get(timeout=max(0.0, seconds) + REPLY_MARGIN_SECONDS)
         except (ActorDeadError, Empty):
             self.withdraw(placement_id)
@@ -222,7 +222,7 @@
     router: Router
     in_force: ConfigurationInForce
     status: FleetStatus
-    post: Post
+    messenger: Messenger
     broadcaster: SuspectBroadcaster
 
 
@@ -236,7 +236,7 @@
         self.router = parts.router
         self.in_force = parts.in_force
         self.status = parts.status
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.broadcaster = parts.broadcaster
         self.random = random.Random()
         self.replies: dict[PlacementId, SimpleQueue[PlacementAnswered]] = {}
@@ -249,9 +249,9 @@
         match message:
             case Tick():
                 self.tick(now)
-            case PlacementRequest(asked=asked, reply=reply):
-                self.replies[asked.placement_id] = reply
-                self.handle_router_event(asked, now)
+            case PlacementRequest(event=event, reply=reply):
+                self.replies[event.placement_id] = reply
+                self.handle_router_event(event, now)
             case PlacementWithdrawn(placement_id=placement_id):
                 self.replies.pop(placement_id, None)
                 self.handle_router_event(message, now)
@@ -285,7 +285,7 @@
             index.configuration.version,
             index.since,
         )
-        self.post.tell_other_entries(alive)
+        self.messenger.send_to_other_entries(alive)
         self.broadcaster.rebroadcast()
 
     def forget_silent_upstreams(self) -> None:
@@ -312,7 +312,7 @@
                     SuspectArrived(received.sender, suspect), now
                 )
             case EntryAlive() as alive:
-                self.post.learn(received.sender, received.sender_address)
+                self.messenger.add_entry(received.sender, received.sender_address)
                 self.send_missed_reports(received)
                 self.status.entries[received.sender] = EntryStatus(
                     alive.data_centre,
@@ -333,10 +333,12 @@
         """Answer a sidecar, with the list of entries if the sidecar's is outdated."""
         upstream_id = announce.description.upstream_id
         entries = (
-            () if announce.entries_digest == self.post.roster else self.post.entries()
+            ()
+            if announce.entries_digest == self.messenger.entries_digest
+            else self.messenger.entries()
         )
         answer = AnnounceAnswer(upstream_id, entries)
-        self.post.send(address, answer)
+        self.messenger.send(address, answer)
 
     def apply(self, configuration: FleetConfiguration, now: float) -> None:
         """Apply a newer configuration to the directory and the router."""
@@ -350,7 +352,7 @@
         for effect in self.directory.handle(event, now):
             match effect:
                 case SendSuspicion(suspect):
-                    self.post.tell_other_entries(suspect)
+                    self.messenger.send_to_other_entries(suspect)
                 case MassLossBegan(silent, known):
                     LOG.warning("most upstreams silent", silent=silent, known=known)
                 case MassLossEnded(silent, known):
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""Check what a replica's actor still does when its disk fails."""
+"""Check what the actor of a replica still does after its disk has failed."""
 
 import time
 
@@ -32,21 +32,21 @@
 @given(before=st.integers(0, 4), during=st.integers(1, 4), reads=st.integers(0, 3))
 @settings(max_examples=25, deadline=None, derandomize=True)
 def test_whoever_waits_for_a_replica_whose_disk_fails_is_told_so(before, during, reads):
-    """A disk becomes full at the leader while changes wait for their sync.
+    """The leader's disk becomes full while changes wait for their sync.
 
-    An operator and some callers wait for outcomes that went with the batch. They must
-    be told at once, and truly: nothing that was not synced counts as done.
+    The outcomes of the batch are lost. Its proposers and readers must be told at once,
+    and nothing that was not synced may be reported as done.
     """
     single = SingleReplica()
     single.deliver_together([propose(number) for number in range(before)])
-    results = single.post.take(ProposalResult)
+    results = single.messenger.take(ProposalResult)
     assert [result.refusal for result in results] == [None] * before
     single.gateway.messages.clear()
     single.storage.full = True
     asked = [FetchConfiguration(0, f"q{number}") for number in range(reads)]
     single.deliver_together([*asked, *[propose(9 + n) for n in range(during)]])
-    told = list(single.post.messages)
-    results = single.post.take(ProposalResult)
+    told = list(single.messenger.messages)
+    results = single.messenger.take(ProposalResult)
     assert {result.proposal_id for result in results} == {
         f"p{9 + number}" for number in range(during)
     }
@@ -57,21 +57,22 @@
 
 
 def test_a_replica_whose_disk_failed_goes_on_refusing():
-    """The full disk is made free again under the running process.
+    """A full disk gets free space again while the process runs.
 
-    What the page cache lost meanwhile is unknown, so only a restart may vote again.
-    Until then operators see the failure, and proposers turn elsewhere at once.
+    The replica cannot know which writes the page cache has lost, so it may vote again
+    only after a restart. Until then operators see the failure, and proposers are
+    refused at once and try another replica.
     """
     single = SingleReplica()
     single.storage.full = True
     single.deliver_together([propose(1)])
     single.storage.full = False
-    single.post.messages.clear()
+    single.messenger.messages.clear()
     for _ in range(20):
         single.actor.on_receive(Tick())
         time.sleep(ELECTION_SECONDS / 2)
     single.deliver_together([propose(2), FetchConfiguration(0, "q")])
-    told = list(single.post.messages)
+    told = list(single.messenger.messages)
     (refused,) = [one for one in told if isinstance(one, ProposalResult)]
     assert refused.refusal is ProposalRefusal.DISK_FAILED
     (answer,) = [one for one in told if isinstance(one, ConfigurationSnapshot)]
--- a/tests/cover/daemon/test_leaving.py
+++ b/tests/cover/daemon/test_leaving.py
@@ -1,13 +1,18 @@
-"""Check how a daemon's main thread sees a role out."""
+"""Check how a daemon's main thread shuts down its role."""
 
 import threading
 
 from cowslipshelf_daemon.internal import running
-from cowslipshelf_daemon.internal.running import EXIT_CUT, EXIT_DONE, Shutdown, leave
+from cowslipshelf_daemon.internal.running import (
+    EXIT_DONE,
+    EXIT_WORK_ABORTED,
+    Shutdown,
+    leave,
+)
 
 
 class Role:
-    """Be a role with one running request, whose stop may hang."""
+    """Simulate a role with one running request, whose stop may hang."""
 
     def __init__(self, finishes: bool, stop_hangs: bool = False) -> None:
         self.finishes = finishes
@@ -35,14 +40,14 @@
 
 def test_a_role_whose_work_was_cut_is_not_waited_for():
     role = Role(finishes=False, stop_hangs=True)
-    assert leave(role, Shutdown()) == EXIT_CUT
+    assert leave(role, Shutdown()) == EXIT_WORK_ABORTED
 
 
 def test_a_stop_that_hangs_is_named_and_not_waited_for(monkeypatch, capsys):
-    """A sidecar's work is done, and a thread of one of its servers never ends.
+    """A sidecar has finished its work, but a thread of one of its servers never ends.
 
-    The process was to wait for it for ever. It ends with the code of finished work,
-    and its log shows where the thread is.
+    The process must not wait for it for ever. It exits with the code of finished work,
+    and its log has the stack of the thread.
     """
     monkeypatch.setattr(running, "STOP_SECONDS", 0.05)
     role = Role(finishes=True, stop_hangs=True)
