--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/explanations.py
@@ -20,7 +20,7 @@
         self.request = request
         self.metrics = metrics
         self.started_at = time.time()
-        self.started = time.monotonic()
+        self.started_monotonic = time.monotonic()
         self.notes: list[str] = []
         self.placements: list[PlacementExplanation] = []
         self.chunks = 0
@@ -31,7 +31,9 @@
     def note(self, text: str) -> None:
         """Add a line with its time, unless there are `MAX_NOTES` already."""
         if len(self.notes) < MAX_NOTES:
-            self.notes.append(f"{time.monotonic() - self.started:.3f} s: {text}")
+            self.notes.append(
+                f"{time.monotonic() - self.started_monotonic:.3f} s: {text}"
+            )
 
     def add_placement(self, explanation: PlacementExplanation) -> None:
         """Record why an upstream was chosen."""
@@ -42,13 +44,13 @@
         """Count a chunk of the answer, and time the first one."""
         self.chunks += 1
         if self.first_chunk_seconds is None:
-            self.first_chunk_seconds = time.monotonic() - self.started
+            self.first_chunk_seconds = time.monotonic() - self.started_monotonic
             self.metrics.first_chunk(self.request, self.first_chunk_seconds)
 
     def end(self, outcome: str) -> None:
         """Record the outcome and the duration of the request."""
         self.outcome = outcome
-        self.seconds = time.monotonic() - self.started
+        self.seconds = time.monotonic() - self.started_monotonic
         self.metrics.ended(self.request, outcome, self.seconds)
 
     def lines(self) -> tuple[str, ...]:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -374,12 +374,12 @@
                 self.handle(FrameArrived(frame, self.streaming_attempt))
 
     def check_caller(self) -> None:
-        """Check whether the caller has closed its connection."""
+        """Notice a caller that left while there was nothing to write."""
         if not self.caller_left and self.writer.caller_gone():
             self.note_caller_left("closed its connection")
 
     def note_caller_left(self, detail: str) -> None:
-        """Tell the machine once; work that must run at most once continues."""
+        """Tell the machine once; work that must run at most once goes on without it."""
         self.record.note(f"caller gone: {detail}")
         if not self.caller_left:
             self.caller_left = True
@@ -430,7 +430,7 @@
 
 
 def refusal_of(verdict: HeldBack) -> Refusal:
-    """Return the refusal of a request that upstreams exited under; it did not run.
+    """Refuse a request that upstreams exited under; it did not run again.
 
     Without a time to retry after, its reason has a status that invites no retry.
     """
--- a/tests/cover/daemon/test_failing_disk.py
+++ b/tests/cover/daemon/test_failing_disk.py
@@ -45,13 +45,13 @@
     single.storage.full = True
     asked = [FetchConfiguration(0, f"q{number}") for number in range(reads)]
     single.deliver_together([*asked, *[propose(9 + n) for n in range(during)]])
-    told = list(single.messenger.messages)
+    sent = list(single.messenger.messages)
     results = single.messenger.take(ProposalResult)
     assert {result.proposal_id for result in results} == {
         f"p{9 + number}" for number in range(during)
     }
     assert {result.refusal for result in results} <= REFUSALS
-    answers = [one for one in told if isinstance(one, ConfigurationSnapshot)]
+    answers = [one for one in sent if isinstance(one, ConfigurationSnapshot)]
     assert [answer.confirmed_by_quorum for answer in answers] == [False] * reads
     assert single.gateway.take(LeaderSeen)[-1] == LeaderSeen(None)
 
@@ -72,10 +72,10 @@
         single.actor.on_receive(Tick())
         time.sleep(ELECTION_SECONDS / 2)
     single.deliver_together([propose(2), FetchConfiguration(0, "q")])
-    told = list(single.messenger.messages)
-    (refused,) = [one for one in told if isinstance(one, ProposalResult)]
+    sent = list(single.messenger.messages)
+    (refused,) = [one for one in sent if isinstance(one, ProposalResult)]
     assert refused.refusal is ProposalRefusal.DISK_FAILED
-    (answer,) = [one for one in told if isinstance(one, ConfigurationSnapshot)]
+    (answer,) = [one for one in sent if isinstance(one, ConfigurationSnapshot)]
     assert not answer.confirmed_by_quorum
     status = single.actor.replica.status()
     assert (status.role, status.leader) == (Role.FAILED, None)
