--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -78,11 +78,11 @@
         if snapshot.query_id:
             self.client.record_answer(snapshot)
         elif sender != self.view.settings.instance:
-            self.record_copy(sender, document)
+            self.log_copy(sender, document)
         if document.body and self.apply_routes(document):
             self.fetch.record_copy(len(document.body), time.monotonic())
 
-    def record_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
+    def log_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a received copy; needless copies saturate links."""
         self.copies += 1
         LOG.info(
--- a/tests/common/slow_links.py
+++ b/tests/common/slow_links.py
@@ -180,9 +180,9 @@
 
     def arrive(self, receiver: str, delivered: Delivered, size: int) -> None:
         whole = self.links[receiver].receive(size, self.clock.now)
-        self.schedule(whole, self.receive, receiver, delivered)
+        self.schedule(whole, self.deliver, receiver, delivered)
 
-    def receive(self, receiver: str, delivered: Delivered) -> None:
+    def deliver(self, receiver: str, delivered: Delivered) -> None:
         match delivered.message:
             case RoutesSnapshot(document=document):
                 self.copies[document.version][receiver] += 1
--- a/tests/cover/gateway/test_attempt.py
+++ b/tests/cover/gateway/test_attempt.py
@@ -137,7 +137,7 @@
     return asyncio.run(attempts())
 
 
-def test_a_moved_stream_tells_its_first_token_at_each_engine():
+def test_a_resumed_stream_reports_its_first_token_on_each_engine():
     """Guards against an engine that counts as prefilling until a resumed stream ends.
 
     The first engine breaks off, and the stream resumes on another one. Until it ends,
@@ -153,7 +153,7 @@
     assert view.engines.placed == {}
 
 
-def test_work_is_told_to_end_whatever_came_of_it():
+def test_the_end_of_work_is_reported_whatever_the_outcome():
     _, told, view = run(FakeConnection(503), FakeConnection(200, breaks=True))
     ended = [name for changed in told for name in changed.ended]
     assert ended == ["w-0", "w-1"]
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(("status", "avoided"), [(421, True), (200, False)])
-def test_an_address_that_belongs_to_somebody_else_is_avoided(status, avoided):
+def test_an_address_that_belongs_to_another_upstream_is_avoided(status, avoided):
     """Guards against a service that refuses every second request for seconds.
 
     An upstream crashed and its address now belongs to another one, while its last
@@ -213,7 +213,7 @@
         (UpstreamStart("u-1", 1), UpstreamPhase.LEAVING, []),
     ],
 )
-def test_what_is_open_ends_with_a_later_start_and_not_with_a_leaving(
+def test_open_attempts_end_with_a_later_start_but_not_when_an_upstream_leaves(
     later, phase, dropped
 ):
     """Guards against cut streams on an upstream that leaves and would finish them.
--- a/tests/cover/gateway/test_control_changes.py
+++ b/tests/cover/gateway/test_control_changes.py
@@ -68,7 +68,7 @@
     assert put(HELD[:-1]) == (400, 0)
 
 
-def test_what_no_message_could_carry_is_refused_with_the_reason():
+def test_a_configuration_too_large_for_a_message_is_refused_with_the_reason():
     """Guards against a silent drop that the operator sees as no replica answering."""
     noise = Random(1).randbytes(3 * 1024 * 1024).hex().encode()
     large = b'{"note":"' + noise + b'",' + many_routes(8, 1)[1:]
--- a/tests/cover/gateway/test_suspect_requests.py
+++ b/tests/cover/gateway/test_suspect_requests.py
@@ -109,21 +109,21 @@
 
 
 @pytest.mark.parametrize("outcome", [LOST, NotRun(503)])
-def test_attempts_that_were_lost_otherwise_do_not_speak_against_a_request(outcome):
+def test_attempts_that_were_lost_otherwise_do_not_count_against_a_request(outcome):
     gateway = GatewayWithFakeRunner(*[outcome] * 6)
     for _ in range(2):
         gateway.ask()
     assert gateway.runner.sent == 6
 
 
-def test_all_gateways_are_told_of_each_end_and_of_each_trial():
+def test_each_exit_and_each_trial_is_reported_to_all_gateways():
     gateway = GatewayWithFakeRunner(ENDED, ENDED, ENDED)
     gateway.ask()
     ends, trial_begins, trial_ends = 3, 1, 1
     assert gateway.told == [DIGEST] * (ends + trial_begins + trial_ends)
 
 
-def test_a_suspect_that_is_tried_elsewhere_is_to_come_back_soon():
+def test_a_suspect_on_trial_elsewhere_gets_a_short_retry_after():
     gateway = GatewayWithFakeRunner()
     now = time.monotonic()
     for upstream in ("u-1", "u-2"):
@@ -173,7 +173,7 @@
     return SuspectRequestsDocument(at, SuspectRequestsTold((suspect,)))
 
 
-def test_odd_word_beside_sound_word_changes_nothing():
+def test_an_invalid_report_beside_a_valid_one_changes_nothing():
     """Guards against a faulty peer that makes a gateway refuse requests."""
     gateway = GatewayWithFakeRunner()
     odd = report("u-1", "u-2", "u-3", age=float("nan"))
@@ -193,7 +193,7 @@
     assert suspects.quarantine.exit_count(DIGEST) == 1
 
 
-def test_a_time_of_day_that_was_put_back_makes_no_end_lie_in_the_future(tmp_path):
+def test_a_clock_that_was_set_back_dates_no_exit_in_the_future(tmp_path):
     file = SuspectRequestsFile(str(tmp_path))
     document = stored(report("u-1"), time.time() + 900.0)
     file.write(msgspec.msgpack.encode(document), 1)
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("keep", [0, 1, 7, 20])
-def test_a_torn_file_is_no_reason_not_to_start(tmp_path, keep):
+def test_a_truncated_file_does_not_prevent_a_start(tmp_path, keep):
     """Guards against a gateway that can't start after a power loss."""
     file = SuspectRequestsFile(str(tmp_path))
     document = stored(report("u-1"), time.time())
--- a/tests/cover/gateway/test_upstreams_file.py
+++ b/tests/cover/gateway/test_upstreams_file.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("keep", [0, 1, 7, 20])
-def test_a_torn_file_is_no_reason_not_to_start(tmp_path, keep):
+def test_a_truncated_file_does_not_prevent_a_start(tmp_path, keep):
     """Guards against a gateway that can't start after a power loss.
 
     A disk that does not keep synced data may lose any part of the file.
@@ -50,13 +50,13 @@
     assert file.read() == ()
 
 
-def test_a_folder_that_takes_no_writes_is_no_reason_to_fail(tmp_path):
+def test_a_folder_that_is_not_writable_causes_no_failure(tmp_path):
     file = UpstreamsFile(str(tmp_path / "missing"))
     file.write(b"", frozenset())
     assert file.read() == ()
 
 
-def test_what_was_written_outlives_a_loss_of_power(tmp_path, monkeypatch):
+def test_a_written_file_survives_a_power_loss(tmp_path, monkeypatch):
     """Guards against requests that try engines which left long ago.
 
     Every instance lost power. A file that was not synced came back fifteen seconds old,
@@ -92,7 +92,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_whatever_a_disk_gives_back_is_no_reason_not_to_start(data):
+def test_arbitrary_file_contents_do_not_prevent_a_start(data):
     with TemporaryDirectory() as folder:
         file = UpstreamsFile(folder)
         file.path.write_bytes(data)
--- a/tests/nocover/gateway/test_gateway_processes.py
+++ b/tests/nocover/gateway/test_gateway_processes.py
@@ -57,7 +57,7 @@
     assert "authorization" not in seen[0].headers
 
 
-def test_strangers_and_unknown_places_are_refused(fleet):
+def test_unknown_keys_and_paths_are_refused(fleet):
     gateway = fleet.gateways[0]
     assert ask(gateway, "/nowhere/x").status == 404
     assert ask(gateway, "/safe/x", Authorization="Token wrong").status == 401
@@ -110,7 +110,7 @@
             assert (status, json.loads(body)) == (200, large)
 
 
-def test_what_was_accepted_outlives_the_death_of_all_processes(fleet):
+def test_an_accepted_configuration_survives_the_death_of_all_processes(fleet):
     """Guards against losing a route when all processes are killed at once."""
     newest = document(9, *ROUTES)
     fleet.accept(newest)
@@ -196,7 +196,7 @@
         assert ask(fleet.gateways[0], "/safe/x").status == 200
 
 
-def test_an_upstream_that_did_not_run_a_request_is_believed(fleet):
+def test_an_upstream_that_reports_a_request_as_not_run_is_trusted(fleet):
     def shed(exchange: Exchange) -> None:
         exchange.answer(503, X_Not_Run="1")
 
@@ -300,7 +300,7 @@
     assert gateway.process.wait(20) == 0
 
 
-def test_a_head_that_trickles_in_is_not_waited_for(fleet):
+def test_a_request_head_that_arrives_slowly_times_out(fleet):
     """Guards against a hundred slow callers that occupy all connections."""
     limits = {"header_timeout_ms": 300}
     fleet.accept(document(3, *ROUTES) | {"limits": limits})
@@ -358,7 +358,7 @@
     assert ask(fleet.gateways[0], "/safe/x").status == status
 
 
-def test_a_stream_is_whole_although_it_was_moved(fleet):
+def test_a_stream_resumed_on_another_upstream_is_complete(fleet):
     def move(exchange: Exchange) -> None:
         after = int(exchange.request.headers.get("last-event-id", 0))
         exchange.begin_stream()
--- a/tests/nocover/gateway/test_memory_of_silent_engines.py
+++ b/tests/nocover/gateway/test_memory_of_silent_engines.py
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
-def test_memory_is_kept_for_an_engine_that_reads_for_long_and_answers_questions(lost):
+def test_memory_is_kept_for_an_engine_that_prefills_for_long_and_answers_probes(lost):
     """Guards against ending a long prefill because a few probes are lost."""
     head, holder = Engine(dark=False, lost_probes=lost), Engine(dark=False)
     began = time.monotonic()
