--- a/benchmarks/fleet_mailboxes.py
+++ b/benchmarks/fleet_mailboxes.py
@@ -68,7 +68,7 @@
 def send_within_window(sender: Mailbox, address: str, message: Withdraw) -> None:
     """Send one message, or wait a little where too much is on its way."""
     link = sender.peer_at(address).link
-    if link.sent_bytes - link.answered_bytes > IN_FLIGHT_BYTES:
+    if link.sent_bytes - link.acknowledged_bytes > IN_FLIGHT_BYTES:
         sleep(0.0005)
         return
     sender.send(address, message)
--- a/benchmarks/slopes/control_costs.py
+++ b/benchmarks/slopes/control_costs.py
@@ -41,8 +41,8 @@
 
 def codec() -> EnvelopeCodec:
     """Make the codec that every mailbox of the system uses."""
-    most_bytes = 1 << 24
-    return EnvelopeCodec.from_config(CLUSTER_KEY, MailboxMessage, most_bytes)
+    max_bytes = 1 << 24
+    return EnvelopeCodec.from_config(CLUSTER_KEY, MailboxMessage, max_bytes)
 
 
 def envelope(message: Message) -> Envelope:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_gateway.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_responder.py
@@ -37,7 +37,7 @@
 HEARTBEAT = encode_frame(StreamHeartbeat())
 
 
-class AttemptsGateway(Gateway):
+class AttemptsResponder(Gateway):
     """Check one request, ask the handler and write the answer."""
 
     def respond(self) -> None:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
@@ -16,11 +16,11 @@
     format_address,
     parse_address,
 )
-from cowslipshelf_fleet.internal.attempts_gateway import AttemptsGateway
 from cowslipshelf_fleet.internal.attempts_protocol import (
     MOST_BODY_BYTES,
     attempts_tagger,
 )
+from cowslipshelf_fleet.internal.attempts_responder import AttemptsResponder
 from cowslipshelf_fleet.internal.frame_buffer import FrameBuffer
 from cowslipshelf_fleet.internal.growing_pool import GrowingThreadPool
 
@@ -42,7 +42,7 @@
     stalled_seconds: float = 10.0
     """A client that reads nothing, or sends half a request, is cut after so long."""
     spare_threads: int = 8
-    most_threads: int = 600
+    max_threads: int = 600
     """Streams at a time; further connections wait."""
 
 
@@ -92,13 +92,13 @@
 
     def __init__(self, config: AttemptsServerConfig, handler: AttemptsHandler) -> None:
         listen = parse_address(config.listen_address)
-        super().__init__(tuple(listen), AttemptsGateway, server_name="cowslipshelf")
+        super().__init__(tuple(listen), AttemptsResponder, server_name="cowslipshelf")
         self.config = config
         self.handler = handler
         self.tagger = attempts_tagger(config.cluster_key)
         self.timeout = config.stalled_seconds
         self.requests = GrowingThreadPool(
-            self, spare=config.spare_threads, most=config.most_threads
+            self, spare=config.spare_threads, most=config.max_threads
         )
         self.stopping = Event()
         self.serving = Thread(target=self.serve, name="attempts-accept", daemon=True)
--- a/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
@@ -24,13 +24,13 @@
     """Grows with each heartbeat, and begins anywhere."""
     sent_bytes: int
     """Bytes of messages sent on the connection before this heartbeat."""
-    wanted: bool
+    in_use: bool
     """False where the connection only carries answers to the peer's heartbeats."""
-    urgent: bool
+    reply_requested: bool
     """Whether the peer is to answer at once; False in an answer."""
-    heard_number: int
+    acknowledged_number: int
     """Number of the last heartbeat heard from the peer, or zero."""
-    heard_bytes: int
+    acknowledged_bytes: int
     """Bytes sent before that heartbeat, as it said itself."""
 
 
@@ -66,11 +66,11 @@
     tagger: Tagger
     decoder: msgspec.msgpack.Decoder
     encoder: msgspec.msgpack.Encoder
-    most_bytes: int
+    max_bytes: int
 
     @classmethod
     def from_config(
-        cls, cluster_key: bytes, message_types: Any, most_bytes: int
+        cls, cluster_key: bytes, message_types: Any, max_bytes: int
     ) -> "EnvelopeCodec":
         """Make a codec for a union of message types."""
         union = Union[message_types, MailboxHeartbeat]  # noqa: UP007
@@ -78,7 +78,7 @@
             tagger=Tagger.from_cluster_key(cluster_key, PURPOSE),
             decoder=msgspec.msgpack.Decoder(Envelope[union]),
             encoder=msgspec.msgpack.Encoder(),
-            most_bytes=most_bytes,
+            max_bytes=max_bytes,
         )
 
     def encode(self, envelope: Envelope) -> bytes:
@@ -94,7 +94,7 @@
         that follows it. Nothing is decoded before its tag was accepted, so that
         strangers reach neither the decoder nor the receiver.
         """
-        if len(data) > self.most_bytes:
+        if len(data) > self.max_bytes:
             return Rejected(RejectionReason.OVERSIZED)
         version, tag, content = data[:1], data[1:HEADER_BYTES], data[HEADER_BYTES:]
         if version != PROTOCOL_VERSION.to_bytes(1):
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
@@ -28,8 +28,8 @@
     Positions count frames; sequence numbers count chunks, from one.
     """
 
-    def __init__(self, most_bytes: int = MOST_BUFFERED_BYTES) -> None:
-        self.most_bytes = most_bytes
+    def __init__(self, max_bytes: int = MOST_BUFFERED_BYTES) -> None:
+        self.max_bytes = max_bytes
         self.frames: list[Frame] = []
         self.bytes = 0
         self.last_sequence = 0
@@ -57,7 +57,7 @@
                 return False
             self.check_order(frame)
             is_last = isinstance(frame, StreamEnd)
-            if self.closed or (self.bytes + size > self.most_bytes and not is_last):
+            if self.closed or (self.bytes + size > self.max_bytes and not is_last):
                 return False
             self.frames.append(frame)
             self.bytes += size
--- a/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
@@ -5,7 +5,7 @@
 from urllib3 import HTTPConnectionPool
 from urllib3.connection import HTTPConnection
 
-from cowslipshelf_fleet.internal.running_time_socket import RunningTimeSocket
+from cowslipshelf_fleet.internal.pause_tolerant_socket import PauseTolerantSocket
 
 MOST_IDLE_SECONDS = 2.0
 SEND_SECONDS = 30.0
@@ -31,7 +31,7 @@
     def connect(self) -> None:
         """Connect; then give a large body more time than connecting may take."""
         super().connect()
-        self.sock = RunningTimeSocket.from_connected(self.sock)
+        self.sock = PauseTolerantSocket.from_connected(self.sock)
         self.sock.settimeout(SEND_SECONDS)
 
     @property
--- a/packages/fleet/src/cowslipshelf_fleet/internal/link.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/link.py
@@ -57,7 +57,7 @@
     heartbeat_seconds: float
     silence_seconds: float
     idle_seconds: float
-    most_unanswered_bytes: int
+    max_unacknowledged_bytes: int
     needed_until: float
     """End of the time for which own messages want the connection."""
     asked_until: float
@@ -77,7 +77,7 @@
     """Connections in a row that were closed without a single answer."""
     sent_bytes: int = 0
     """Bytes of messages, heartbeats left out, on the present connection."""
-    answered_bytes: int = 0
+    acknowledged_bytes: int = 0
     beaten_bytes: int = 0
 
     def use(self, now: float) -> None:
@@ -92,8 +92,8 @@
         """
         if not self.dialled:
             return False
-        unanswered = self.sent_bytes - self.answered_bytes
-        return unanswered == 0 or unanswered + size <= self.most_unanswered_bytes
+        unanswered = self.sent_bytes - self.acknowledged_bytes
+        return unanswered == 0 or unanswered + size <= self.max_unacknowledged_bytes
 
     def sent(self, size: int) -> None:
         """Note that a message was handed to the connection."""
@@ -102,11 +102,11 @@
     def wants_early_heartbeat(self) -> bool:
         """Tell whether an answer is needed before the next tick, for all the bytes."""
         unbeaten = self.sent_bytes - self.beaten_bytes
-        return unbeaten * HEARTBEATS_PER_WINDOW >= self.most_unanswered_bytes
+        return unbeaten * HEARTBEATS_PER_WINDOW >= self.max_unacknowledged_bytes
 
     def has_unanswered(self) -> bool:
         """Tell whether bytes were sent here that no heartbeat has vouched for."""
-        return self.dialled and self.sent_bytes > self.answered_bytes
+        return self.dialled and self.sent_bytes > self.acknowledged_bytes
 
     def dial(self, now: float) -> None:
         """Begin a new connection."""
@@ -115,7 +115,7 @@
         self.answered_number = 0
         self.answered_at = now
         self.beaten_at = now - self.heartbeat_seconds
-        self.sent_bytes = self.answered_bytes = self.beaten_bytes = 0
+        self.sent_bytes = self.acknowledged_bytes = self.beaten_bytes = 0
 
     def beat_interval(self) -> float:
         """Return the time between heartbeats that are not answers.
@@ -127,7 +127,7 @@
         leads = self.number > self.heard_number
         return self.heartbeat_seconds * (1.0 if leads else FOLLOWER_FACTOR)
 
-    def next_heartbeat(self, now: float, urgent: bool) -> MailboxHeartbeat:
+    def next_heartbeat(self, now: float, reply_requested: bool) -> MailboxHeartbeat:
         """Return a heartbeat that vouches for all bytes sent so far."""
         self.number += 1
         self.beaten_at = now
@@ -135,10 +135,10 @@
         return MailboxHeartbeat(
             number=self.number,
             sent_bytes=self.sent_bytes,
-            wanted=now < self.needed_until,
-            urgent=urgent,
-            heard_number=self.heard_number,
-            heard_bytes=self.heard_bytes,
+            in_use=now < self.needed_until,
+            reply_requested=reply_requested,
+            acknowledged_number=self.heard_number,
+            acknowledged_bytes=self.heard_bytes,
         )
 
     def heard(self, heartbeat: MailboxHeartbeat, now: float) -> None:
@@ -149,13 +149,16 @@
         """
         self.heard_number = heartbeat.number
         self.heard_bytes = heartbeat.sent_bytes
-        if heartbeat.wanted:
+        if heartbeat.in_use:
             self.asked_until = now + self.silence_seconds
         newest_answered = max(self.answered_number, self.first_number - 1)
-        if self.dialled and newest_answered < heartbeat.heard_number <= self.number:
-            self.answered_number = heartbeat.heard_number
+        if (
+            self.dialled
+            and newest_answered < heartbeat.acknowledged_number <= self.number
+        ):
+            self.answered_number = heartbeat.acknowledged_number
             self.answered_at = now
-            self.answered_bytes = heartbeat.heard_bytes
+            self.acknowledged_bytes = heartbeat.acknowledged_bytes
             self.failures = 0
 
     def heard_anything(self, now: float) -> None:
@@ -183,7 +186,7 @@
             self.close(now, random)
             return [CloseConnection()]
         if now - self.beaten_at >= self.beat_interval():
-            return [SendHeartbeat(self.next_heartbeat(now, urgent=True))]
+            return [SendHeartbeat(self.next_heartbeat(now, reply_requested=True))]
         return []
 
     def close(self, now: float, random: Random) -> None:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
@@ -66,8 +66,8 @@
     """Union of the `Message` types that the mailbox may receive."""
     idle_seconds: float = 60.0
     """A peer that nothing is sent to for so long is disconnected."""
-    most_message_bytes: int = 4 * 1024 * 1024
-    most_unanswered_bytes: int = 8 * 1024 * 1024
+    max_message_bytes: int = 4 * 1024 * 1024
+    max_unacknowledged_bytes: int = 8 * 1024 * 1024
     """Bytes that may wait for one peer, in memory or on their way."""
     flush_seconds: float = 0.5
     """Longest wait, on stopping, for what was sent to arrive."""
@@ -97,7 +97,7 @@
         self.configuration_version = configuration_version
         self.address = config.listen_address
         self.codec = EnvelopeCodec.from_config(
-            config.cluster_key, config.message_types, config.most_message_bytes
+            config.cluster_key, config.message_types, config.max_message_bytes
         )
         self.counter_table = CounterTable()
         self.peers: dict[str, Peer] = {}
@@ -150,7 +150,7 @@
     def listen(self) -> None:
         """Bind the listener and learn the real address."""
         self.listener = pynng.Pull0(
-            recv_max_size=RECEIVE_LIMIT_FACTOR * self.config.most_message_bytes,
+            recv_max_size=RECEIVE_LIMIT_FACTOR * self.config.max_message_bytes,
             recv_buffer_size=RECEIVED_QUEUE_MESSAGES,
         )
         bound = self.listener.listen(f"tcp://{self.config.listen_address}")
@@ -166,7 +166,7 @@
             return
         data = self.encode(message)
         for address in addresses:
-            if len(data) > self.config.most_message_bytes:
+            if len(data) > self.config.max_message_bytes:
                 self.counter_table.add(CountedEvent.TOO_LARGE)
             else:
                 self.peer_at(address).send(data)
@@ -228,7 +228,7 @@
             heartbeat_seconds=self.heartbeat_seconds,
             silence_seconds=self.config.silence_seconds,
             idle_seconds=self.config.idle_seconds,
-            most_unanswered_bytes=self.config.most_unanswered_bytes,
+            max_unacknowledged_bytes=self.config.max_unacknowledged_bytes,
             needed_until=now,
             asked_until=now + self.config.silence_seconds,
             number=self.random.getrandbits(FIRST_NUMBER_BITS),
@@ -267,7 +267,7 @@
         making each other known again, and heartbeats would go on for ever.
         """
         match envelope.message:
-            case MailboxHeartbeat(wanted=True):
+            case MailboxHeartbeat(in_use=True):
                 return self.peer_at(envelope.sender_address)
             case _:
                 with self.lock:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/running_time_socket.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/pause_tolerant_socket.py
@@ -10,7 +10,7 @@
 MILLISECONDS = 1000
 
 
-class RunningTimeSocket(socket.socket):
+class PauseTolerantSocket(socket.socket):
     """Read with a timeout that no pause of this process uses up.
 
     A machine that is paused, or starved, wakes with every wait on it over, before a
--- a/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
@@ -59,7 +59,9 @@
                 return
             self.link.sent(len(data))
             early = self.link.wants_early_heartbeat()
-            heartbeat = self.link.next_heartbeat(now, urgent=True) if early else None
+            heartbeat = (
+                self.link.next_heartbeat(now, reply_requested=True) if early else None
+            )
         self.counters.add_message(CountedEvent.SENT, CountedEvent.SENT_BYTES, len(data))
         if heartbeat is not None:
             self.send_heartbeat(heartbeat)
@@ -83,8 +85,10 @@
         with self.lock:
             self.link.heard(heartbeat, now)
             self.dial_if_due(now)
-            wanted = heartbeat.urgent and self.link.dialled
-            answer = self.link.next_heartbeat(now, urgent=False) if wanted else None
+            wanted = heartbeat.reply_requested and self.link.dialled
+            answer = (
+                self.link.next_heartbeat(now, reply_requested=False) if wanted else None
+            )
         if answer is not None:
             self.send_heartbeat(answer)
 
@@ -112,7 +116,7 @@
         with self.lock:
             if not self.link.has_unanswered():
                 return
-            heartbeat = self.link.next_heartbeat(monotonic(), urgent=True)
+            heartbeat = self.link.next_heartbeat(monotonic(), reply_requested=True)
         self.send_heartbeat(heartbeat)
 
     def has_unanswered(self) -> bool:
--- a/tests/cover/fleet/test_envelopes.py
+++ b/tests/cover/fleet/test_envelopes.py
@@ -37,7 +37,7 @@
         heartbeat_seconds=1.0,
         silence_seconds=3.0,
         message_types=ANY_MESSAGE,
-        most_message_bytes=MOST_BYTES,
+        max_message_bytes=MOST_BYTES,
     )
     return Mailbox.from_config(config, received.append, lambda: 1)
 
--- a/tests/cover/fleet/test_frames.py
+++ b/tests/cover/fleet/test_frames.py
@@ -129,7 +129,7 @@
 @MANY
 @given(st.lists(st.integers(0, 400), min_size=1, max_size=50))
 def test_a_buffer_is_bounded_and_always_takes_the_end(sizes):
-    buffer = FrameBuffer(most_bytes=2000)
+    buffer = FrameBuffer(max_bytes=2000)
     last = 0
     for size in sizes:
         if buffer.append(StreamChunk(last + 1, bytes(size))):
--- a/tests/cover/fleet/test_links.py
+++ b/tests/cover/fleet/test_links.py
@@ -31,7 +31,7 @@
         heartbeat_seconds=HEARTBEAT_SECONDS,
         silence_seconds=SILENCE_SECONDS,
         idle_seconds=IDLE_SECONDS,
-        most_unanswered_bytes=WINDOW_BYTES,
+        max_unacknowledged_bytes=WINDOW_BYTES,
         needed_until=now,
         asked_until=now + SILENCE_SECONDS,
         number=number,
@@ -66,24 +66,24 @@
 
     def take(self, heartbeat: MailboxHeartbeat, now: float) -> None:
         if self.forgotten:
-            if not heartbeat.wanted:
+            if not heartbeat.in_use:
                 return
             self.link, self.forgotten = new_link(now), False
         self.link.heard(heartbeat, now)
         if not self.link.dialled:
             self.link.dial(now)
-        if heartbeat.urgent:
-            self.outbox.append(self.link.next_heartbeat(now, urgent=False))
+        if heartbeat.reply_requested:
+            self.outbox.append(self.link.next_heartbeat(now, reply_requested=False))
 
 
 def answer_to(number: int, sent_bytes: int = 0) -> MailboxHeartbeat:
     return MailboxHeartbeat(
         number=7,
         sent_bytes=0,
-        wanted=True,
-        urgent=False,
-        heard_number=number,
-        heard_bytes=sent_bytes,
+        in_use=True,
+        reply_requested=False,
+        acknowledged_number=number,
+        acknowledged_bytes=sent_bytes,
     )
 
 
@@ -174,12 +174,12 @@
     link.dial(0.0)
     for step in steps:
         if step is None:
-            unanswered.append(link.next_heartbeat(0.0, urgent=False))
+            unanswered.append(link.next_heartbeat(0.0, reply_requested=False))
             answered = unanswered[len(unanswered) // 2]
             link.heard(answer_to(answered.number, answered.sent_bytes), 0.0)
         elif link.admits(step):
             link.sent(step)
-        assert 0 <= link.sent_bytes - link.answered_bytes <= WINDOW_BYTES
+        assert 0 <= link.sent_bytes - link.acknowledged_bytes <= WINDOW_BYTES
 
 
 @MANY
@@ -194,7 +194,7 @@
     for number_of_beats in beats:
         link.dial(0.0)
         present = [
-            link.next_heartbeat(0.0, urgent=False).number
+            link.next_heartbeat(0.0, reply_requested=False).number
             for _ in range(number_of_beats)
         ]
     heard += FIRST_NUMBER
--- a/tests/cover/fleet/test_mailbox.py
+++ b/tests/cover/fleet/test_mailbox.py
@@ -93,7 +93,7 @@
     and nobody answers. Its senders go on at full speed. What waits for one peer
     stays under the limit, and the rest is counted as dropped.
     """
-    sender = started("a", [], most_unanswered_bytes=10_000, silence_seconds=60.0)
+    sender = started("a", [], max_unacknowledged_bytes=10_000, silence_seconds=60.0)
     with socket.create_server(("127.0.0.1", 0)) as frozen:
         address = "{}:{}".format(*frozen.getsockname())
         for _ in range(200):
@@ -131,7 +131,7 @@
 
 
 def test_an_oversized_message_is_dropped_where_it_is_sent():
-    sender = started("a", [], most_message_bytes=1000)
+    sender = started("a", [], max_message_bytes=1000)
     sender.send("127.0.0.1:1", Withdraw("u" * 1000, "e"))
     assert sender.counters.dropped_oversized == 1
     assert not sender.peers
