--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
@@ -27,19 +27,19 @@
     make_proposal_client,
     make_view,
 )
-from cowslipshelf_daemon.internal.sidecar.attempt_log import AttemptLog
-from cowslipshelf_daemon.internal.sidecar.attempt_runner import AttemptServices
+from cowslipshelf_daemon.internal.sidecar.attempt_runner import AttemptContext
 from cowslipshelf_daemon.internal.sidecar.attempts_handler import (
     SidecarAttemptsHandler,
 )
-from cowslipshelf_daemon.internal.sidecar.order_runner import OrderServices
+from cowslipshelf_daemon.internal.sidecar.engine_worker import EngineWorker
+from cowslipshelf_daemon.internal.sidecar.frame_buffers import FrameBufferTable
+from cowslipshelf_daemon.internal.sidecar.order_runner import OrderContext
 from cowslipshelf_daemon.internal.sidecar.sidecar_actor import (
-    LeaveAsked,
-    PeersAttached,
+    ConnectionsAttached,
+    LeaveRequest,
     SidecarActor,
     SidecarParts,
 )
-from cowslipshelf_daemon.internal.sidecar.upstream_keeper import UpstreamKeeper
 from cowslipshelf_daemon.internal.ticker import Ticker
 from cowslipshelf_fleet.attempts import AttemptsServer, AttemptsServerConfig
 from cowslipshelf_fleet.mailboxes import Mailbox, Received
@@ -54,8 +54,8 @@
 
 LOG = part_logger("sidecar")
 
-READERS_SECONDS = 3.0
-POLL_SECONDS = 0.02
+MAX_READER_WAIT_SECONDS = 3.0
+READER_POLL_SECONDS = 0.02
 
 
 class SidecarRole(NamedTuple):
@@ -63,17 +63,17 @@
 
     settings: DaemonSettings
     actor: ActorRef
-    gateway: ActorRef
+    control_actor: ActorRef
     mailbox: Mailbox
     server: AttemptsServer
     ticker: Ticker
     left: threading.Event
-    view_of_state: SidecarState
-    attempts: AttemptLog
+    state: SidecarState
+    buffers: FrameBufferTable
 
     def leave(self) -> bool:
         """Finish what runs and go; return whether all of it finished in time."""
-        self.actor.tell(LeaveAsked(self.left.set))
+        self.actor.tell(LeaveRequest(self.left.set))
         finished = self.left.wait(self.settings.timings.shutdown_seconds)
         self.wait_for_readers()
         return finished
@@ -85,13 +85,13 @@
         server that stops in between cuts a stream that was whole. An entry that never
         reads again must not hold the process up, so the wait is short.
         """
-        limit = time.monotonic() + READERS_SECONDS
-        while self.attempts.unread() and time.monotonic() < limit:
-            time.sleep(POLL_SECONDS)
+        limit = time.monotonic() + MAX_READER_WAIT_SECONDS
+        while self.buffers.unread() and time.monotonic() < limit:
+            time.sleep(READER_POLL_SECONDS)
 
     def running_work(self) -> int:
         """Return how many attempts run."""
-        return self.view_of_state.load_report().running
+        return self.state.load_report().running
 
     def stop(self) -> None:
         """End every thread and socket."""
@@ -99,7 +99,7 @@
         self.server.stop()
         self.mailbox.stop()
         self.actor.stop()
-        self.gateway.stop()
+        self.control_actor.stop()
 
 
 def start_sidecar(settings: DaemonSettings) -> SidecarRole:
@@ -109,33 +109,33 @@
     parts = make_parts(settings, epoch, view)
     actor = SidecarActor.start(parts)
     messenger = make_messenger(settings)
-    gateway = GatewayActor.start(make_proposal_client(settings), messenger)
-    dispatch = SidecarDispatch(actor, gateway)
-    mailbox = make_mailbox(settings, epoch, dispatch.receive, view.version)
-    services = AttemptServices(
+    control_actor = GatewayActor.start(make_proposal_client(settings), messenger)
+    dispatcher = SidecarDispatcher(actor, control_actor)
+    mailbox = make_mailbox(settings, epoch, dispatcher.receive, view.version)
+    context = AttemptContext(
         make_client(settings.sidecar.upstream),
         actor,
         settings.sidecar.upstream.upstream_id,
     )
-    keeper = make_keeper(services, actor)
-    server = make_server(settings, actor, parts.attempts)
-    ticker = Ticker((actor, gateway), settings.timings.tick_seconds)
-    orders = make_order_services(settings, services, gateway, actor)
+    engine_worker = start_engine_worker(context, actor)
+    server = make_server(settings, actor, parts.buffers)
+    ticker = Ticker((actor, control_actor), settings.timings.tick_seconds)
+    orders = make_order_context(settings, context, control_actor, actor)
     mailbox.start()
     messenger.attach(mailbox, drop_own_message)
-    actor.tell(PeersAttached(mailbox, services, keeper, orders))
+    actor.tell(ConnectionsAttached(mailbox, context, engine_worker, orders))
     server.start()
     ticker.start()
     return SidecarRole(
         settings,
         actor,
-        gateway,
+        control_actor,
         mailbox,
         server,
         ticker,
         threading.Event(),
         parts.state,
-        parts.attempts,
+        parts.buffers,
     )
 
 
@@ -159,21 +159,21 @@
             description, epoch, owner_lease_seconds=settings.timings.owner_lease_seconds
         )
     )
-    return SidecarParts(settings, description, epoch, state, view, AttemptLog())
+    return SidecarParts(settings, description, epoch, state, view, FrameBufferTable())
 
 
-class SidecarDispatch(NamedTuple):
+class SidecarDispatcher(NamedTuple):
     """Know the actors of one sidecar."""
 
     sidecar: ActorRef
-    gateway: ActorRef
+    control_actor: ActorRef
 
     def receive(self, received: Received) -> None:
         """Take a message from another process; runs on the mailbox's thread."""
         match received.message:
             case ProposalResult() as result:
                 sender, address = received.sender, received.sender_address
-                self.gateway.tell(Delivered(sender, address, result))
+                self.control_actor.tell(Delivered(sender, address, result))
             case _:
                 self.sidecar.tell(received)
 
@@ -183,17 +183,19 @@
     LOG.warning("message to itself", type=type(delivered.message).__name__)
 
 
-def make_order_services(
+def make_order_context(
     settings: DaemonSettings,
-    services: AttemptServices,
-    gateway: ActorRef,
+    context: AttemptContext,
+    control_actor: ActorRef,
     actor: ActorRef,
-) -> OrderServices | None:
+) -> OrderContext | None:
     """Make what orders to an engine need; a plain service takes none."""
-    match services.client:
+    match context.client:
         case EngineClient() as engine:
-            control = ControlStateClient(gateway, settings.timings.election_seconds)
-            return OrderServices(settings.instance, engine, control, actor)
+            control = ControlStateClient(
+                control_actor, settings.timings.election_seconds
+            )
+            return OrderContext(settings.instance, engine, control, actor)
         case PlainClient():
             return None
 
@@ -208,19 +210,21 @@
             return PlainClient.from_config(PlainClientConfig(base_url))
 
 
-def make_keeper(services: AttemptServices, actor: ActorRef) -> UpstreamKeeper | None:
-    """Make and start the keeper of an engine; a plain service has none."""
-    match services.client:
+def start_engine_worker(
+    context: AttemptContext, actor: ActorRef
+) -> EngineWorker | None:
+    """Make and start the engine_worker of an engine; a plain service has none."""
+    match context.client:
         case EngineClient() as engine:
-            keeper = UpstreamKeeper(engine, actor)
-            keeper.start()
-            return keeper
+            engine_worker = EngineWorker(engine, actor)
+            engine_worker.start()
+            return engine_worker
         case PlainClient():
             return None
 
 
 def make_server(
-    settings: DaemonSettings, actor: ActorRef, log: AttemptLog
+    settings: DaemonSettings, actor: ActorRef, buffers: FrameBufferTable
 ) -> AttemptsServer:
     """Make the server that takes attempts."""
     config = AttemptsServerConfig(
@@ -228,4 +232,4 @@
         cluster_key=settings.cluster_key.encode(),
         heartbeat_seconds=settings.timings.heartbeat_seconds,
     )
-    return AttemptsServer.from_config(config, SidecarAttemptsHandler(actor, log))
+    return AttemptsServer.from_config(config, SidecarAttemptsHandler(actor, buffers))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
@@ -27,14 +27,14 @@
 )
 
 STEP = "run_at_upstream"
-MILLISECONDS = 1000
-MOST_RESUMES = 3
-OK = 200
-CONFLICT = 409
-SERVER_ERROR = 500
+MILLISECONDS_PER_SECOND = 1000
+MAX_RESUMES = 3
+HTTP_OK = 200
+HTTP_CONFLICT = 409
+HTTP_SERVER_ERROR = 500
 
 
-class AttemptServices(NamedTuple):
+class AttemptContext(NamedTuple):
     """Be what every attempt of one sidecar uses."""
 
     client: EngineClient | PlainClient
@@ -49,12 +49,12 @@
         self,
         hand_over: HandOver,
         buffer: FrameBuffer,
-        services: AttemptServices,
+        context: AttemptContext,
         parts: tuple[KvReference, ...] = (),
     ) -> None:
         self.hand_over = hand_over
         self.buffer = buffer
-        self.services = services
+        self.context = context
         self.parts = parts
         """What other engines hold of the prompt before this attempt's part."""
         self.cancelled = threading.Event()
@@ -81,11 +81,11 @@
         except FrameOrderError as error:
             # An engine that breaks its own numbering must not leave the caller
             # waiting for an end that nobody writes.
-            refusal = self.failure(str(error))
-        self.buffer.end(refusal, self.upstream_ended())
+            refusal = self.failure_refusal(str(error))
+        self.buffer.end(refusal, self.upstream_exited())
         whole = refusal is None
         finished = UpstreamFinished(self.attempt_id, whole, self.output_tokens)
-        self.services.sidecar.tell(finished)
+        self.context.sidecar.tell(finished)
 
     @property
     def attempt_id(self) -> AttemptId:
@@ -99,20 +99,24 @@
             stream = self.open_stream()
         except UpstreamLostError as error:
             self.connection_lost = error.may_have_arrived
-            return self.failed_start(error)
-        if stream.status >= SERVER_ERROR and self.is_engine():
-            return self.failure(f"the engine answered with status {stream.status}")
-        if self.parts and stream.status == CONFLICT:
-            return self.failure("the engine does not know the parts before its own")
+            return self.start_refusal(error)
+        if stream.status >= HTTP_SERVER_ERROR and self.is_engine():
+            return self.failure_refusal(
+                f"the engine answered with status {stream.status}"
+            )
+        if self.parts and stream.status == HTTP_CONFLICT:
+            return self.failure_refusal(
+                "the engine does not know the parts before its own"
+            )
         self.buffer.append(StreamHead(stream.status, tuple(stream.headers)))
-        for _ in range(MOST_RESUMES + 1):
+        for _ in range(MAX_RESUMES + 1):
             try:
                 self.copy(stream)
-                return self.ending()
+                return self.copy_refusal()
             except UpstreamLostError as error:
                 detail = str(error)
             if self.cancelled.is_set():
-                return self.cancellation()
+                return self.cancelled_refusal()
             # A cut connection says nothing of the attempt at the engine, which keeps
             # running it: asking for the rest costs no second run.
             resumed = self.resume_stream()
@@ -120,35 +124,35 @@
                 break
             stream = resumed
         self.connection_lost = True
-        return self.failure(detail)
+        return self.failure_refusal(detail)
 
-    def upstream_ended(self) -> bool:
+    def upstream_exited(self) -> bool:
         """Tell whether the upstream's process ended under the attempt."""
         if not self.connection_lost or self.cancelled.is_set():
             return False
-        gone = self.services.client.is_gone()
+        gone = self.context.client.is_gone()
         if gone:
-            self.services.sidecar.tell(UpstreamUnreachable())
+            self.context.sidecar.tell(UpstreamUnreachable())
         return gone
 
     def open_stream(self) -> UpstreamStream:
         """Hand the request to the upstream, once."""
-        match self.services.client:
+        match self.context.client:
             case EngineClient() as engine:
-                given = with_engine_priority(self.hand_over, monotonic())
-                stream = start_at_engine(engine, given, self.parts)
+                prioritized = with_engine_priority(self.hand_over, monotonic())
+                stream = start_at_engine(engine, prioritized, self.parts)
             case PlainClient() as plain:
                 stream = plain.call(self.hand_over)
-        self.services.sidecar.tell(UpstreamAccepted(self.attempt_id))
+        self.context.sidecar.tell(UpstreamAccepted(self.attempt_id))
         return stream
 
     def is_engine(self) -> bool:
         """Tell whether the upstream is a model engine."""
-        return isinstance(self.services.client, EngineClient)
+        return isinstance(self.context.client, EngineClient)
 
     def resume_stream(self) -> UpstreamStream | None:
         """Ask the engine for what comes after the last piece."""
-        match self.services.client:
+        match self.context.client:
             case EngineClient() as engine:
                 return self.resume_at(engine)
             case PlainClient():
@@ -159,9 +163,9 @@
         try:
             stream = engine.resume(self.attempt_id, self.last_sequence)
         except UpstreamLostError as error:
-            self.tell_if_unreachable(error)
+            self.report_if_unreachable(error)
             return None
-        return stream if stream.status == OK else None
+        return stream if stream.status == HTTP_OK else None
 
     def copy(self, stream: UpstreamStream) -> None:
         """Copy pieces into frames until the stream's end marker."""
@@ -170,7 +174,7 @@
                 return
             if not self.first_token_seen:
                 self.first_token_seen = True
-                self.services.sidecar.tell(FirstTokenArrived(self.attempt_id))
+                self.context.sidecar.tell(FirstTokenArrived(self.attempt_id))
             chunk = StreamChunk(piece.sequence, piece.data, piece.tokens)
             if not self.buffer.append(chunk):
                 self.overflowed = True
@@ -178,45 +182,45 @@
             self.last_sequence = piece.sequence
             self.output_tokens += piece.tokens
 
-    def ending(self) -> Refusal | None:
+    def copy_refusal(self) -> Refusal | None:
         """Return why the answer ended before its end marker, if it did."""
         if self.cancelled.is_set():
-            return self.cancellation()
+            return self.cancelled_refusal()
         if self.overflowed:
-            return self.failure("the answer is too large to keep for a resume")
+            return self.failure_refusal("the answer is too large to keep for a resume")
         return None
 
-    def failed_start(self, error: UpstreamLostError) -> Refusal:
+    def start_refusal(self, error: UpstreamLostError) -> Refusal:
         """Describe an attempt whose start got no answer.
 
         Where no byte can have reached the upstream the attempt never ran, and since
         this is its only start it never will: only then is "not run" true.
         """
-        self.tell_if_unreachable(error)
-        refusal = self.failure(str(error))
+        self.report_if_unreachable(error)
+        refusal = self.failure_refusal(str(error))
         if error.may_have_arrived:
             return refusal
         return refusal._replace(code=RefusalCode.NOT_RUN)
 
-    def tell_if_unreachable(self, error: UpstreamLostError) -> None:
+    def report_if_unreachable(self, error: UpstreamLostError) -> None:
         """Tell the sidecar's actor where no connection could be made."""
         if not error.may_have_arrived:
-            self.services.sidecar.tell(UpstreamUnreachable())
+            self.context.sidecar.tell(UpstreamUnreachable())
 
-    def failure(self, detail: str) -> Refusal:
+    def failure_refusal(self, detail: str) -> Refusal:
         """Describe an attempt that was handed over and did not finish."""
         return Refusal(
             RefusalCode.FAILED,
             RefusalReason.UPSTREAM_FAILED,
             STEP,
-            self.services.peer,
+            self.context.peer,
             detail,
         )
 
-    def cancellation(self) -> Refusal:
+    def cancelled_refusal(self) -> Refusal:
         """Describe an attempt that was cancelled after it was handed over."""
         return Refusal(
-            RefusalCode.FAILED, RefusalReason.CANCELLED, STEP, self.services.peer
+            RefusalCode.FAILED, RefusalReason.CANCELLED, STEP, self.context.peer
         )
 
 
@@ -227,4 +231,6 @@
     for ever. Counted from its own arrival, a long prompt's moment comes nearer while
     it waits, and what arrives later stands behind it. `now` is in monotonic seconds.
     """
-    return hand_over._replace(priority=int(now * MILLISECONDS) + hand_over.priority)
+    return hand_over._replace(
+        priority=int(now * MILLISECONDS_PER_SECOND) + hand_over.priority
+    )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
@@ -11,20 +11,20 @@
 from cowslipshelf_core.prompt_parts import KvReference
 from cowslipshelf_core.sidecar import CancelArrived, PartsArrived, RevokeArrived
 from cowslipshelf_core.upstream import HandOver, LoadReport
-from cowslipshelf_daemon.internal.sidecar.attempt_log import AttemptLog
+from cowslipshelf_daemon.internal.sidecar.frame_buffers import FrameBufferTable
 from cowslipshelf_fleet.attempts import FrameBuffer
 
-ANSWER_SECONDS = 5.0
+ACTOR_TIMEOUT_SECONDS = 5.0
 
 
-class HandOverAsked(NamedTuple):
+class HandOverRequest(NamedTuple):
     """Ask the actor to decide on a hand-over."""
 
     hand_over: HandOver
     reply: "SimpleQueue[AttemptRefused | FrameBuffer]"
 
 
-class RevokeAsked(NamedTuple):
+class RevokeRequest(NamedTuple):
     """Ask the actor to promise that an attempt never runs."""
 
     event: RevokeArrived
@@ -34,16 +34,16 @@
 class SidecarAttemptsHandler:
     """Pass attempts to the sidecar's actor and wait for its decision."""
 
-    def __init__(self, sidecar: ActorRef, log: AttemptLog) -> None:
+    def __init__(self, sidecar: ActorRef, buffers: FrameBufferTable) -> None:
         self.sidecar = sidecar
-        self.log = log
+        self.buffers = buffers
 
     def hand_over(self, hand_over: HandOver) -> AttemptRefused | FrameBuffer:
         """Decide on one attempt."""
         reply: SimpleQueue[AttemptRefused | FrameBuffer] = SimpleQueue()
         try:
-            self.sidecar.tell(HandOverAsked(hand_over, reply))
-            return reply.get(timeout=ANSWER_SECONDS)
+            self.sidecar.tell(HandOverRequest(hand_over, reply))
+            return reply.get(timeout=ACTOR_TIMEOUT_SECONDS)
         except (ActorDeadError, Empty):
             return self.outcome_unknown(hand_over)
 
@@ -60,7 +60,7 @@
 
     def frames(self, attempt_id: AttemptId) -> FrameBuffer | None:
         """Return an attempt's frames where they are still kept."""
-        return self.log.find(attempt_id)
+        return self.buffers.find(attempt_id)
 
     def revoke(
         self, attempt_id: AttemptId, epoch: Epoch, load_sequence: int
@@ -69,8 +69,8 @@
         reply: SimpleQueue[NeverRan | MayHaveRun] = SimpleQueue()
         try:
             event = RevokeArrived(attempt_id, epoch, load_sequence)
-            self.sidecar.tell(RevokeAsked(event, reply))
-            return reply.get(timeout=ANSWER_SECONDS)
+            self.sidecar.tell(RevokeRequest(event, reply))
+            return reply.get(timeout=ACTOR_TIMEOUT_SECONDS)
         except (ActorDeadError, Empty):
             return MayHaveRun(attempt_id, known=False)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/upstream_keeper.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/engine_worker.py
@@ -16,10 +16,10 @@
 
 LOG = part_logger("upstream")
 
-INVENTORY_SECONDS = 1.0
+INVENTORY_INTERVAL_SECONDS = 1.0
 
 
-class UpstreamKeeper:
+class EngineWorker:
     """Own a thread that cancels attempts and reads the engine's inventory.
 
     A frozen engine answers nothing for as long as its client waits. The actor must go
@@ -30,8 +30,8 @@
         self.engine = engine
         self.sidecar = sidecar
         self.work: SimpleQueue[AttemptId | None] = SimpleQueue()
-        self.next_inventory = 0.0
-        self.inventory_due = threading.Event()
+        self.next_poll = 0.0
+        self.inventory_queued = threading.Event()
         self.thread = threading.Thread(target=self.run, name="upstream", daemon=True)
 
     def start(self) -> None:
@@ -42,12 +42,12 @@
         """Cancel an attempt at the engine as soon as the thread is free."""
         self.work.put(attempt_id)
 
-    def look(self, now: float) -> None:
+    def poll_inventory(self, now: float) -> None:
         """Have the inventory read when it is due and none is being read."""
-        if now < self.next_inventory or self.inventory_due.is_set():
+        if now < self.next_poll or self.inventory_queued.is_set():
             return
-        self.next_inventory = now + INVENTORY_SECONDS
-        self.inventory_due.set()
+        self.next_poll = now + INVENTORY_INTERVAL_SECONDS
+        self.inventory_queued.set()
         self.work.put(None)
 
     def run(self) -> None:
@@ -55,7 +55,7 @@
         while True:
             attempt_id = self.work.get()
             try:
-                self.do(attempt_id)
+                self.perform(attempt_id)
             except (UpstreamLostError, UpstreamRefusedError) as error:
                 # A lost cancel is not repeated here: the inventory shows what the
                 # engine still holds, and the decider asks for it again.
@@ -63,12 +63,12 @@
             except ActorDeadError:
                 return
 
-    def do(self, attempt_id: AttemptId | None) -> None:
+    def perform(self, attempt_id: AttemptId | None) -> None:
         """Cancel one attempt, or read the inventory."""
         if attempt_id is not None:
             self.engine.cancel(attempt_id)
             return
-        self.inventory_due.clear()
+        self.inventory_queued.clear()
         inventory = self.engine.inventory()
         held = tuple(
             HeldMemory(item.attempt_id, item.tokens) for item in inventory.held
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_log.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/frame_buffers.py
@@ -6,7 +6,7 @@
 from cowslipshelf_fleet.attempts import FrameBuffer
 
 
-class AttemptLog:
+class FrameBufferTable:
     """Map attempts to their frames; shared by the actor and the HTTP threads."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         with self.lock:
             return sum(not buffer.read_to_end for buffer in self.buffers.values())
 
-    def forget(self, attempt_id: AttemptId) -> None:
+    def drop(self, attempt_id: AttemptId) -> None:
         """Drop an attempt's frames; nobody can resume it any more."""
         with self.lock:
             buffer = self.buffers.pop(attempt_id, None)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
@@ -31,20 +31,20 @@
 
 LOG = part_logger("orders")
 
-COMMAND_SECONDS = 5.0
-PAUSE_SECONDS = 0.5
-ORDER_SECONDS = 600.0
-LOAD_TOKENS = 1
-LOADS = frozenset({"load_model", "load_adapter", "load_version"})
-MOST_CLOSE_TRIES = 20
+COMMAND_TIMEOUT_SECONDS = 5.0
+RETRY_PAUSE_SECONDS = 0.5
+ORDER_TIMEOUT_SECONDS = 600.0
+LOAD_GRANT_TOKENS = 1
+LOADING_ORDERS = frozenset({"load_model", "load_adapter", "load_version"})
+MAX_CLOSE_ATTEMPTS = 20
 
 
-class OrderServices(NamedTuple):
+class OrderContext(NamedTuple):
     """Be what every order of one sidecar uses."""
 
     instance: InstanceId
     engine: EngineClient
-    gateway: ControlStateClient
+    control: ControlStateClient
     sidecar: ActorRef
 
 
@@ -58,9 +58,9 @@
 class OrderRunner:
     """Own the carrying out of one order, on a thread of its own."""
 
-    def __init__(self, order: OrderSent, services: OrderServices) -> None:
+    def __init__(self, order: OrderSent, context: OrderContext) -> None:
         self.order = order
-        self.services = services
+        self.context = context
 
     def start(self) -> None:
         """Begin to carry the order out."""
@@ -69,74 +69,76 @@
 
     def run(self) -> None:
         """Carry the order out, tell the decider, and close it in the log."""
-        result = self.carry_out()
+        result = self.execute()
         LOG.info("order ended", order=self.order.order_id, ok=result.succeeded)
         try:
             finished = OrderFinished(self.order.fencing, result.succeeded)
-            self.services.sidecar.tell(finished)
+            self.context.sidecar.tell(finished)
         except ActorDeadError:
             return
         self.close(result)
 
-    def carry_out(self) -> OrderResult:
+    def execute(self) -> OrderResult:
         """Give the order to the engine, under a grant where it loads weights."""
-        taken = self.result_of_taken_order()
-        if taken is not None:
-            return taken
-        if self.order.kind not in LOADS:
-            return self.give()
+        earlier = self.earlier_result()
+        if earlier is not None:
+            return earlier
+        if self.order.kind not in LOADING_ORDERS:
+            return self.send_order()
         grant_id = GrantId(uuid.uuid4().hex)
         if not self.wait_for_grant(grant_id):
             return OrderResult(False, "no grant to load weights in time")
         try:
-            return self.give()
+            return self.send_order()
         finally:
-            returned = ReturnLoadGrant(grant_id, self.services.instance)
-            self.services.gateway.commit(returned, COMMAND_SECONDS)
+            returned = ReturnLoadGrant(grant_id, self.context.instance)
+            self.context.control.commit(returned, COMMAND_TIMEOUT_SECONDS)
 
-    def result_of_taken_order(self) -> OrderResult | None:
-        """Find out what came of an order that the engine has already taken.
+    def earlier_result(self) -> OrderResult | None:
+        """Find out what came of an order that the engine has already earlier.
 
         A sidecar that was killed after it gave the order leaves it open, and its
         successor gets it again without knowing of it. Given twice, it would load the
         weights twice, the second time perhaps while callers are served. The engine's
-        own word tells; None where it has not taken the order or does not say.
+        own word tells; None where it has not earlier the order or does not say.
         """
-        limit = time.monotonic() + ORDER_SECONDS
+        limit = time.monotonic() + ORDER_TIMEOUT_SECONDS
         while time.monotonic() < limit:
             try:
-                known = self.services.engine.orders()
+                engine_orders = self.context.engine.orders()
             except UpstreamError as error:
                 LOG.warning("Engine tells nothing of its orders.", error=str(error))
                 return None
-            if any(run.order_id == self.order.order_id for run in known.orders_run):
+            if any(
+                run.order_id == self.order.order_id for run in engine_orders.orders_run
+            ):
                 return OrderResult(True, "carried out before; not given again")
-            if known.newest_fencing != self.order.fencing:
+            if engine_orders.newest_fencing != self.order.fencing:
                 return None
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
         return OrderResult(False, "taken by the engine and not carried out in time")
 
     def wait_for_grant(self, grant_id: GrantId) -> bool:
         """Ask for a load grant until there is one; the store's rate is the fleet's."""
-        asked = AskLoadGrant(
+        request = AskLoadGrant(
             grant_id,
-            self.services.instance,
+            self.context.instance,
             self.order.upstream_id,
-            LOAD_TOKENS,
-            ORDER_SECONDS,
+            LOAD_GRANT_TOKENS,
+            ORDER_TIMEOUT_SECONDS,
         )
-        limit = time.monotonic() + ORDER_SECONDS
+        limit = time.monotonic() + ORDER_TIMEOUT_SECONDS
         while time.monotonic() < limit:
-            match self.services.gateway.commit(asked, COMMAND_SECONDS):
+            match self.context.control.commit(request, COMMAND_TIMEOUT_SECONDS):
                 case LoadGranted():
                     return True
                 case LoadGrantRefused(retry_after_seconds=seconds):
-                    time.sleep(min(seconds, PAUSE_SECONDS))
+                    time.sleep(min(seconds, RETRY_PAUSE_SECONDS))
                 case _:
-                    time.sleep(PAUSE_SECONDS)
+                    time.sleep(RETRY_PAUSE_SECONDS)
         return False
 
-    def give(self) -> OrderResult:
+    def send_order(self) -> OrderResult:
         """Give the order to the engine, once."""
         order = EngineOrder(
             self.order.order_id,
@@ -145,7 +147,7 @@
             self.order.fencing,
         )
         try:
-            result = self.services.engine.give_order(order)
+            result = self.context.engine.give_order(order)
         except (UpstreamLostError, UpstreamRefusedError) as error:
             return OrderResult(False, str(error))
         detail = "" if result.accepted else "the engine knows a newer order"
@@ -160,8 +162,8 @@
             result.succeeded,
             result.detail,
         )
-        for _ in range(MOST_CLOSE_TRIES):
-            outcome = self.services.gateway.commit(closing, COMMAND_SECONDS)
+        for _ in range(MAX_CLOSE_ATTEMPTS):
+            outcome = self.context.control.commit(closing, COMMAND_TIMEOUT_SECONDS)
             if isinstance(outcome, OrderClosed | OrderRefused):
                 return
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/part_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/part_runner.py
@@ -3,7 +3,7 @@
 from cowslipshelf_core.errors import Refusal
 from cowslipshelf_core.messages import PartPrefilled
 from cowslipshelf_core.sidecar import FirstTokenArrived
-from cowslipshelf_daemon.internal.sidecar.attempt_runner import OK, AttemptRunner
+from cowslipshelf_daemon.internal.sidecar.attempt_runner import HTTP_OK, AttemptRunner
 from cowslipshelf_daemon.internal.sidecar.kv_transfer import export_part
 from cowslipshelf_upstreams import UpstreamLostError, UpstreamRefusedError
 
@@ -20,23 +20,23 @@
         """Prefill the part, say where it is, and hold it."""
         try:
             self.prefill()
-            part = export_part(self.services.client, self.hand_over)
+            part = export_part(self.context.client, self.hand_over)
         except (UpstreamLostError, UpstreamRefusedError) as error:
             if self.cancelled.is_set():
-                return self.cancellation()
-            return self.failure(str(error))
-        self.services.sidecar.tell(FirstTokenArrived(self.attempt_id))
+                return self.cancelled_refusal()
+            return self.failure_refusal(str(error))
+        self.context.sidecar.tell(FirstTokenArrived(self.attempt_id))
         self.buffer.append(PartPrefilled(part))
         self.cancelled.wait()
-        return self.cancellation()
+        return self.cancelled_refusal()
 
     def prefill(self) -> None:
         """Wait for the end of the part's stream, which carries no token."""
         stream = self.open_stream()
-        if stream.status != OK:
+        if stream.status != HTTP_OK:
             answer = b"".join(piece.data for piece in stream)
             raise UpstreamRefusedError(
-                "start", self.services.peer, stream.status, answer.decode()
+                "start", self.context.peer, stream.status, answer.decode()
             )
         for _ in stream:
             if self.cancelled.is_set():
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -70,21 +70,21 @@
 )
 from cowslipshelf_core.upstream import HandOver, UpstreamDescription
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.sidecar.attempt_log import AttemptLog
 from cowslipshelf_daemon.internal.sidecar.attempt_runner import (
+    AttemptContext,
     AttemptRunner,
-    AttemptServices,
 )
 from cowslipshelf_daemon.internal.sidecar.attempts_handler import (
-    HandOverAsked,
-    RevokeAsked,
+    HandOverRequest,
+    RevokeRequest,
 )
+from cowslipshelf_daemon.internal.sidecar.engine_worker import EngineWorker
+from cowslipshelf_daemon.internal.sidecar.frame_buffers import FrameBufferTable
 from cowslipshelf_daemon.internal.sidecar.order_runner import (
+    OrderContext,
     OrderRunner,
-    OrderServices,
 )
 from cowslipshelf_daemon.internal.sidecar.part_runner import PartRunner
-from cowslipshelf_daemon.internal.sidecar.upstream_keeper import UpstreamKeeper
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_fleet.mailboxes import Mailbox, Received
 from cowslipshelf_host.logs import part_logger
@@ -92,23 +92,23 @@
 
 LOG = part_logger("sidecar")
 
-DECIDER_TICK_SECONDS = 0.25
+STATE_TICK_SECONDS = 0.25
 
 
-class LeaveAsked(NamedTuple):
+class LeaveRequest(NamedTuple):
     """Ask the sidecar to take no more work and leave when what runs has ended."""
 
     on_left: Callable[[], None]
 
 
-class PeersAttached(NamedTuple):
+class ConnectionsAttached(NamedTuple):
     """Hand over the peers, which need the actor's address to be made."""
 
     mailbox: Mailbox
-    services: AttemptServices
-    keeper: UpstreamKeeper | None
+    context: AttemptContext
+    engine_worker: EngineWorker | None
     """None for a plain service, which cannot be asked what it holds."""
-    orders: OrderServices | None
+    orders: OrderContext | None
     """None for a plain service, which takes no orders."""
 
 
@@ -120,7 +120,7 @@
     epoch: Epoch
     state: SidecarState
     view: ConfigurationView
-    attempts: AttemptLog
+    buffers: FrameBufferTable
 
 
 def make_chooser(settings: DaemonSettings) -> EntryChooser:
@@ -147,16 +147,16 @@
         self.epoch = parts.epoch
         self.state = parts.state
         self.view = parts.view
-        self.attempts = parts.attempts
+        self.buffers = parts.buffers
         self.mailbox: Mailbox | None = None
-        self.services: AttemptServices | None = None
-        self.keeper: UpstreamKeeper | None = None
-        self.orders: OrderServices | None = None
+        self.context: AttemptContext | None = None
+        self.engine_worker: EngineWorker | None = None
+        self.orders: OrderContext | None = None
         self.chooser = make_chooser(parts.settings)
         self.runners: dict[AttemptId, AttemptRunner] = {}
-        self.leave: LeaveAsked | None = None
+        self.leave: LeaveRequest | None = None
         self.next_announcement = 0.0
-        self.next_decider_tick = 0.0
+        self.next_state_tick = 0.0
 
     def on_receive(self, message: Any) -> None:
         """Turn one message into an event for a decider."""
@@ -164,27 +164,27 @@
         match message:
             case Tick():
                 self.tick(now)
-            case PeersAttached():
+            case ConnectionsAttached():
                 self.mailbox = message.mailbox
-                self.services = message.services
-                self.keeper = message.keeper
+                self.context = message.context
+                self.engine_worker = message.engine_worker
                 self.orders = message.orders
-            case HandOverAsked(hand_over=hand_over, reply=reply):
-                self.decide_hand_over(hand_over, reply, now)
-            case RevokeAsked():
-                self.decide_revoke(message, now)
+            case HandOverRequest(hand_over=hand_over, reply=reply):
+                self.handle_hand_over(hand_over, reply, now)
+            case RevokeRequest():
+                self.handle_revoke(message, now)
             case Received():
                 self.receive(message, now)
-            case LeaveAsked():
+            case LeaveRequest():
                 self.leave = message
                 LOG.info("leaving", upstream=self.description.upstream_id)
-                self.decide(LeavingStarted(), now)
+                self.handle_event(LeavingStarted(), now)
                 self.announce(now)
             case UpstreamFinished(attempt_id=attempt_id):
                 self.runners.pop(attempt_id, None)
-                self.decide(message, now)
+                self.handle_event(message, now)
             case UpstreamUnreachable() | InventoryRead():
-                self.decide_reachability(message, now)
+                self.handle_reachability(message, now)
             case (
                 UpstreamAccepted()
                 | FirstTokenArrived()
@@ -192,28 +192,28 @@
                 | PartsArrived()
                 | OrderFinished()
             ):
-                self.decide(message, now)
+                self.handle_event(message, now)
 
-    def decide(self, event: SidecarEvent, now: float) -> None:
+    def handle_event(self, event: SidecarEvent, now: float) -> None:
         """Give the decider an event and carry out what it says."""
         for effect in self.state.handle(event, now):
             self.perform(effect)
 
-    def decide_reachability(
+    def handle_reachability(
         self, event: UpstreamUnreachable | InventoryRead, now: float
     ) -> None:
         """Decide on a sign of the upstream's death or life, and tell it at once."""
         took_work = self.state.takes_work
-        self.decide(event, now)
+        self.handle_event(event, now)
         if self.state.takes_work != took_work:
             LOG.info("reachability changed", takes_work=self.state.takes_work)
             self.announce(now)
 
-    def decide_hand_over(
+    def handle_hand_over(
         self, hand_over: HandOver, reply: "SimpleQueue[Any]", now: float
     ) -> None:
         """Decide one hand-over; what is not refused here gets a buffer of frames."""
-        self.decide(OwnerSeen(hand_over.owner), now)
+        self.handle_event(OwnerSeen(hand_over.owner), now)
         effects = self.state.handle(HandOverArrived(hand_over), now)
         refusals = [
             effect
@@ -223,16 +223,16 @@
         ]
         if not refusals:
             # The buffer must be there before the attempt starts to fill it.
-            self.attempts.open(hand_over.attempt_id)
+            self.buffers.open(hand_over.attempt_id)
         for effect in effects:
             if effect not in refusals:
                 self.perform(effect)
         if refusals:
             reply.put(refusals[0].refused)
         else:
-            reply.put(self.attempts.find(hand_over.attempt_id))
+            reply.put(self.buffers.find(hand_over.attempt_id))
 
-    def decide_revoke(self, asked: RevokeAsked, now: float) -> None:
+    def handle_revoke(self, asked: RevokeRequest, now: float) -> None:
         """Decide one revocation and answer it."""
         answer: NeverRan | MayHaveRun = MayHaveRun(asked.event.attempt_id, known=False)
         for effect in self.state.handle(asked.event, now):
@@ -249,30 +249,30 @@
             case StartAttempt(hand_over, parts):
                 self.start_attempt(hand_over, parts)
             case ReportReserved(attempt_id):
-                self.attempts.find(attempt_id).append(AttemptReserved())
+                self.buffers.find(attempt_id).append(AttemptReserved())
             case EndAttempt(attempt_id, refusal):
                 self.end_attempt(attempt_id, refusal)
             case CancelAtUpstream(attempt_id) | ReleaseAtUpstream(attempt_id):
                 self.cancel_at_upstream(attempt_id)
             case DropFrames(attempt_id):
-                self.attempts.forget(attempt_id)
+                self.buffers.drop(attempt_id)
             case LeavingFinished():
-                self.left_for_good()
+                self.finish_leaving()
             case RunOrder(order):
                 LOG.info("order given", order=order.order_id, fencing=order.fencing)
                 OrderRunner(order, self.orders).start()
             case RefuseOrder(order, reason, newest):
                 LOG.info("order refused", order=order.order_id, why=reason, new=newest)
             case RequestFencing():
-                self.ask_fencing()
+                self.request_fencing()
 
     def start_attempt(
         self, hand_over: HandOver, parts: tuple[KvReference, ...]
     ) -> None:
         """Start the thread that runs an attempt at the upstream."""
-        buffer = self.attempts.find(hand_over.attempt_id)
+        buffer = self.buffers.find(hand_over.attempt_id)
         kind = PartRunner if hand_over.is_part else AttemptRunner
-        runner = kind(hand_over, buffer, self.services, parts)
+        runner = kind(hand_over, buffer, self.context, parts)
         self.runners[hand_over.attempt_id] = runner
         runner.start()
 
@@ -285,7 +285,7 @@
             reason=refusal.reason,
             step=refusal.step,
         )
-        buffer = self.attempts.find(attempt_id)
+        buffer = self.buffers.find(attempt_id)
         if buffer is not None:
             buffer.end(refusal)
 
@@ -294,46 +294,48 @@
         runner = self.runners.get(attempt_id)
         if runner is not None:
             runner.cancel()
-        if self.keeper is not None:
-            self.keeper.cancel(attempt_id)
+        if self.engine_worker is not None:
+            self.engine_worker.cancel(attempt_id)
 
-    def ask_fencing(self) -> None:
+    def request_fencing(self) -> None:
         """Ask every replica; the one that leads answers with a quorum's word."""
         question = FencingAsked(self.description.upstream_id, self.epoch)
         for entry in self.settings.entries:
             if entry.replica:
                 self.mailbox.send(entry.mailbox_address, question)
 
-    def left_for_good(self) -> None:
-        """Say farewell to the entries and let the program end."""
-        farewell = Withdraw(self.description.upstream_id, self.epoch)
+    def finish_leaving(self) -> None:
+        """Say withdrawal to the entries and let the program end."""
+        withdrawal = Withdraw(self.description.upstream_id, self.epoch)
         for entry in self.chooser.targets(time.monotonic()):
-            self.mailbox.send(entry.mailbox_address, farewell)
+            self.mailbox.send(entry.mailbox_address, withdrawal)
         LOG.info("left", upstream=self.description.upstream_id)
         if self.leave is not None:
             self.leave.on_left()
 
     def receive(self, received: Received, now: float) -> None:
         """Take one message from another process."""
-        self.decide(OwnerSeen(received.sender), now)
+        self.handle_event(OwnerSeen(received.sender), now)
         seen = VersionSeen(received.sender_address, received.configuration_version)
-        self.look_at_configuration(seen, now)
+        self.handle_configuration_event(seen, now)
         match received.message:
             case AnnounceAnswer(entries=entries):
                 self.chooser.add(EntryEndpoint(*entry) for entry in entries)
                 self.chooser.record_answer(received.sender_address)
             case ConfigurationSnapshot() as snapshot:
                 arrived = SnapshotArrived(snapshot, received.sender_address)
-                self.look_at_configuration(arrived, now)
+                self.handle_configuration_event(arrived, now)
             case OrderSent() as order if self.orders is not None:
-                self.decide(OrderArrived(order), now)
+                self.handle_event(OrderArrived(order), now)
             case FencingAnswered(query_id=query_id, fencing=fencing):
                 # An answer to a question of an earlier start may be older than an
                 # order that this start's predecessor gave.
                 if query_id == self.epoch:
-                    self.decide(FencingConfirmed(fencing), now)
+                    self.handle_event(FencingConfirmed(fencing), now)
 
-    def look_at_configuration(self, event: ConfigurationViewEvent, now: float) -> None:
+    def handle_configuration_event(
+        self, event: ConfigurationViewEvent, now: float
+    ) -> None:
         """Give the configuration's decider an event and carry out what it says."""
         for effect in self.view.handle(event, now):
             match effect:
@@ -341,12 +343,12 @@
                     self.mailbox.send(address, question)
                 case ApplyConfiguration(configuration):
                     LOG.info("configuration in force", version=configuration.version)
-                    self.decide(ConfigurationApplied(configuration), now)
+                    self.handle_event(ConfigurationApplied(configuration), now)
                 case BecameServable():
                     LOG.info("servable", version=self.view.in_force.version)
                     # Where nothing was accepted yet, no version is put in force; the
                     # empty one is confirmed all the same, and newer entries know more.
-                    self.decide(ConfigurationApplied(self.view.in_force), now)
+                    self.handle_event(ConfigurationApplied(self.view.in_force), now)
                     self.announce(now)
                 case ConfigurationConflict(version, address):
                     LOG.error(
@@ -355,12 +357,12 @@
 
     def tick(self, now: float) -> None:
         """Look at what is due."""
-        if now >= self.next_decider_tick:
-            self.next_decider_tick = now + DECIDER_TICK_SECONDS
-            self.decide(TickElapsed(), now)
-            self.look_at_configuration(ViewTickElapsed(), now)
-            if self.keeper is not None:
-                self.keeper.look(now)
+        if now >= self.next_state_tick:
+            self.next_state_tick = now + STATE_TICK_SECONDS
+            self.handle_event(TickElapsed(), now)
+            self.handle_configuration_event(ViewTickElapsed(), now)
+            if self.engine_worker is not None:
+                self.engine_worker.poll_inventory(now)
         if self.view.servable and now >= self.next_announcement:
             self.announce(now)
 
