--- a/packages/daemon/src/cowslipshelf_daemon/__init__.py
+++ b/packages/daemon/src/cowslipshelf_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run the daemon of the system."""
+"""Run the daemons of the fleet: entry, sidecar and gateway."""
--- a/packages/daemon/src/cowslipshelf_daemon/__main__.py
+++ b/packages/daemon/src/cowslipshelf_daemon/__main__.py
@@ -1,7 +1,7 @@
 """Run the daemon as `python -m cowslipshelf_daemon`.
 
-Either with what the command line of `cowslipshelfd` takes, or as a gateway: with the
-word `gateway`, the package of the machines' adapter, and the address for callers.
+With the arguments of `cowslipshelfd`, or as a gateway with the arguments `gateway`, the
+name of the adapter package and, optionally, the address for callers.
 """
 
 import sys
@@ -12,10 +12,10 @@
 
 
 def run() -> int:
-    """Run a gateway, or what the command line says.
+    """Run a gateway, or what the command line asks for.
 
-    A gateway that was killed serves nobody until it has loaded again, so it loads
-    nothing that only the other roles and the command line need.
+    A gateway that was killed serves nobody until it has loaded again. To load fast, it
+    imports nothing that only the other roles or the command line need.
     """
     match sys.argv[1:]:
         case [role, adapter, *callers_address] if role == GATEWAY:
--- a/packages/daemon/src/cowslipshelf_daemon/gateway.py
+++ b/packages/daemon/src/cowslipshelf_daemon/gateway.py
@@ -1,4 +1,4 @@
-"""Offer the gateway, which serves requests by route, to the adapter of its machines."""
+"""Export the gateway's settings for the adapter of the machines' protocol."""
 
 from cowslipshelf_daemon.internal.gateway.settings import GatewaySettings
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/__init__.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what is not part of the public surface."""
+"""Contain the modules that are not part of the public interface."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/actor.py
@@ -1,4 +1,4 @@
-"""Be the base of every actor: a failure ends the process, never just the actor."""
+"""Provide the base class of actors, whose failure ends the process."""
 
 import os
 import traceback
@@ -14,10 +14,10 @@
 
 
 class DaemonActor(ThreadingActor):
-    """Own one part of a daemon's state."""
+    """Own one part of a daemon's state; a failure ends the process."""
 
     use_daemon_thread = True
-    """A daemon that could not start must end although its first actors run."""
+    """A daemon that fails to start must exit although its first actors run."""
 
     def on_failure(
         self,
@@ -25,11 +25,11 @@
         exception_value: BaseException | None,
         traceback_: TracebackType | None,
     ) -> None:
-        """End the process at once.
+        """Exit the process at once.
 
-        An actor that has died leaves a process that accepts connections and answers
-        nothing. Whoever watches processes sees an ended one and starts it again, and
-        every part of the system is made to survive that.
+        Without one of its actors, a process accepts connections and answers nothing.
+        A process that has exited is seen and restarted by its supervisor, and every
+        part of the system is built to survive a restart.
         """
         lines = traceback.format_exception(exception_type, exception_value, traceback_)
         LOG.error("Actor failed.", actor=type(self).__name__, trace="".join(lines))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/control_state_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/control_state_client.py
@@ -1,4 +1,4 @@
-"""Bring commands to the replicated state and wait for their outcomes."""
+"""Commit commands in the replicated control state and wait for their outcomes."""
 
 import random
 import time
@@ -37,20 +37,20 @@
 
 STEP = "ask_control_state"
 ELECTIONS_PER_WAIT = 5
-"""Election timeouts that a command waits: a leader is replaced within two or three."""
+"""Election timeouts a command waits; a leader is replaced within two or three."""
 REPLY_MARGIN_SECONDS = 1.0
 RETRY_AFTER_SECONDS = 1.0
 
 
 class CommandRequest(NamedTuple):
-    """Ask for a command to be committed, with the place for its outcome."""
+    """Ask for a command to be committed, with a queue for its outcome."""
 
     submit: CommandSubmitted
     reply: "SimpleQueue[ControlOutcome | Refusal]"
 
 
 class GatewayActor(DaemonActor):
-    """Send commands to the leader, whichever replica that is."""
+    """Send commands to the leading replica, and results to the threads that wait."""
 
     def __init__(self, client: ProposalClient, messenger: Messenger) -> None:
         super().__init__()
@@ -60,7 +60,7 @@
         self.replies: dict[str, SimpleQueue[ControlOutcome | Refusal]] = {}
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for the decider."""
+        """Turn one message into an event for the proposal client."""
         match message:
             case Tick():
                 self.handle(TickElapsed())
@@ -73,7 +73,7 @@
                 self.handle(message)
 
     def handle(self, event: ProposalClientEvent) -> None:
-        """Give the decider an event and carry out what it says."""
+        """Pass an event to the proposal client and perform the effects."""
         for effect in self.client.handle(event, time.monotonic(), self.random):
             match effect:
                 case SendTo(instance, message):
@@ -85,14 +85,14 @@
                     self.answer(effect.proposal_id, refusal_of(effect))
 
     def answer(self, proposal_id: str, outcome: ControlOutcome | Refusal) -> None:
-        """Hand an outcome to whoever waits for it."""
+        """Hand an outcome to the thread that waits for it, if any."""
         reply = self.replies.pop(proposal_id, None)
         if reply is not None:
             reply.put(outcome)
 
 
 def log_failure(failed: ProposalFailed) -> None:
-    """Say how a command was left without an outcome."""
+    """Log why a command has no outcome."""
     LOG.warning(
         "Command not answered.",
         proposal=failed.proposal_id,
@@ -105,7 +105,7 @@
 
 
 def refusal_of(failed: ProposalFailed) -> Refusal:
-    """Describe a command that got no outcome in time."""
+    """Return the refusal of a command that got no outcome in time."""
     code = (
         RefusalCode.OUTCOME_UNKNOWN if failed.may_take_effect else RefusalCode.NOT_RUN
     )
@@ -121,7 +121,7 @@
 
 
 class ControlStateClient:
-    """Offer the replicated state to any thread."""
+    """Commit commands in the replicated control state, from any thread."""
 
     def __init__(self, actor: ActorRef, election_seconds: float) -> None:
         self.actor = actor
@@ -132,15 +132,15 @@
     ) -> ControlOutcome | Refusal:
         """Commit a command for a caller and wait for its outcome.
 
-        The wait is long enough for a lost leader to be replaced, and no longer: where
-        a quorum is lost, the refusal must not come as late as the caller's deadline.
+        The wait is long enough for a lost leader to be replaced, but not longer: if
+        the quorum is lost, the refusal must come before the caller's deadline.
         """
         return self.commit_within(command, min(seconds, self.max_wait_seconds))
 
     def commit_within(
         self, command: ControlCommand, timeout_seconds: float
     ) -> ControlOutcome | Refusal:
-        """Commit a command and wait for its outcome, for `timeout_seconds` seconds."""
+        """Commit a command and wait up to `timeout_seconds` for its outcome."""
         reply: SimpleQueue[ControlOutcome | Refusal] = SimpleQueue()
         submit = CommandSubmitted(
             uuid.uuid4().hex,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/early_listener.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/early_listener.py
@@ -1,18 +1,18 @@
-"""Listen for callers before the rest of a gateway is loaded."""
+"""Listen for callers before the rest of a gateway is imported."""
 
 import socket
 
 BACKLOG = 512
-"""Connections that wait while the gateway loads: as many as come in some seconds."""
+"""Connections that may queue while the gateway loads; as many as come in seconds."""
 
 
 def listen_early(address: str = "") -> socket.socket | None:
-    """Open the callers' socket; return nothing where that can't be done yet.
+    """Open the callers' socket; return None if that fails or no address is given.
 
-    A gateway that was killed loads for some tenths of a second. Callers whose
-    connections are refused meanwhile use up their retries at once; those that wait
-    in the socket's queue are served. What can't be opened here is told when the
-    gateway itself tries.
+    A restarted gateway takes some tenths of a second to load. Callers whose
+    connections are refused meanwhile use up their retries at once, while those in
+    the socket's queue get served. A failure here is reported when the gateway itself
+    opens the socket.
     """
     if not address:
         return None
--- a/packages/daemon/src/cowslipshelf_daemon/internal/errors.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/errors.py
@@ -2,7 +2,7 @@
 
 
 class StartError(Exception):
-    """Say at which step a daemon could not start."""
+    """Report the step at which a daemon could not start."""
 
     def __init__(self, step: str, detail: str) -> None:
         super().__init__(f"{step}: {detail}")
--- a/packages/daemon/src/cowslipshelf_daemon/internal/forced_members.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/forced_members.py
@@ -1,4 +1,4 @@
-"""Let an operator go on with one replica after the others are lost for good."""
+"""Make one replica its cluster's only member when the others are lost for good."""
 
 import sys
 import time
@@ -18,22 +18,22 @@
 EXIT_NOT_CONFIRMED = 8
 EXIT_NOT_FORCED = 9
 
-MOST_OPERATOR_LETTERS = 64
+MAX_OPERATOR_CHARACTERS = 64
 
 
 def force_members(settings: DaemonSettings, operator: str, confirmed: bool) -> int:
     """Make the replica of the settings its cluster's only member; return an exit code.
 
-    Without the operator's confirmation nothing is touched.
+    Without the operator's confirmation nothing is changed.
     """
-    problem = problem_with(settings, operator)
+    problem = find_problem(settings, operator)
     if problem:
-        return say(EXIT_BAD_ARGUMENTS, problem)
+        return print_error(EXIT_BAD_ARGUMENTS, problem)
     folder = Path(settings.entry.data_folder)
     print(f"Instance {settings.instance}, data folder {folder}.\n")
     print(f"WARNING. {FORCED_MEMBERS_WARNING}\n")
     if not confirmed:
-        return say(EXIT_NOT_CONFIRMED, "Nothing was done. Add --yes to go on.")
+        return print_error(EXIT_NOT_CONFIRMED, "Nothing was done. Add --yes to go on.")
     config = ReplicaStorageConfig(folder, settings.instance)
     match force_members_in_folder(config, operator, time.time()):
         case Ok(forced):
@@ -43,25 +43,25 @@
             )
             return EXIT_FORCED
         case Err(error):
-            return say(EXIT_NOT_FORCED, f"Nothing was done. {error}")
+            return print_error(EXIT_NOT_FORCED, f"Nothing was done. {error}")
 
 
-def problem_with(settings: DaemonSettings, operator: str) -> str:
-    """Find what stands against forcing, before the folder is touched."""
+def find_problem(settings: DaemonSettings, operator: str) -> str:
+    """Return why the members cannot be forced; an empty text if they can."""
     if settings.entry is None or settings.entry.data_folder is None:
         return "These settings name no data folder; only a replica can be forced."
     if not Path(settings.entry.data_folder).is_dir():
-        # Opening would make an empty folder, under a new identity.
+        # Opening the storage would create an empty folder with a new identity.
         return f"There is no data folder {settings.entry.data_folder}."
-    if not operator.strip() or len(operator) > MOST_OPERATOR_LETTERS:
+    if not operator.strip() or len(operator) > MAX_OPERATOR_CHARACTERS:
         return (
             "Name yourself by --operator, for the audit trail, in at most "
-            f"{MOST_OPERATOR_LETTERS} letters."
+            f"{MAX_OPERATOR_CHARACTERS} letters."
         )
     return ""
 
 
-def say(code: int, text: str) -> int:
-    """Tell what went wrong and return the exit code for it."""
+def print_error(code: int, text: str) -> int:
+    """Print an error and return its exit code."""
     print(text, file=sys.stderr)
     return code
--- a/packages/daemon/src/cowslipshelf_daemon/internal/messenger.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/messenger.py
@@ -1,4 +1,4 @@
-"""Deliver messages to instances by name or address, this one included."""
+"""Send messages to instances by name or address, including this instance."""
 
 import threading
 from collections.abc import Callable, Collection
@@ -11,7 +11,7 @@
 
 
 class Delivered(NamedTuple):
-    """Be a message for an actor, from another process or from this one."""
+    """Hold a message for an actor, from another process or from this one."""
 
     sender: InstanceId
     sender_address: str
@@ -19,7 +19,7 @@
 
 
 class Messenger:
-    """Know the entries' mailbox addresses and send to them; shared by the actors."""
+    """Send to entries by their known mailbox addresses; shared by the actors."""
 
     def __init__(self, instance: InstanceId, address: str) -> None:
         self.instance = instance
@@ -34,12 +34,12 @@
     def attach(
         self, mailbox: Mailbox, deliver_locally: Callable[[Delivered], None]
     ) -> None:
-        """Begin to deliver; what was sent before is lost, as any message may be."""
+        """Start to deliver; messages sent earlier are lost, as any message may be."""
         self.deliver_locally = deliver_locally
         self.mailbox = mailbox
 
     def add_entry(self, instance: InstanceId, address: str) -> None:
-        """Remember where an entry instance is."""
+        """Record the address of an entry instance."""
         with self.lock:
             if self.addresses.get(instance) == address:
                 return
@@ -48,23 +48,23 @@
             self.entries_digest = digest_entries(places)
 
     def entries(self) -> tuple[tuple[InstanceId, str], ...]:
-        """List the entry instances known, this one included."""
+        """Return the known entry instances with their addresses, including this one."""
         with self.lock:
             return tuple(self.addresses.items())
 
     def send_to_instance(self, instance: InstanceId, message: Message) -> None:
-        """Send to an entry instance; a message to an unknown one is lost."""
+        """Send to an entry instance; a message to an unknown one is dropped."""
         with self.lock:
             address = self.addresses.get(instance)
         if address is not None:
             self.send(address, message)
 
     def send(self, address: str, message: Message) -> None:
-        """Send to an address, without the network where it is this process's own."""
+        """Send to an address; to this process's own without using the network."""
         self.send_to_all((address,), message)
 
     def send_to_all(self, addresses: Collection[str], message: Message) -> None:
-        """Send to some addresses; the message is encoded once."""
+        """Send to several addresses; the message is encoded once."""
         if self.mailbox is None:
             return
         others = [address for address in addresses if address != self.address]
--- a/packages/daemon/src/cowslipshelf_daemon/internal/process_exit.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/process_exit.py
@@ -1,4 +1,4 @@
-"""End the process once its work is done."""
+"""Exit the process once its work is done."""
 
 import os
 import sys
@@ -6,12 +6,13 @@
 
 
 def exit_process(code: int) -> NoReturn:
-    """End at once, without the interpreter's own end.
+    """Exit at once, without the interpreter's own shutdown.
 
-    That waits for threads which nobody stopped, for ever where one of them waits for a
-    socket or a disk: the process serves nobody and stays until it is killed, and
-    whoever watches processes starts no other one. Everything that must outlive the
-    process was synced before it was acted on, so nothing is lost.
+    The interpreter waits for all threads that were not stopped, and waits forever if
+    one of them is blocked on a socket or a disk. The process would then serve nobody
+    until it is killed, and its supervisor would not start another one. Nothing is
+    lost, because everything that must outlive the process was synced before it was
+    acted on.
     """
     sys.stdout.flush()
     sys.stderr.flush()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
@@ -1,4 +1,4 @@
-"""Make the parts that daemons of both roles have."""
+"""Make the parts that entries and sidecars have in common."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 def make_messenger(settings: DaemonSettings) -> Messenger:
-    """Make the messenger, which begins with the entries of the settings."""
+    """Make the messenger, which knows the entries of the settings at first."""
     messenger = Messenger(settings.instance, settings.mailbox_address)
     for entry in settings.entries:
         messenger.add_entry(entry.instance, entry.mailbox_address)
@@ -23,17 +23,17 @@
 
 
 def replica_instances(settings: DaemonSettings) -> tuple[InstanceId, ...]:
-    """Return the instances that hold replicas, as the settings list them."""
+    """Return the instances that hold replicas, in the order of the settings."""
     return tuple(entry.instance for entry in settings.entries if entry.replica)
 
 
 def make_proposal_client(settings: DaemonSettings) -> ProposalClient:
-    """Make the client that brings commands to the replicas."""
+    """Make the client that proposes commands to the replicas."""
     return ProposalClient.from_config(ProposalClientConfig(replica_instances(settings)))
 
 
 def make_view(settings: DaemonSettings, epoch: Epoch) -> ConfigurationView:
-    """Make the view of the configuration, which asks the replicas."""
+    """Make the view of the configuration, which the replicas confirm."""
     addresses = tuple(
         entry.mailbox_address for entry in settings.entries if entry.replica
     )
@@ -46,7 +46,7 @@
     receive: Callable[[Received], None],
     version: Callable[[], ConfigurationVersion],
 ) -> Mailbox:
-    """Make the mailbox; `receive` and `version` run on its threads."""
+    """Make the mailbox, which calls `receive` and `version` on its own threads."""
     config = MailboxConfig(
         instance=settings.instance,
         epoch=epoch,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/running.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/running.py
@@ -1,4 +1,4 @@
-"""Run one role until a signal asks it to end."""
+"""Run one role until a signal ends it."""
 
 import sys
 import threading
@@ -22,12 +22,13 @@
 EXIT_NOT_STARTED = 7
 
 STOP_SECONDS = 6.0
-"""Time for closing what no work needs any more: the operators' server gives its last
-answers 5 s, the mailbox its last messages 0.5 s, and all else waits for neither."""
+"""Time for closing the servers, actors and sockets after the work is done. The
+operators' server gives its last answers 5 s and the mailbox its last messages 0.5 s;
+nothing else waits."""
 
 
 class Shutdown:
-    """Bring the signals' callbacks to the main thread."""
+    """Pass the signals from their callbacks to the main thread."""
 
     def __init__(self) -> None:
         self.begun = threading.Event()
@@ -39,13 +40,13 @@
         self.begun.set()
 
     def end(self, signal_name: str) -> None:
-        """End it, finished or not."""
+        """End the shutdown, finished or not."""
         LOG.warning("Shutdown cut short.", signal=signal_name)
         self.ended.set()
 
 
 def start_role(settings: DaemonSettings) -> EntryRole | SidecarRole:
-    """Start what the settings ask for."""
+    """Start the role of the settings."""
     match settings.role:
         case "entry":
             return start_entry(settings)
@@ -57,10 +58,10 @@
     settings: DaemonSettings,
     start_role: Callable[[DaemonSettings], EntryRole | SidecarRole] = start_role,
 ) -> NoReturn:
-    """Run the role of the settings, and end the process with its exit code.
+    """Run the role of the settings, and exit the process with its exit code.
 
-    The threads of the servers are no daemon threads, and run on where they were not
-    stopped, since work was cut or a part did not start.
+    The servers' threads are not daemon threads. They keep running if they were not
+    stopped because work was aborted or a part did not start.
     """
     code = run_role(settings, start_role)
     LOG.info("Ended.", code=code)
@@ -71,7 +72,7 @@
     settings: DaemonSettings,
     start_role: Callable[[DaemonSettings], EntryRole | SidecarRole],
 ) -> int:
-    """Run the role until it has left or was cut; return the process's exit code."""
+    """Run the role until it has left or was aborted; return the exit code."""
     configure_logs(settings.log)
     shutdown = Shutdown()
     signals = ShutdownSignals.from_callbacks(shutdown.begin, shutdown.end)
@@ -87,7 +88,7 @@
 
 
 def leave(role: EntryRole | SidecarRole, shutdown: Shutdown) -> int:
-    """Leave gracefully, or at once after a second signal."""
+    """Finish the running work, or abort it after a second signal."""
     finished = threading.Event()
     outcome: list[bool] = []
     began = time.monotonic()
@@ -108,20 +109,20 @@
 
 
 def stop(role: EntryRole | SidecarRole) -> None:
-    """Close what is left of a role whose work is done, or say what holds that up.
+    """Close a role whose work is done; if that takes too long, log all threads.
 
-    A socket or thread that does not close must not keep a process that has left: its
-    grace would run out, and it would be killed as if it had cut something.
+    A socket or thread that does not close must not delay the exit: once the grace
+    period is over, the process would be killed as if it had aborted work.
     """
     stopping = threading.Thread(target=role.stop, name="stop", daemon=True)
     stopping.start()
     stopping.join(STOP_SECONDS)
     if stopping.is_alive():
-        LOG.error("Stop not finished.", threads=stacks())
+        LOG.error("Stop not finished.", threads=thread_stacks())
 
 
-def stacks() -> dict[str, str]:
-    """Return where each thread of this process is."""
+def thread_stacks() -> dict[str, str]:
+    """Return the stack trace of each thread of this process, by name."""
     names = {thread.ident: thread.name for thread in threading.enumerate()}
     return {
         names.get(ident, str(ident)): "".join(traceback.format_stack(frame))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/__init__.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Run the role in the slot of one upstream."""
+"""Run the sidecar role, which serves one upstream."""
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
@@ -1,4 +1,4 @@
-"""Put a sidecar together, start it and take it apart in order."""
+"""Assemble a sidecar from its settings, start it and stop it."""
 
 import threading
 import time
@@ -55,11 +55,12 @@
 LOG = part_logger("sidecar")
 
 MAX_READER_WAIT_SECONDS = 3.0
+"""Time that entries get to read finished streams before the server stops."""
 READER_POLL_SECONDS = 0.02
 
 
 class SidecarRole(NamedTuple):
-    """Be a sidecar that runs."""
+    """Hold the parts of a running sidecar."""
 
     settings: DaemonSettings
     actor: ActorRef
@@ -72,29 +73,29 @@
     buffers: FrameBufferTable
 
     def leave(self) -> bool:
-        """Finish what runs and go; return whether all of it finished in time."""
+        """Finish the running attempts; return whether all finished in time."""
         self.actor.tell(LeaveRequest(self.left.set))
         finished = self.left.wait(self.settings.timings.shutdown_seconds)
         self.wait_for_readers()
         return finished
 
     def wait_for_readers(self) -> None:
-        """Let the entries read what has just finished at the upstream.
+        """Wait until the entries have read the streams that have just finished.
 
-        The last attempt ends at the upstream before its entry has its last frames. A
-        server that stops in between cuts a stream that was whole. An entry that never
-        reads again must not hold the process up, so the wait is short.
+        The last attempt ends at the upstream before its entry has the last frames. A
+        server that stopped in between would cut a complete stream. The wait is short,
+        because an entry that never reads again must not delay the exit.
         """
         limit = time.monotonic() + MAX_READER_WAIT_SECONDS
         while self.buffers.unread() and time.monotonic() < limit:
             time.sleep(READER_POLL_SECONDS)
 
     def running_work(self) -> int:
-        """Return how many attempts run."""
+        """Return the number of running attempts."""
         return self.state.load_report().running
 
     def stop(self) -> None:
-        """End every thread and socket."""
+        """Stop all threads and close all sockets."""
         self.ticker.stop()
         self.server.stop()
         self.mailbox.stop()
@@ -142,7 +143,7 @@
 def make_parts(
     settings: DaemonSettings, epoch: Epoch, view: ConfigurationView
 ) -> SidecarParts:
-    """Make what the sidecar's actor works with."""
+    """Make the parts of the sidecar's actor."""
     upstream = settings.sidecar.upstream
     description = UpstreamDescription(
         upstream.upstream_id,
@@ -163,13 +164,13 @@
 
 
 class SidecarDispatcher(NamedTuple):
-    """Know the actors of one sidecar."""
+    """Pass incoming messages to the actors of one sidecar."""
 
     sidecar: ActorRef
     control_actor: ActorRef
 
     def receive(self, received: Received) -> None:
-        """Take a message from another process; runs on the mailbox's thread."""
+        """Dispatch a message from another process; called on the mailbox's thread."""
         match received.message:
             case ProposalResult() as result:
                 sender, address = received.sender, received.sender_address
@@ -179,7 +180,7 @@
 
 
 def drop_own_message(delivered: Delivered) -> None:
-    """Take a message to this process itself, which a sidecar never sends."""
+    """Drop a message that this process sent to itself; no sidecar sends one."""
     LOG.warning("message to itself", type=type(delivered.message).__name__)
 
 
@@ -189,7 +190,7 @@
     control_actor: ActorRef,
     actor: ActorRef,
 ) -> OrderContext | None:
-    """Make what orders to an engine need; a plain service takes none."""
+    """Make the context of orders to an engine; a plain service takes no orders."""
     match context.client:
         case EngineClient() as engine:
             control = ControlStateClient(
@@ -201,7 +202,7 @@
 
 
 def make_client(upstream: UpstreamSettings) -> EngineClient | PlainClient:
-    """Make the client that speaks to the upstream."""
+    """Make the HTTP client of the upstream."""
     base_url = f"http://{upstream.address}"
     match upstream.kind:
         case "model":
@@ -213,7 +214,7 @@
 def start_engine_worker(
     context: AttemptContext, actor: ActorRef
 ) -> EngineWorker | None:
-    """Make and start the engine_worker of an engine; a plain service has none."""
+    """Start the worker that calls an engine; a plain service has none."""
     match context.client:
         case EngineClient() as engine:
             engine_worker = EngineWorker(engine, actor)
@@ -226,7 +227,7 @@
 def make_server(
     settings: DaemonSettings, actor: ActorRef, buffers: FrameBufferTable
 ) -> AttemptsServer:
-    """Make the server that takes attempts."""
+    """Make the server that accepts attempts from entries."""
     config = AttemptsServerConfig(
         listen_address=settings.sidecar.attempts_address,
         cluster_key=settings.cluster_key.encode(),
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Run one attempt at the upstream and keep its frames."""
+"""Run one attempt at the upstream and buffer its frames."""
 
 import threading
 from time import monotonic
@@ -35,15 +35,17 @@
 
 
 class AttemptContext(NamedTuple):
-    """Be what every attempt of one sidecar uses."""
+    """Hold what all attempts of one sidecar share."""
 
     client: EngineClient | PlainClient
     sidecar: ActorRef
+    """The sidecar's actor, which is told of the attempt's progress."""
     peer: str
+    """The upstream's id, as the peer in refusals."""
 
 
 class AttemptRunner:
-    """Own the upstream's stream of one attempt, on a thread of its own."""
+    """Read the upstream's stream of one attempt on a thread of its own."""
 
     def __init__(
         self,
@@ -56,31 +58,31 @@
         self.buffer = buffer
         self.context = context
         self.parts = parts
-        """What other engines hold of the prompt before this attempt's part."""
+        """KV cache of the prompt before this attempt's part, held by other engines."""
         self.cancelled = threading.Event()
         self.last_sequence = 0
         self.output_tokens = 0
         self.first_token_seen = False
         self.overflowed = False
         self.connection_lost = False
-        """Whether the answer broke off with its connection."""
+        """Whether the connection was lost before the end of the answer."""
 
     def start(self) -> None:
-        """Begin to run the attempt."""
+        """Start the attempt's thread."""
         name = f"attempt-{self.hand_over.attempt_id}"
         threading.Thread(target=self.run, name=name, daemon=True).start()
 
     def cancel(self) -> None:
-        """Stop taking pieces; the engine is told by the sidecar's actor."""
+        """Stop copying the stream; the sidecar's actor cancels at the engine."""
         self.cancelled.set()
 
     def run(self) -> None:
-        """Run the attempt to its end and write the final frame, whatever happens."""
+        """Run the attempt to its end and always write the final frame."""
         try:
             refusal = self.run_with_resumes()
         except FrameOrderError as error:
-            # An engine that breaks its own numbering must not leave the caller
-            # waiting for an end that nobody writes.
+            # If an engine numbers its pieces wrongly, the final frame must still be
+            # written, or the caller would wait for it in vain.
             refusal = self.failure_refusal(str(error))
         self.buffer.end(refusal, self.upstream_exited())
         whole = refusal is None
@@ -89,11 +91,11 @@
 
     @property
     def attempt_id(self) -> AttemptId:
-        """Return the attempt that this runs."""
+        """Return the id of the attempt."""
         return self.hand_over.attempt_id
 
     def run_with_resumes(self) -> Refusal | None:
-        """Take the whole stream, resuming it at the engine where it was cut."""
+        """Copy the whole stream; resume it at the engine after a lost connection."""
         detail = ""
         try:
             stream = self.open_stream()
@@ -117,8 +119,8 @@
                 detail = str(error)
             if self.cancelled.is_set():
                 return self.cancelled_refusal()
-            # A cut connection says nothing of the attempt at the engine, which keeps
-            # running it: asking for the rest costs no second run.
+            # The engine keeps running an attempt whose connection is lost, so asking
+            # for the rest of the stream does not run it twice.
             resumed = self.resume_stream()
             if resumed is None:
                 break
@@ -127,7 +129,7 @@
         return self.failure_refusal(detail)
 
     def upstream_exited(self) -> bool:
-        """Tell whether the upstream's process ended under the attempt."""
+        """Tell whether the upstream's process exited during the attempt."""
         if not self.connection_lost or self.cancelled.is_set():
             return False
         gone = self.context.client.is_gone()
@@ -136,7 +138,7 @@
         return gone
 
     def open_stream(self) -> UpstreamStream:
-        """Hand the request to the upstream, once."""
+        """Send the request to the upstream, once."""
         match self.context.client:
             case EngineClient() as engine:
                 prioritized = with_engine_priority(self.hand_over, monotonic())
@@ -147,11 +149,11 @@
         return stream
 
     def is_engine(self) -> bool:
-        """Tell whether the upstream is a model engine."""
+        """Tell whether the upstream is a model engine and not a plain service."""
         return isinstance(self.context.client, EngineClient)
 
     def resume_stream(self) -> UpstreamStream | None:
-        """Ask the engine for what comes after the last piece."""
+        """Ask the engine for the stream after the last piece; None if that fails."""
         match self.context.client:
             case EngineClient() as engine:
                 return self.resume_at(engine)
@@ -159,7 +161,7 @@
                 return None
 
     def resume_at(self, engine: EngineClient) -> UpstreamStream | None:
-        """Resume at an engine; None where it cannot be had."""
+        """Resume the stream at an engine; return None if that fails."""
         try:
             stream = engine.resume(self.attempt_id, self.last_sequence)
         except UpstreamLostError as error:
@@ -168,7 +170,7 @@
         return stream if stream.status == HTTP_OK else None
 
     def copy(self, stream: UpstreamStream) -> None:
-        """Copy pieces into frames until the stream's end marker."""
+        """Copy the stream's pieces into frames up to its end marker."""
         for piece in stream:
             if self.cancelled.is_set():
                 return
@@ -183,7 +185,7 @@
             self.output_tokens += piece.tokens
 
     def copy_refusal(self) -> Refusal | None:
-        """Return why the answer ended before its end marker, if it did."""
+        """Return why copying stopped before the end marker; None at the end marker."""
         if self.cancelled.is_set():
             return self.cancelled_refusal()
         if self.overflowed:
@@ -191,10 +193,10 @@
         return None
 
     def start_refusal(self, error: UpstreamLostError) -> Refusal:
-        """Describe an attempt whose start got no answer.
+        """Return the refusal of an attempt whose start got no answer.
 
-        Where no byte can have reached the upstream the attempt never ran, and since
-        this is its only start it never will: only then is "not run" true.
+        The code is NOT_RUN only if no byte can have reached the upstream: the attempt
+        has not run then, and as it is started only once, it never will.
         """
         self.report_if_unreachable(error)
         refusal = self.failure_refusal(str(error))
@@ -203,12 +205,12 @@
         return refusal._replace(code=RefusalCode.NOT_RUN)
 
     def report_if_unreachable(self, error: UpstreamLostError) -> None:
-        """Tell the sidecar's actor where no connection could be made."""
+        """Tell the sidecar's actor if no connection could be made."""
         if not error.may_have_arrived:
             self.context.sidecar.tell(UpstreamUnreachable())
 
     def failure_refusal(self, detail: str) -> Refusal:
-        """Describe an attempt that was handed over and did not finish."""
+        """Return the refusal of an attempt that was handed over and did not finish."""
         return Refusal(
             RefusalCode.FAILED,
             RefusalReason.UPSTREAM_FAILED,
@@ -218,18 +220,19 @@
         )
 
     def cancelled_refusal(self) -> Refusal:
-        """Describe an attempt that was cancelled after it was handed over."""
+        """Return the refusal of an attempt that was cancelled after its hand-over."""
         return Refusal(
             RefusalCode.FAILED, RefusalReason.CANCELLED, STEP, self.context.peer
         )
 
 
 def with_engine_priority(hand_over: HandOver, now: float) -> HandOver:
-    """Turn the slack that an entry gave into a moment on this machine's clock.
+    """Turn the slack that an entry gave into a point in time on this machine's clock.
 
-    Slack alone would serve each new short prompt before every long one that waits,
-    for ever. Counted from its own arrival, a long prompt's moment comes nearer while
-    it waits, and what arrives later stands behind it. `now` is in monotonic seconds.
+    If the engine ordered prompts by slack, each new short prompt would go ahead of
+    every waiting long one, and long prompts would starve. The point in time counts
+    from the arrival, so that later arrivals end up behind a prompt that waits. `now`
+    is in monotonic seconds.
     """
     return hand_over._replace(
         priority=int(now * MILLISECONDS_PER_SECOND) + hand_over.priority
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
@@ -1,4 +1,4 @@
-"""Answer what entries ask of this sidecar over HTTP."""
+"""Answer the HTTP requests of entries to this sidecar."""
 
 from queue import Empty, SimpleQueue
 from typing import NamedTuple
@@ -18,28 +18,28 @@
 
 
 class HandOverRequest(NamedTuple):
-    """Ask the actor to decide on a hand-over."""
+    """Ask the actor to accept or refuse a hand-over."""
 
     hand_over: HandOver
     reply: "SimpleQueue[AttemptRefused | FrameBuffer]"
 
 
 class RevokeRequest(NamedTuple):
-    """Ask the actor to promise that an attempt never runs."""
+    """Ask the actor to promise that an attempt will never run."""
 
     event: RevokeArrived
     reply: "SimpleQueue[NeverRan | MayHaveRun]"
 
 
 class SidecarAttemptsHandler:
-    """Pass attempts to the sidecar's actor and wait for its decision."""
+    """Pass requests to the sidecar's actor and wait for its answers."""
 
     def __init__(self, sidecar: ActorRef, buffers: FrameBufferTable) -> None:
         self.sidecar = sidecar
         self.buffers = buffers
 
     def hand_over(self, hand_over: HandOver) -> AttemptRefused | FrameBuffer:
-        """Decide on one attempt."""
+        """Accept an attempt and return its frames, or refuse it."""
         reply: SimpleQueue[AttemptRefused | FrameBuffer] = SimpleQueue()
         try:
             self.sidecar.tell(HandOverRequest(hand_over, reply))
@@ -48,7 +48,7 @@
             return self.outcome_unknown(hand_over)
 
     def outcome_unknown(self, hand_over: HandOver) -> AttemptRefused:
-        """Refuse without a promise: the actor may yet take the attempt."""
+        """Refuse with an unknown outcome: the actor may still accept the attempt."""
         refusal = Refusal(
             RefusalCode.OUTCOME_UNKNOWN,
             RefusalReason.NOT_READY,
@@ -59,13 +59,13 @@
         return AttemptRefused(refusal, LoadReport())
 
     def frames(self, attempt_id: AttemptId) -> FrameBuffer | None:
-        """Return an attempt's frames where they are still kept."""
+        """Return an attempt's frames, or None if they were dropped."""
         return self.buffers.find(attempt_id)
 
     def revoke(
         self, attempt_id: AttemptId, epoch: Epoch, load_sequence: int
     ) -> NeverRan | MayHaveRun:
-        """Ask for the promise; without an answer there is none."""
+        """Ask for the promise that an attempt never runs; a timeout gives none."""
         reply: SimpleQueue[NeverRan | MayHaveRun] = SimpleQueue()
         try:
             event = RevokeArrived(attempt_id, epoch, load_sequence)
@@ -75,9 +75,9 @@
             return MayHaveRun(attempt_id, known=False)
 
     def begin(self, attempt_id: AttemptId, parts: tuple[KvReference, ...]) -> None:
-        """Let a reserved attempt begin."""
+        """Start a reserved attempt with the other parts of its prompt."""
         self.sidecar.tell(PartsArrived(attempt_id, parts))
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Cancel an attempt that nobody waits for."""
+        """Cancel an attempt."""
         self.sidecar.tell(CancelArrived(attempt_id))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/engine_worker.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/engine_worker.py
@@ -1,4 +1,4 @@
-"""Watch the upstream and free what nobody claims, off the actor's thread."""
+"""Cancel attempts and read the inventory of an engine, off the actor's thread."""
 
 import threading
 from queue import SimpleQueue
@@ -20,10 +20,10 @@
 
 
 class EngineWorker:
-    """Own a thread that cancels attempts and reads the engine's inventory.
+    """Cancel attempts and read the engine's inventory on a thread of its own.
 
-    A frozen engine answers nothing for as long as its client waits. The actor must go
-    on deciding meanwhile, so these calls have a thread of their own.
+    A call to a frozen engine blocks until the client's timeout, and the actor must
+    not block.
     """
 
     def __init__(self, engine: EngineClient, sidecar: ActorRef) -> None:
@@ -35,15 +35,15 @@
         self.thread = threading.Thread(target=self.run, name="upstream", daemon=True)
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the thread."""
         self.thread.start()
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Cancel an attempt at the engine as soon as the thread is free."""
+        """Queue the cancellation of an attempt at the engine."""
         self.work.put(attempt_id)
 
     def poll_inventory(self, now: float) -> None:
-        """Have the inventory read when it is due and none is being read."""
+        """Queue a read of the inventory if one is due and none is queued."""
         if now < self.next_poll or self.inventory_queued.is_set():
             return
         self.next_poll = now + INVENTORY_INTERVAL_SECONDS
@@ -51,20 +51,20 @@
         self.work.put(None)
 
     def run(self) -> None:
-        """Do what is asked, one thing at a time."""
+        """Make the queued calls one after another."""
         while True:
             attempt_id = self.work.get()
             try:
                 self.perform(attempt_id)
             except (UpstreamLostError, UpstreamRefusedError) as error:
-                # A lost cancel is not repeated here: the inventory shows what the
-                # engine still holds, and the decider asks for it again.
+                # A lost cancel is not retried here: the inventory shows what the
+                # engine still holds, and the state machine cancels it again.
                 LOG.warning("upstream call failed", error=str(error))
             except ActorDeadError:
                 return
 
     def perform(self, attempt_id: AttemptId | None) -> None:
-        """Cancel one attempt, or read the inventory."""
+        """Cancel an attempt, or read the inventory if none is given."""
         if attempt_id is not None:
             self.engine.cancel(attempt_id)
             return
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/kv_transfer.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/kv_transfer.py
@@ -1,4 +1,4 @@
-"""Pass the KV cache of a prompt's parts from engine to engine, by reference."""
+"""Pass the KV cache of a prompt's parts between engines, by reference."""
 
 from cowslipshelf_core.prompt_parts import KvReference
 from cowslipshelf_core.upstream import HandOver
@@ -17,7 +17,7 @@
 def start_at_engine(
     engine: EngineClient, hand_over: HandOver, parts: tuple[KvReference, ...]
 ) -> UpstreamStream:
-    """Start an attempt, after telling the engine what others hold of its prompt."""
+    """Import the KV cache that other engines hold, then start an attempt."""
     if parts:
         import_parts(engine, parts)
     handles = tuple(part.handle for part in parts)
@@ -26,9 +26,9 @@
 
 
 def import_parts(engine: EngineClient, parts: tuple[KvReference, ...]) -> None:
-    """Tell an engine of parts; raise as for a start of which no byte was sent.
+    """Import parts at an engine; raise an error that says that nothing was sent.
 
-    An import runs nothing: whatever became of it, the attempt itself never started.
+    An import runs nothing. Whatever its outcome, the attempt itself was not started.
     """
     try:
         engine.import_kv(tuple(KvPart(*part) for part in parts))
@@ -39,7 +39,7 @@
 
 
 def export_part(engine: EngineClient, hand_over: HandOver) -> KvReference:
-    """Return a reference to the part that an attempt has prefilled."""
+    """Return a reference to the KV cache of the part that an attempt prefilled."""
     part = engine.export_kv(
         hand_over.attempt_id, hand_over.from_token, hand_over.to_token
     )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
@@ -1,4 +1,4 @@
-"""Give one order to the engine, within the weight store's rate, and close it."""
+"""Run one order at the engine, within the weight store's rate, and close it."""
 
 import threading
 import time
@@ -36,11 +36,12 @@
 ORDER_TIMEOUT_SECONDS = 600.0
 LOAD_GRANT_TOKENS = 1
 LOADING_ORDERS = frozenset({"load_model", "load_adapter", "load_version"})
+"""Kinds of orders that load weights and need a load grant."""
 MAX_CLOSE_ATTEMPTS = 20
 
 
 class OrderContext(NamedTuple):
-    """Be what every order of one sidecar uses."""
+    """Hold what all orders of one sidecar share."""
 
     instance: InstanceId
     engine: EngineClient
@@ -49,26 +50,26 @@
 
 
 class OrderResult(NamedTuple):
-    """Tell how an order ended at the engine."""
+    """Hold the result of an order at the engine."""
 
     succeeded: bool
     detail: str
 
 
 class OrderRunner:
-    """Own the carrying out of one order, on a thread of its own."""
+    """Run one order on a thread of its own."""
 
     def __init__(self, order: OrderSent, context: OrderContext) -> None:
         self.order = order
         self.context = context
 
     def start(self) -> None:
-        """Begin to carry the order out."""
+        """Start the order's thread."""
         name = f"order-{self.order.order_id}"
         threading.Thread(target=self.run, name=name, daemon=True).start()
 
     def run(self) -> None:
-        """Carry the order out, tell the decider, and close it in the log."""
+        """Run the order, report it to the actor, and close it in the control state."""
         result = self.execute()
         LOG.info("order ended", order=self.order.order_id, ok=result.succeeded)
         try:
@@ -79,7 +80,7 @@
         self.close(result)
 
     def execute(self) -> OrderResult:
-        """Give the order to the engine, under a grant where it loads weights."""
+        """Send the order to the engine, with a load grant if it loads weights."""
         earlier = self.earlier_result()
         if earlier is not None:
             return earlier
@@ -95,12 +96,12 @@
             self.context.control.commit(returned, COMMAND_TIMEOUT_SECONDS)
 
     def earlier_result(self) -> OrderResult | None:
-        """Find out what came of an order that the engine has already earlier.
+        """Return the result of an order that the engine accepted before, if any.
 
-        A sidecar that was killed after it gave the order leaves it open, and its
-        successor gets it again without knowing of it. Given twice, it would load the
-        weights twice, the second time perhaps while callers are served. The engine's
-        own word tells; None where it has not earlier the order or does not say.
+        If a sidecar is killed after it sent an order, the order stays open, and the
+        sidecar's next start gets it again. Sent twice, it would load the weights
+        twice, the second time possibly while callers are served, so the engine is
+        asked. None if the engine has not accepted the order or gives no answer.
         """
         limit = time.monotonic() + ORDER_TIMEOUT_SECONDS
         while time.monotonic() < limit:
@@ -119,7 +120,7 @@
         return OrderResult(False, "taken by the engine and not carried out in time")
 
     def wait_for_grant(self, grant_id: GrantId) -> bool:
-        """Ask for a load grant until there is one; the store's rate is the fleet's."""
+        """Request a load grant until it is given; the whole fleet shares the rate."""
         request = AskLoadGrant(
             grant_id,
             self.context.instance,
@@ -139,7 +140,7 @@
         return False
 
     def send_order(self) -> OrderResult:
-        """Give the order to the engine, once."""
+        """Send the order to the engine, once."""
         order = EngineOrder(
             self.order.order_id,
             self.order.kind,
@@ -154,7 +155,7 @@
         return OrderResult(result.accepted, detail)
 
     def close(self, result: OrderResult) -> None:
-        """Close the order through the log, trying again while there is no quorum."""
+        """Close the order in the control state; retry while there is no quorum."""
         closing = CloseOrder(
             self.order.order_id,
             self.order.upstream_id,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/part_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/part_runner.py
@@ -1,4 +1,4 @@
-"""Prefill a part of a prompt and hold its KV cache for another engine."""
+"""Prefill a part of a prompt and keep its KV cache for another engine."""
 
 from cowslipshelf_core.errors import Refusal
 from cowslipshelf_core.messages import PartPrefilled
@@ -9,15 +9,14 @@
 
 
 class PartRunner(AttemptRunner):
-    """Own one part at the engine until it is cancelled.
+    """Keep one prefilled part at the engine until it is cancelled.
 
-    A part is not finished when it is prefilled: the engine that generates reads it to
-    the end of the answer. Its owner cancels it then; where the owner is gone, its
-    lease or the deadline does.
+    The decoding engine reads the part until the end of the answer. Then the owner
+    cancels it; if the owner is gone, its lease or the deadline ends it.
     """
 
     def run_with_resumes(self) -> Refusal:
-        """Prefill the part, say where it is, and hold it."""
+        """Prefill the part, write its reference, and wait to be cancelled."""
         try:
             self.prefill()
             part = export_part(self.context.client, self.hand_over)
@@ -31,7 +30,7 @@
         return self.cancelled_refusal()
 
     def prefill(self) -> None:
-        """Wait for the end of the part's stream, which carries no token."""
+        """Read the part's stream, which carries no token, to its end."""
         stream = self.open_stream()
         if stream.status != HTTP_OK:
             answer = b"".join(piece.data for piece in stream)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -1,4 +1,4 @@
-"""Own the sidecar's deciders and carry out their effects."""
+"""Run the sidecar's state machines and perform their effects."""
 
 import time
 from collections.abc import Callable
@@ -96,24 +96,24 @@
 
 
 class LeaveRequest(NamedTuple):
-    """Ask the sidecar to take no more work and leave when what runs has ended."""
+    """Ask the sidecar to refuse new work and leave once the running work has ended."""
 
     on_left: Callable[[], None]
 
 
 class ConnectionsAttached(NamedTuple):
-    """Hand over the peers, which need the actor's address to be made."""
+    """Hand over the connections, which can only be made after the actor started."""
 
     mailbox: Mailbox
-    context: AttemptContext
+    attempt_context: AttemptContext
     engine_worker: EngineWorker | None
-    """None for a plain service, which cannot be asked what it holds."""
-    orders: OrderContext | None
+    """None for a plain service, which has no inventory."""
+    order_context: OrderContext | None
     """None for a plain service, which takes no orders."""
 
 
 class SidecarParts(NamedTuple):
-    """Be what the sidecar's actor works with."""
+    """Hold what the sidecar's actor is made of."""
 
     settings: DaemonSettings
     description: UpstreamDescription
@@ -124,7 +124,7 @@
 
 
 def make_chooser(settings: DaemonSettings) -> EntryChooser:
-    """Make the choice of entries to announce to, from those of the settings."""
+    """Make the chooser of entries to announce to, from the entries in the settings."""
     config = EntryChooserConfig(
         settings.sidecar.upstream.upstream_id,
         settings.sidecar.announce_entries,
@@ -138,7 +138,7 @@
 
 
 class SidecarActor(DaemonActor):
-    """Decide about one upstream's attempts; the only owner of that state."""
+    """Own the state of one upstream's attempts and orders."""
 
     def __init__(self, parts: SidecarParts) -> None:
         super().__init__()
@@ -149,9 +149,9 @@
         self.view = parts.view
         self.buffers = parts.buffers
         self.mailbox: Mailbox | None = None
-        self.context: AttemptContext | None = None
+        self.attempt_context: AttemptContext | None = None
         self.engine_worker: EngineWorker | None = None
-        self.orders: OrderContext | None = None
+        self.order_context: OrderContext | None = None
         self.chooser = make_chooser(parts.settings)
         self.runners: dict[AttemptId, AttemptRunner] = {}
         self.leave: LeaveRequest | None = None
@@ -159,16 +159,16 @@
         self.next_state_tick = 0.0
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for a decider."""
+        """Turn one message into an event for a state machine."""
         now = time.monotonic()
         match message:
             case Tick():
                 self.tick(now)
             case ConnectionsAttached():
                 self.mailbox = message.mailbox
-                self.context = message.context
+                self.attempt_context = message.attempt_context
                 self.engine_worker = message.engine_worker
-                self.orders = message.orders
+                self.order_context = message.order_context
             case HandOverRequest(hand_over=hand_over, reply=reply):
                 self.handle_hand_over(hand_over, reply, now)
             case RevokeRequest():
@@ -195,14 +195,14 @@
                 self.handle_event(message, now)
 
     def handle_event(self, event: SidecarEvent, now: float) -> None:
-        """Give the decider an event and carry out what it says."""
+        """Pass an event to the sidecar's state machine and perform the effects."""
         for effect in self.state.handle(event, now):
             self.perform(effect)
 
     def handle_reachability(
         self, event: UpstreamUnreachable | InventoryRead, now: float
     ) -> None:
-        """Decide on a sign of the upstream's death or life, and tell it at once."""
+        """Handle a sign that the upstream is down or up; announce a change at once."""
         took_work = self.state.takes_work
         self.handle_event(event, now)
         if self.state.takes_work != took_work:
@@ -212,7 +212,7 @@
     def handle_hand_over(
         self, hand_over: HandOver, reply: "SimpleQueue[Any]", now: float
     ) -> None:
-        """Decide one hand-over; what is not refused here gets a buffer of frames."""
+        """Accept a hand-over and open its frame buffer, or refuse it."""
         self.handle_event(OwnerSeen(hand_over.owner), now)
         effects = self.state.handle(HandOverArrived(hand_over), now)
         refusals = [
@@ -222,7 +222,7 @@
             and effect.attempt_id == hand_over.attempt_id
         ]
         if not refusals:
-            # The buffer must be there before the attempt starts to fill it.
+            # The buffer must exist before the attempt writes to it.
             self.buffers.open(hand_over.attempt_id)
         for effect in effects:
             if effect not in refusals:
@@ -233,7 +233,7 @@
             reply.put(self.buffers.find(hand_over.attempt_id))
 
     def handle_revoke(self, asked: RevokeRequest, now: float) -> None:
-        """Decide one revocation and answer it."""
+        """Handle a revocation and answer it."""
         answer: NeverRan | MayHaveRun = MayHaveRun(asked.event.attempt_id, known=False)
         for effect in self.state.handle(asked.event, now):
             match effect:
@@ -244,7 +244,7 @@
         asked.reply.put(answer)
 
     def perform(self, effect: SidecarEffect) -> None:
-        """Carry out one effect."""
+        """Perform one effect."""
         match effect:
             case StartAttempt(hand_over, parts):
                 self.start_attempt(hand_over, parts)
@@ -260,7 +260,7 @@
                 self.finish_leaving()
             case RunOrder(order):
                 LOG.info("order given", order=order.order_id, fencing=order.fencing)
-                OrderRunner(order, self.orders).start()
+                OrderRunner(order, self.order_context).start()
             case RefuseOrder(order, reason, newest):
                 LOG.info("order refused", order=order.order_id, why=reason, new=newest)
             case RequestFencing():
@@ -272,12 +272,12 @@
         """Start the thread that runs an attempt at the upstream."""
         buffer = self.buffers.find(hand_over.attempt_id)
         kind = PartRunner if hand_over.is_part else AttemptRunner
-        runner = kind(hand_over, buffer, self.context, parts)
+        runner = kind(hand_over, buffer, self.attempt_context, parts)
         self.runners[hand_over.attempt_id] = runner
         runner.start()
 
     def end_attempt(self, attempt_id: AttemptId, refusal: Refusal) -> None:
-        """End the frames of an attempt that was given up, wherever it had got to."""
+        """End the frames of an attempt that was given up, at whatever stage."""
         LOG.info(
             "Attempt given up.",
             attempt=attempt_id,
@@ -290,7 +290,7 @@
             buffer.end(refusal)
 
     def cancel_at_upstream(self, attempt_id: AttemptId) -> None:
-        """Stop an attempt here and at the upstream."""
+        """Cancel an attempt here and at the upstream."""
         runner = self.runners.get(attempt_id)
         if runner is not None:
             runner.cancel()
@@ -298,14 +298,14 @@
             self.engine_worker.cancel(attempt_id)
 
     def request_fencing(self) -> None:
-        """Ask every replica; the one that leads answers with a quorum's word."""
+        """Ask all replicas for the fencing number; only the leader answers."""
         question = FencingAsked(self.description.upstream_id, self.epoch)
         for entry in self.settings.entries:
             if entry.replica:
                 self.mailbox.send(entry.mailbox_address, question)
 
     def finish_leaving(self) -> None:
-        """Say withdrawal to the entries and let the program end."""
+        """Withdraw the upstream at the entries and let the process end."""
         withdrawal = Withdraw(self.description.upstream_id, self.epoch)
         for entry in self.chooser.targets(time.monotonic()):
             self.mailbox.send(entry.mailbox_address, withdrawal)
@@ -314,7 +314,7 @@
             self.leave.on_left()
 
     def receive(self, received: Received, now: float) -> None:
-        """Take one message from another process."""
+        """Handle a message from another process."""
         self.handle_event(OwnerSeen(received.sender), now)
         seen = VersionSeen(received.sender_address, received.configuration_version)
         self.handle_configuration_event(seen, now)
@@ -325,18 +325,18 @@
             case ConfigurationSnapshot() as snapshot:
                 arrived = SnapshotArrived(snapshot, received.sender_address)
                 self.handle_configuration_event(arrived, now)
-            case OrderSent() as order if self.orders is not None:
+            case OrderSent() as order if self.order_context is not None:
                 self.handle_event(OrderArrived(order), now)
             case FencingAnswered(query_id=query_id, fencing=fencing):
-                # An answer to a question of an earlier start may be older than an
-                # order that this start's predecessor gave.
+                # An answer to a query of an earlier start may be older than the last
+                # order that the earlier start ran.
                 if query_id == self.epoch:
                     self.handle_event(FencingConfirmed(fencing), now)
 
     def handle_configuration_event(
         self, event: ConfigurationViewEvent, now: float
     ) -> None:
-        """Give the configuration's decider an event and carry out what it says."""
+        """Pass an event to the configuration view and perform the effects."""
         for effect in self.view.handle(event, now):
             match effect:
                 case AskForConfiguration(address, question):
@@ -346,8 +346,9 @@
                     self.handle_event(ConfigurationApplied(configuration), now)
                 case BecameServable():
                     LOG.info("servable", version=self.view.in_force.version)
-                    # Where nothing was accepted yet, no version is put in force; the
-                    # empty one is confirmed all the same, and newer entries know more.
+                    # Before the first accepted configuration none is applied. The
+                    # empty one is confirmed like any other, and entries that have a
+                    # newer one show its version in their messages.
                     self.handle_event(ConfigurationApplied(self.view.in_force), now)
                     self.announce(now)
                 case ConfigurationConflict(version, address):
@@ -356,7 +357,7 @@
                     )
 
     def tick(self, now: float) -> None:
-        """Look at what is due."""
+        """Do the periodic work that is due."""
         if now >= self.next_state_tick:
             self.next_state_tick = now + STATE_TICK_SECONDS
             self.handle_event(TickElapsed(), now)
@@ -367,7 +368,7 @@
             self.announce(now)
 
     def announce(self, now: float) -> None:
-        """Renew the upstream's lease at the entries, with its present load."""
+        """Renew the upstream's lease at the entries, with its current load."""
         if not self.view.servable:
             return
         timings = self.settings.timings
@@ -384,5 +385,5 @@
             self.mailbox.send(entry.mailbox_address, announcement)
 
     def configuration_version(self) -> ConfigurationVersion:
-        """Return the version in force here; read from other threads."""
+        """Return the version in force here; other threads call this."""
         return self.view.in_force.version
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -1,4 +1,4 @@
-"""Decide by the ends of upstreams which requests may run, and tell others of them."""
+"""Hold back requests that make upstreams exit, and tell other processes of them."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -33,22 +33,23 @@
     UPSTREAM_EXITS: "Upstreams that ended under a request, as seen here.",
 }
 MAX_REPORTS_PER_MESSAGE = 4_000
-"""Requests that one message may tell of; a process remembers fewer."""
+"""Reports that are read of one message; a process keeps fewer."""
 
 
 class RequestIdentity(NamedTuple):
-    """Be what tells whether a request may run, and whose it is."""
+    """Hold what identifies a request to the quarantine and in the log."""
 
     request_id: str
-    """The caller's id of it, for the log."""
+    """Id that the caller gave the request, for the log."""
     digest: RequestDigest
     customer: CustomerName | None
 
 
 class SuspectRequests:
-    """Keep what one process knows of requests that end upstreams; any thread may ask.
+    """Track the requests under which upstreams exited, as one process knows them.
 
-    What it learns it tells by `tell`, which is given the digest of what has changed.
+    Any thread may call the methods. After each change, `broadcast` is called with the
+    digest of the changed request, to send it to other processes.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self.broadcast = broadcast
         self.lock = RLock()
         self.change_count = 0
-        """Counts what was learned."""
+        """Number of changes; tells whether the stored copy is out of date."""
         for name, text in HELPS.items():
             metrics.describe(name, text)
 
@@ -84,9 +85,9 @@
         return verdict
 
     def claim(self, request: RequestIdentity) -> Verdict:
-        """Decide whether a request may run now, and begin its trial if it needs one.
+        """Decide whether a request may run now, and start its trial if it needs one.
 
-        Of two threads that ask for one suspect, one may try it.
+        If two threads ask for the same suspect, only one of them may try it.
         """
         with self.lock:
             verdict = self.verdict(request)
@@ -96,7 +97,7 @@
 
     @contextmanager
     def trial(self, request: RequestIdentity, verdict: Verdict) -> Iterator[None]:
-        """Keep a suspect from running elsewhere meanwhile."""
+        """Keep a suspect from running elsewhere during its trial."""
         if not isinstance(verdict, AllowedAlone):
             yield
             return
@@ -107,7 +108,7 @@
             self.end_trial(request)
 
     def begin_trial(self, request: RequestIdentity, verdict: AllowedAlone) -> None:
-        """Note that a suspect is tried here."""
+        """Record that the trial of a suspect starts here."""
         LOG.info(
             "Suspect tried.",
             request=request.request_id,
@@ -121,13 +122,13 @@
         self.note_change(request.digest)
 
     def end_trial(self, request: RequestIdentity) -> None:
-        """Note that a trial is over, whatever came of it."""
+        """Record that a trial is over, whatever its result."""
         with self.lock:
             self.quarantine.end_trial(request.digest)
         self.note_change(request.digest)
 
     def record_exit(self, request: RequestIdentity, upstream_id: UpstreamId) -> None:
-        """Note that an upstream ended under a request."""
+        """Record that an upstream exited while it ran a request."""
         now = time.monotonic()
         with self.lock:
             if not self.quarantine.record_exit(request.digest, upstream_id, now):
@@ -144,7 +145,7 @@
         self.note_change(request.digest)
 
     def record_answer(self, request: RequestIdentity) -> None:
-        """Clear a request that an upstream has answered whole."""
+        """Clear a request that an upstream has answered completely."""
         with self.lock:
             cleared = self.quarantine.record_answer(request.digest, time.monotonic())
         if cleared:
@@ -154,39 +155,39 @@
             self.note_change(request.digest)
 
     def note_change(self, digest: RequestDigest) -> None:
-        """Tell the others what has changed."""
+        """Count a change and broadcast the changed request."""
         self.change_count += 1
         self.broadcast(digest)
 
     def merge_reports(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
-        """Take in what another process tells, or what this one knew before."""
-        for told in message.suspects[:MAX_REPORTS_PER_MESSAGE]:
-            problem = suspect_report_problem(told)
+        """Merge reports of another process, or those that this one stored earlier."""
+        for report in message.suspects[:MAX_REPORTS_PER_MESSAGE]:
+            problem = suspect_report_problem(report)
             if problem is not None:
                 LOG.warning("Word of a suspect refused.", peer=sender, problem=problem)
                 continue
-            self.merge_report(sender, told)
+            self.merge_report(sender, report)
 
-    def merge_report(self, sender: InstanceId, told: SuspectRequestReport) -> None:
-        """Take in word of one request."""
+    def merge_report(self, sender: InstanceId, report: SuspectRequestReport) -> None:
+        """Merge a report of one request."""
         with self.lock:
-            before = self.quarantine.exit_count(told.digest)
-            if not self.quarantine.merge_report(told, time.monotonic()):
+            before = self.quarantine.exit_count(report.digest)
+            if not self.quarantine.merge_report(report, time.monotonic()):
                 return
             self.change_count += 1
-            ends = self.quarantine.exit_count(told.digest)
-        if ends != before:
+            exits = self.quarantine.exit_count(report.digest)
+        if exits != before:
             LOG.info(
                 "Suspect heard of.",
                 peer=sender,
-                digest=told.digest,
-                upstreams=self.quarantine.exited_upstreams(told.digest),
-                ends=ends,
+                digest=report.digest,
+                upstreams=self.quarantine.exited_upstreams(report.digest),
+                ends=exits,
                 before=before,
             )
 
     def release(self, digest: RequestDigest, by: str) -> bool:
-        """Clear a request on somebody's word; return whether anything was known."""
+        """Clear a request for an operator; return whether anything was known of it."""
         with self.lock:
             released = self.quarantine.record_answer(digest, time.monotonic())
         if released:
@@ -195,12 +196,12 @@
         return released
 
     def listed(self) -> tuple[ListedSuspect, ...]:
-        """List the requests against which something speaks, the worst first."""
+        """Return the suspect requests, the most suspect first."""
         with self.lock:
             return self.quarantine.listed(time.monotonic())
 
     def forget_old(self) -> None:
-        """Forget what is too old to matter, and show how many are held back."""
+        """Forget old suspects, and update the gauge of held requests."""
         with self.lock:
             forgotten = self.quarantine.forget_old(time.monotonic())
             held = len(self.quarantine.held_requests())
@@ -209,16 +210,16 @@
         self.metrics.gauge(HELD, held)
 
     def reports(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
-        """Write what is known of some requests."""
+        """Return a message with the reports of some requests."""
         with self.lock:
             suspects = self.quarantine.reports(digests, time.monotonic())
         return SuspectRequestsTold(suspects)
 
     def all_reports(self) -> SuspectRequestsTold:
-        """Write what is known of all requests."""
+        """Return a message with the reports of all suspect requests."""
         return self.most_suspect_reports(len(self.quarantine.suspects))
 
     def most_suspect_reports(self, count: int) -> SuspectRequestsTold:
-        """Write what is known of the requests against which most speaks."""
+        """Return a message with the reports of the most suspect requests."""
         with self.lock:
             return self.reports(self.quarantine.most_suspect(count))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/ticker.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/ticker.py
@@ -1,4 +1,4 @@
-"""Tell actors that time has passed."""
+"""Send ticks to actors at a fixed interval."""
 
 import threading
 import time
@@ -11,20 +11,20 @@
 LOG = part_logger("ticker")
 
 LATE_SECONDS = 0.25
-"""Lateness of a tick that is logged: a quarter of the shortest silence after which a
-peer counts as lost, so that a process that stood still shows in its log before it, or
-another, acts on what it missed."""
+"""Delay from which a late tick is logged: a quarter of the shortest silence after which
+a peer counts as lost. A process that was paused thus logs that before it, or a peer,
+acts on the missed messages."""
 
 
 class Tick:
-    """Ask an actor to let its decider look at the clock."""
+    """Ask an actor to pass the current time to its state machine."""
 
 
 TICK = Tick()
 
 
 class Ticker:
-    """Own the thread that tells each actor a tick, until stopped."""
+    """Send a tick to each actor at an interval, from a thread of its own."""
 
     def __init__(self, actors: Sequence[ActorRef], tick_seconds: float) -> None:
         self.actors = actors
@@ -33,11 +33,11 @@
         self.thread = threading.Thread(target=self.run, name="ticker", daemon=True)
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the thread."""
         self.thread.start()
 
     def stop(self) -> None:
-        """End ticking and wait until the thread has gone."""
+        """Stop the thread and wait for its end."""
         self.stopped.set()
         self.thread.join()
 
@@ -54,7 +54,7 @@
                 self.tell(actor)
 
     def tell(self, actor: ActorRef) -> None:
-        """Tell one actor, which may just be stopping."""
+        """Send a tick to one actor, which may have stopped."""
         try:
             actor.tell(TICK)
         except ActorDeadError:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/wire.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/wire.py
@@ -1,4 +1,4 @@
-"""List the message types that the daemons exchange through their mailboxes."""
+"""Define the union of the messages that daemons exchange through mailboxes."""
 
 from typing import Union
 
--- a/packages/daemon/src/cowslipshelf_daemon/program.py
+++ b/packages/daemon/src/cowslipshelf_daemon/program.py
@@ -1,4 +1,4 @@
-"""Run `cowslipshelfd`: one role, as the settings say, until asked to end."""
+"""Run `cowslipshelfd`: one role of the settings, until a signal ends it."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 from cowslipshelf_daemon.internal.forced_members import (
     EXIT_BAD_ARGUMENTS,
     force_members,
-    say,
+    print_error,
 )
 from cowslipshelf_daemon.internal.running import run_daemon
 from cowslipshelf_host.settings import load_settings
@@ -42,10 +42,12 @@
 
 
 def main() -> int:
-    """Run the daemon that the command line asks for; return only where it runs none."""
+    """Run what the command line asks for; return only if that is not a daemon."""
     arguments = cappa.parse(Arguments)
     if not arguments.force_members and (arguments.operator or arguments.yes):
-        return say(EXIT_BAD_ARGUMENTS, "--operator and --yes need --force-members.")
+        return print_error(
+            EXIT_BAD_ARGUMENTS, "--operator and --yes need --force-members."
+        )
     match load_settings(arguments.settings):
         case Ok(settings) if arguments.force_members:
             return force_members(settings, arguments.operator, arguments.yes)
