--- a/packages/daemon/src/cowslipshelf_daemon/internal/control_gateway.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/control_state_client.py
@@ -1,4 +1,4 @@
-"""Bring commands to the replicated state and wait for their outcomes."""
+"""Commit commands in the replicated control state and wait for their outcomes."""
 
 import random
 import time
@@ -29,7 +29,7 @@
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 
@@ -37,34 +37,34 @@
 
 STEP = "ask_control_state"
 ELECTIONS_PER_WAIT = 5
-"""Election timeouts that a command waits: a leader is replaced within two or three."""
+"""Election timeouts a command waits; a leader is replaced within two or three."""
 REPLY_MARGIN_SECONDS = 1.0
 RETRY_AFTER_SECONDS = 1.0
 
 
-class CommandAsked(NamedTuple):
-    """Ask for a command to be committed, with the place for its outcome."""
+class CommandRequest(NamedTuple):
+    """Ask for a command to be committed, with a queue for its outcome."""
 
     submit: CommandSubmitted
     reply: "SimpleQueue[ControlOutcome | Refusal]"
 
 
 class GatewayActor(DaemonActor):
-    """Send commands to the leader, whichever replica that is."""
+    """Send commands to the leading replica, and results to the threads that wait."""
 
-    def __init__(self, client: ProposalClient, post: Post) -> None:
+    def __init__(self, client: ProposalClient, messenger: Messenger) -> None:
         super().__init__()
         self.client = client
-        self.post = post
+        self.messenger = messenger
         self.random = random.Random()
         self.replies: dict[str, SimpleQueue[ControlOutcome | Refusal]] = {}
 
     def on_receive(self, message: Any) -> None:
-        """Turn one message into an event for the decider."""
+        """Turn one message into an event for the proposal client."""
         match message:
             case Tick():
                 self.handle(TickElapsed())
-            case CommandAsked(submit=submit, reply=reply):
+            case CommandRequest(submit=submit, reply=reply):
                 self.replies[submit.proposal_id] = reply
                 self.handle(submit)
             case Delivered(sender=sender, message=ProposalResult() as result):
@@ -73,11 +73,11 @@
                 self.handle(message)
 
     def handle(self, event: ProposalClientEvent) -> None:
-        """Give the decider an event and carry out what it says."""
+        """Pass an event to the proposal client and perform the effects."""
         for effect in self.client.handle(event, time.monotonic(), self.random):
             match effect:
                 case SendTo(instance, message):
-                    self.post.send_to_instance(instance, message)
+                    self.messenger.send_to_instance(instance, message)
                 case ProposalAnswered(proposal_id, _, outcome):
                     self.answer(proposal_id, decode_outcome(outcome))
                 case ProposalFailed():
@@ -85,14 +85,14 @@
                     self.answer(effect.proposal_id, refusal_of(effect))
 
     def answer(self, proposal_id: str, outcome: ControlOutcome | Refusal) -> None:
-        """Hand an outcome to whoever waits for it."""
+        """Hand an outcome to the thread that waits for it, if any."""
         reply = self.replies.pop(proposal_id, None)
         if reply is not None:
             reply.put(outcome)
 
 
 def log_failure(failed: ProposalFailed) -> None:
-    """Say how a command was left without an outcome."""
+    """Log why a command has no outcome."""
     LOG.warning(
         "Command not answered.",
         proposal=failed.proposal_id,
@@ -105,7 +105,7 @@
 
 
 def refusal_of(failed: ProposalFailed) -> Refusal:
-    """Describe a command that got no outcome in time."""
+    """Return the refusal of a command that got no outcome in time."""
     code = (
         RefusalCode.OUTCOME_UNKNOWN if failed.may_take_effect else RefusalCode.NOT_RUN
     )
@@ -120,32 +120,36 @@
     )
 
 
-class ControlGateway:
-    """Offer the replicated state to any thread."""
+class ControlStateClient:
+    """Commit commands in the replicated control state, from any thread."""
 
     def __init__(self, actor: ActorRef, election_seconds: float) -> None:
         self.actor = actor
-        self.longest_wait_seconds = ELECTIONS_PER_WAIT * election_seconds
+        self.max_wait_seconds = ELECTIONS_PER_WAIT * election_seconds
 
-    def ask(self, command: ControlCommand, seconds: float) -> ControlOutcome | Refusal:
+    def commit(
+        self, command: ControlCommand, seconds: float
+    ) -> ControlOutcome | Refusal:
         """Commit a command for a caller and wait for its outcome.
 
-        The wait is long enough for a lost leader to be replaced, and no longer: where
-        a quorum is lost, the refusal must not come as late as the caller's deadline.
+        The wait is long enough for a lost leader to be replaced, but not longer: if
+        the quorum is lost, the refusal must come before the caller's deadline.
         """
-        return self.ask_within(command, min(seconds, self.longest_wait_seconds))
+        return self.commit_within(command, min(seconds, self.max_wait_seconds))
 
-    def ask_within(
-        self, command: ControlCommand, patience: float
+    def commit_within(
+        self, command: ControlCommand, timeout_seconds: float
     ) -> ControlOutcome | Refusal:
-        """Commit a command and wait for its outcome, for `patience` seconds."""
+        """Commit a command and wait up to `timeout_seconds` for its outcome."""
         reply: SimpleQueue[ControlOutcome | Refusal] = SimpleQueue()
         submit = CommandSubmitted(
-            uuid.uuid4().hex, encode_command(command), time.monotonic() + patience
+            uuid.uuid4().hex,
+            encode_command(command),
+            time.monotonic() + timeout_seconds,
         )
         try:
-            self.actor.tell(CommandAsked(submit, reply))
-            return reply.get(timeout=max(0.0, patience) + REPLY_MARGIN_SECONDS)
+            self.actor.tell(CommandRequest(submit, reply))
+            return reply.get(timeout=max(0.0, timeout_seconds) + REPLY_MARGIN_SECONDS)
         except (ActorDeadError, Empty):
             return Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/message_dispatcher.py
@@ -18,7 +18,7 @@
 from cowslipshelf_daemon.internal.entry.configuration_in_force import (
     ConfigurationInForce,
 )
-from cowslipshelf_daemon.internal.post import Delivered
+from cowslipshelf_daemon.internal.messenger import Delivered
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_fleet.mailboxes import Received
 
@@ -28,7 +28,7 @@
 
     routing: ActorRef
     configuration: ActorRef
-    gateway: ActorRef
+    proposal_client: ActorRef
     replica: ActorRef | None
     in_force: ConfigurationInForce
     suspects: SuspectRequests
@@ -43,7 +43,7 @@
             case Announce() | Withdraw() | Suspect() | EntryAlive():
                 self.routing.tell(received)
             case SuspectRequestsTold() as told:
-                self.suspects.take(received.sender, told)
+                self.suspects.merge_reports(received.sender, told)
             case message:
                 delivered = Delivered(received.sender, received.sender_address, message)
                 self.deliver(delivered)
@@ -54,7 +54,7 @@
             case ConfigurationSnapshot():
                 self.configuration.tell(delivered)
             case ProposalResult():
-                self.gateway.tell(delivered)
+                self.proposal_client.tell(delivered)
             case FetchConfiguration() if self.replica is None:
                 self.configuration.tell(delivered)
             case _ if self.replica is not None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/replica_actor.py
@@ -59,7 +59,7 @@
     RoutesSnapshot,
 )
 from cowslipshelf_daemon.internal.actor import DaemonActor
-from cowslipshelf_daemon.internal.post import Delivered, Post
+from cowslipshelf_daemon.internal.messenger import Delivered, Messenger
 from cowslipshelf_daemon.internal.ticker import Tick
 from cowslipshelf_host.logs import part_logger
 from cowslipshelf_host.storage import ReplicaStorage, StorageError, VolatileStorage
@@ -86,9 +86,9 @@
     replica: Replica
     storage: ReplicaStorage | VolatileStorage
     state: ControlState
-    post: Post
+    messenger: Messenger
     configuration: ActorRef
-    gateway: ActorRef
+    proposal_client: ActorRef
 
 
 class ReplicaActor(DaemonActor):
@@ -104,9 +104,9 @@
         self.replica = parts.replica
         self.storage = parts.storage
         self.state = parts.state
-        self.post = parts.post
+        self.messenger = parts.messenger
         self.configuration = parts.configuration
-        self.gateway = parts.gateway
+        self.proposal_client = parts.proposal_client
         self.random = random.Random()
         self.events: list[Event] = []
         self.proposers: dict[str, str] = {}
@@ -261,7 +261,7 @@
         """Perform one effect, after the sync of its batch."""
         match effect:
             case SendTo(instance, message):
-                self.post.send_to_instance(instance, message)
+                self.messenger.send_to_instance(instance, message)
             case Committed(index, entry):
                 self.apply(index, entry)
             case InstallState(state, index):
@@ -286,7 +286,7 @@
                     leader=leader,
                     sync_seconds=round(self.replica.status().sync_seconds, 3),
                 )
-                self.gateway.tell(LeaderSeen(leader))
+                self.proposal_client.tell(LeaderSeen(leader))
 
     def apply(self, index: int, entry: Entry) -> None:
         """Apply a committed command and answer its proposer if it was proposed here."""
@@ -322,55 +322,55 @@
     def answer_proposer(self, result: ProposalResult) -> None:
         """Send a result to its proposer if it was proposed through this replica.
 
-        It goes to the address that the proposal came from, since the post knows the
-        addresses of entries but not of sidecars, which propose for load grants.
+        It goes to the address that the proposal came from, since the messenger knows
+        the addresses of entries but not of sidecars, which propose for load grants.
         """
         address = self.proposers.pop(result.proposal_id, None)
         if address is not None:
-            self.post.send(address, result)
+            self.messenger.send(address, result)
 
     def answer_read(self, read_id: str, confirmed: bool) -> None:
         """Answer a query once its quorum read has succeeded or failed."""
-        asked = self.pending_reads.pop(read_id, None)
-        match asked:
+        delivered = self.pending_reads.pop(read_id, None)
+        match delivered:
             case Delivered(message=FetchConfiguration()):
-                self.answer_configuration(asked, confirmed)
+                self.answer_configuration(delivered, confirmed)
             case Delivered(message=FetchRoutes()) if confirmed:
-                self.answer_routes(asked, confirmed)
-            case Delivered(message=FencingAsked() as question) if confirmed:
-                self.answer_fencing(asked, question)
+                self.answer_routes(delivered, confirmed)
+            case Delivered(message=FencingAsked() as query) if confirmed:
+                self.answer_fencing(delivered, query)
 
-    def answer_fencing(self, asked: Delivered, question: FencingAsked) -> None:
+    def answer_fencing(self, delivered: Delivered, query: FencingAsked) -> None:
         """Send an upstream's newest fencing number, confirmed by a quorum."""
-        fencing = self.state.current_fencing(question.upstream_id)
-        answer = FencingAnswered(question.upstream_id, question.query_id, fencing)
-        self.post.send(asked.sender_address, answer)
+        fencing = self.state.current_fencing(query.upstream_id)
+        answer = FencingAnswered(query.upstream_id, query.query_id, fencing)
+        self.messenger.send(delivered.sender_address, answer)
 
-    def answer_configuration(self, asked: Delivered, confirmed: bool) -> None:
+    def answer_configuration(self, delivered: Delivered, confirmed: bool) -> None:
         """Send the configuration that is applied here."""
         snapshot = ConfigurationSnapshot(
-            self.state.configuration, confirmed, asked.message.query_id
+            self.state.configuration, confirmed, delivered.message.query_id
         )
-        self.post.send(asked.sender_address, snapshot)
+        self.messenger.send(delivered.sender_address, snapshot)
 
-    def answer_routes(self, asked: Delivered, confirmed: bool) -> None:
+    def answer_routes(self, delivered: Delivered, confirmed: bool) -> None:
         """Send the gateways' configuration that is applied here.
 
-        An asker that has this version gets its version and digest alone. On a slow link
+        A sender that has this version gets its version and digest alone. On a slow link
         the whole document takes longer than a read may take, so that no read of it
         would ever succeed.
         """
         document = self.state.routes.document
-        if confirmed and asked.message.have_version == document.version:
+        if confirmed and delivered.message.have_version == document.version:
             document = RoutesDocument(document.version, document.digest, b"")
-        snapshot = RoutesSnapshot(document, confirmed, asked.message.query_id)
-        self.post.send(asked.sender_address, snapshot)
+        snapshot = RoutesSnapshot(document, confirmed, delivered.message.query_id)
+        self.messenger.send(delivered.sender_address, snapshot)
 
     def publish_routes(self) -> None:
         """Send the applied gateways' configuration to this process's view."""
         snapshot = RoutesSnapshot(self.state.routes.document, confirmed_by_quorum=False)
         self.configuration.tell(
-            Delivered(self.post.instance, self.post.address, snapshot)
+            Delivered(self.messenger.instance, self.messenger.address, snapshot)
         )
 
     def publish_configuration(self) -> None:
@@ -379,7 +379,7 @@
             self.state.configuration, confirmed_by_quorum=False
         )
         self.configuration.tell(
-            Delivered(self.post.instance, self.post.address, snapshot)
+            Delivered(self.messenger.instance, self.messenger.address, snapshot)
         )
 
     def on_stop(self) -> None:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -63,7 +63,7 @@
     WaitElapsed,
 )
 from cowslipshelf_core.upstream import HandOver
-from cowslipshelf_daemon.internal.control_gateway import ControlGateway
+from cowslipshelf_daemon.internal.control_state_client import ControlStateClient
 from cowslipshelf_daemon.internal.entry.attempt_sender import AttemptSender
 from cowslipshelf_daemon.internal.entry.cancel_sender import CancelSender
 from cowslipshelf_daemon.internal.entry.entry_metrics import EntryMetrics
@@ -75,7 +75,7 @@
     SpreadServices,
 )
 from cowslipshelf_daemon.internal.suspect_requests import (
-    JudgedRequest,
+    RequestIdentity,
     SuspectRequests,
 )
 from cowslipshelf_fleet.attempts import (
@@ -111,7 +111,7 @@
 
     instance: InstanceId
     routing: RoutingClient
-    control: ControlGateway
+    control: ControlStateClient
     attempts: AttemptsClient
     cancels: CancelSender
     retry_budget: SharedRetryBudget
@@ -144,7 +144,7 @@
         self.chosen: ChosenUpstream | None = None
         self.reading_upstream: UpstreamId | None = None
         """The upstream whose answer is being read."""
-        self.judged = judged_request(request)
+        self.identity = request_identity(request)
         self.on_trial = False
         self.sender = AttemptSender(
             SpreadServices(
@@ -193,7 +193,7 @@
             case AskClaim(claim) | MoveClaim(claim) | LookUpClaim(claim):
                 self.ask_claim(claim)
             case FinishClaim(claim, wait_seconds):
-                self.services.control.ask(claim, wait_seconds)
+                self.services.control.commit(claim, wait_seconds)
             case SendHandOver(hand_over=hand_over):
                 self.send_hand_over(hand_over)
             case Resume():
@@ -218,7 +218,7 @@
         """Ask the router for a placement and wait for its answer."""
         self.sender.cancel_helpers()
         self.end_trial()
-        verdict = self.services.suspects.claim(self.judged)
+        verdict = self.services.suspects.claim(self.identity)
         if isinstance(verdict, HeldBack):
             self.handle(PlacementRefused(refusal_of(verdict)))
             return
@@ -242,18 +242,18 @@
         """End the trial of a suspect request, so that it may be tried elsewhere."""
         if self.on_trial:
             self.on_trial = False
-            self.services.suspects.end_trial(self.judged)
+            self.services.suspects.end_trial(self.identity)
 
     def report_stream_end(self, end: StreamEnd) -> None:
         """Record whether the upstream exited under the request or answered it."""
         if end.upstream_ended and self.reading_upstream is not None:
-            self.services.suspects.upstream_ended(self.judged, self.reading_upstream)
+            self.services.suspects.record_exit(self.identity, self.reading_upstream)
         elif end.refusal is None:
-            self.services.suspects.answered(self.judged)
+            self.services.suspects.record_answer(self.identity)
 
     def ask_claim(self, claim: Message) -> None:
         """Submit a claim command to the replicated state."""
-        match self.services.control.ask(claim, self.seconds_left()):
+        match self.services.control.commit(claim, self.seconds_left()):
             case ClaimHeld(owner=owner) as held:
                 owner_gone = not self.services.routing.entry_is_alive(owner)
                 self.handle(ClaimAnswered(held, owner_gone))
@@ -301,34 +301,34 @@
             return ""
         return self.sender.lost_part()
 
-    def resume(self, asked: Resume) -> None:
+    def resume(self, effect: Resume) -> None:
         """Resume an attempt's stream after the last frame that was received."""
         self.close_stream()
-        self.reading_upstream = asked.upstream_id
-        address = self.address_of(asked)
+        self.reading_upstream = effect.upstream_id
+        address = self.address_of(effect)
         stream = None
         if address:
             stream = self.services.attempts.resume(
-                address, asked.attempt_id, asked.after_sequence
+                address, effect.attempt_id, effect.after_sequence
             )
         if stream is not None:
-            self.open_stream(stream, asked.attempt_id)
-        self.handle(ResumeAnswered(stream is not None, asked.attempt_id))
+            self.open_stream(stream, effect.attempt_id)
+        self.handle(ResumeAnswered(stream is not None, effect.attempt_id))
 
-    def address_of(self, asked: Resume | Revoke) -> str | None:
+    def address_of(self, effect: Resume | Revoke) -> str | None:
         """Return the sidecar's address, also for attempts placed by other entries."""
         routing = self.services.routing
-        return asked.address or routing.attempts_address(asked.upstream_id)
+        return effect.address or routing.attempts_address(effect.upstream_id)
 
-    def revoke(self, asked: Revoke) -> None:
+    def revoke(self, effect: Revoke) -> None:
         """Ask a sidecar to promise that an attempt never runs."""
-        address = self.address_of(asked)
+        address = self.address_of(effect)
         answer = None
         if address:
             answer = self.services.attempts.revoke(
-                address, asked.attempt_id, asked.epoch, asked.load_sequence
+                address, effect.attempt_id, effect.epoch, effect.load_sequence
             )
-        self.handle(RevokeAnswered(answer, asked.attempt_id))
+        self.handle(RevokeAnswered(answer, effect.attempt_id))
 
     def ask_retry_budget(self) -> None:
         """Ask the retry budget of this process for a retry."""
@@ -414,7 +414,7 @@
                 self.writer.refusal(refusal, head_sent)
 
 
-def judged_request(request: CallerRequest) -> JudgedRequest:
+def request_identity(request: CallerRequest) -> RequestIdentity:
     """Return the identity under which exits of upstreams are recorded.
 
     The request's `body_digest` covers method, service, path and body.
@@ -426,7 +426,7 @@
         request.path,
         request.body_digest.encode(),
     )
-    return JudgedRequest(request.request_id, digest, request.customer)
+    return RequestIdentity(request.request_id, digest, request.customer)
 
 
 def refusal_of(verdict: HeldBack) -> Refusal:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/suspect_broadcaster.py
@@ -4,8 +4,8 @@
 
 from cowslipshelf_core.gateway import RequestDigest
 from cowslipshelf_core.identifiers import InstanceId
-from cowslipshelf_daemon.internal.post import Post
-from cowslipshelf_daemon.internal.repeated_news import RepeatedNews
+from cowslipshelf_daemon.internal.messenger import Messenger
+from cowslipshelf_daemon.internal.retransmit_queue import RetransmitQueue
 from cowslipshelf_daemon.internal.suspect_requests import SuspectRequests
 from cowslipshelf_host.metrics import Metrics
 
@@ -18,18 +18,22 @@
 class SuspectBroadcaster:
     """Send reports of suspect requests, and repeat them; thread-safe."""
 
-    def __init__(self, instance: InstanceId, post: Post, metrics: Metrics) -> None:
-        self.post = post
+    def __init__(
+        self, instance: InstanceId, messenger: Messenger, metrics: Metrics
+    ) -> None:
+        self.messenger = messenger
         self.suspects = SuspectRequests(instance, metrics, self.broadcast)
         self.lock = Lock()
-        self.repeats: RepeatedNews[RequestDigest] = RepeatedNews()
+        self.repeats: RetransmitQueue[RequestDigest] = RetransmitQueue()
         self.rounds = 0
 
     def broadcast(self, digest: RequestDigest) -> None:
         """Send the report of a request to all other entries, and queue its resends."""
         with self.lock:
             self.repeats.add((digest,), RESENDS)
-        self.post.tell_other_entries(self.suspects.told(frozenset((digest,))))
+        self.messenger.send_to_other_entries(
+            self.suspects.reports(frozenset((digest,)))
+        )
 
     def rebroadcast(self) -> None:
         """Resend queued reports; called with each heartbeat to the other entries."""
@@ -39,10 +43,10 @@
         with self.lock:
             digests = self.repeats.take()
         if digests:
-            self.post.tell_other_entries(self.suspects.told(digests))
+            self.messenger.send_to_other_entries(self.suspects.reports(digests))
 
     def send_all_to(self, address: str) -> None:
         """Send all reports to one entry, which may have none of them."""
-        message = self.suspects.told_all()
+        message = self.suspects.all_reports()
         if message.suspects:
-            self.post.send(address, message)
+            self.messenger.send(address, message)
--- a/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/process_parts.py
@@ -1,4 +1,4 @@
-"""Make the parts that daemons of both roles have."""
+"""Make the parts that entries and sidecars have in common."""
 
 from collections.abc import Callable
 
@@ -8,32 +8,32 @@
     ConfigurationViewConfig,
 )
 from cowslipshelf_core.identifiers import ConfigurationVersion, Epoch, InstanceId
-from cowslipshelf_daemon.internal.post import Post
+from cowslipshelf_daemon.internal.messenger import Messenger
 from cowslipshelf_daemon.internal.wire import MailboxMessage
 from cowslipshelf_fleet.mailboxes import Mailbox, MailboxConfig, Received
 from cowslipshelf_host.settings import DaemonSettings
 
 
-def make_post(settings: DaemonSettings) -> Post:
-    """Make the post, which begins with the entries of the settings."""
-    post = Post(settings.instance, settings.mailbox_address)
+def make_messenger(settings: DaemonSettings) -> Messenger:
+    """Make the messenger, which knows the entries of the settings at first."""
+    messenger = Messenger(settings.instance, settings.mailbox_address)
     for entry in settings.entries:
-        post.learn(entry.instance, entry.mailbox_address)
-    return post
+        messenger.add_entry(entry.instance, entry.mailbox_address)
+    return messenger
 
 
 def replica_instances(settings: DaemonSettings) -> tuple[InstanceId, ...]:
-    """Return the instances that hold replicas, as the settings list them."""
+    """Return the instances that hold replicas, in the order of the settings."""
     return tuple(entry.instance for entry in settings.entries if entry.replica)
 
 
 def make_proposal_client(settings: DaemonSettings) -> ProposalClient:
-    """Make the client that brings commands to the replicas."""
+    """Make the client that proposes commands to the replicas."""
     return ProposalClient.from_config(ProposalClientConfig(replica_instances(settings)))
 
 
 def make_view(settings: DaemonSettings, epoch: Epoch) -> ConfigurationView:
-    """Make the view of the configuration, which asks the replicas."""
+    """Make the view of the configuration, which the replicas confirm."""
     addresses = tuple(
         entry.mailbox_address for entry in settings.entries if entry.replica
     )
@@ -46,7 +46,7 @@
     receive: Callable[[Received], None],
     version: Callable[[], ConfigurationVersion],
 ) -> Mailbox:
-    """Make the mailbox; `receive` and `version` run on its threads."""
+    """Make the mailbox, which calls `receive` and `version` on its own threads."""
     config = MailboxConfig(
         instance=settings.instance,
         epoch=epoch,
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -1,4 +1,4 @@
-"""Decide by the ends of upstreams which requests may run, and tell others of them."""
+"""Hold back requests that make upstreams exit, and tell other processes of them."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -25,180 +25,183 @@
 LOG = part_logger("suspect_requests")
 
 HELD = "cowslipshelf_requests_held"
-HELD_BACK = "cowslipshelf_requests_held_back_total"
-UPSTREAM_ENDS = "cowslipshelf_upstream_ends_total"
+REFUSALS = "cowslipshelf_requests_held_back_total"
+UPSTREAM_EXITS = "cowslipshelf_upstream_ends_total"
 HELPS = {
     HELD: "Requests that are held back since upstreams ended under them.",
-    HELD_BACK: "Times that such a request was refused.",
-    UPSTREAM_ENDS: "Upstreams that ended under a request, as seen here.",
+    REFUSALS: "Times that such a request was refused.",
+    UPSTREAM_EXITS: "Upstreams that ended under a request, as seen here.",
 }
-MOST_TAKEN = 4_000
-"""Requests that one message may tell of; a process remembers fewer."""
+MAX_REPORTS_PER_MESSAGE = 4_000
+"""Reports that are read of one message; a process keeps fewer."""
 
 
-class JudgedRequest(NamedTuple):
-    """Be what tells whether a request may run, and whose it is."""
+class RequestIdentity(NamedTuple):
+    """Hold what identifies a request to the quarantine and in the log."""
 
-    request: str
-    """The caller's id of it, for the log."""
+    request_id: str
+    """Id that the caller gave the request, for the log."""
     digest: RequestDigest
     customer: CustomerName | None
 
 
 class SuspectRequests:
-    """Keep what one process knows of requests that end upstreams; any thread may ask.
+    """Track the requests under which upstreams exited, as one process knows them.
 
-    What it learns it tells by `tell`, which is given the digest of what has changed.
+    Any thread may call the methods. After each change, `broadcast` is called with the
+    digest of the changed request, to send it to other processes.
     """
 
     def __init__(
         self,
         instance: InstanceId,
         metrics: Metrics,
-        tell: Callable[[RequestDigest], None],
+        broadcast: Callable[[RequestDigest], None],
     ) -> None:
         self.quarantine = RequestQuarantine.from_config(QuarantineConfig(instance))
         self.metrics = metrics
-        self.tell_others = tell
+        self.broadcast = broadcast
         self.lock = RLock()
-        self.changes = 0
-        """Counts what was learned."""
+        self.change_count = 0
+        """Number of changes; tells whether the stored copy is out of date."""
         for name, text in HELPS.items():
             metrics.describe(name, text)
 
-    def verdict(self, asked: JudgedRequest) -> Verdict:
+    def verdict(self, request: RequestIdentity) -> Verdict:
         """Decide whether a request may run now."""
         with self.lock:
-            verdict = self.quarantine.verdict(asked.digest, time.monotonic())
+            verdict = self.quarantine.verdict(request.digest, time.monotonic())
         if isinstance(verdict, HeldBack):
-            self.metrics.count(HELD_BACK)
+            self.metrics.count(REFUSALS)
             LOG.info(
                 "Request held back.",
-                request=asked.request,
-                digest=asked.digest,
-                customer=asked.customer,
+                request=request.request_id,
+                digest=request.digest,
+                customer=request.customer,
                 upstreams=verdict.upstreams,
                 left_seconds=round(verdict.left_seconds, 3),
                 retry_after=verdict.retry_after_seconds,
             )
         return verdict
 
-    def claim(self, asked: JudgedRequest) -> Verdict:
-        """Decide whether a request may run now, and begin its trial if it needs one.
+    def claim(self, request: RequestIdentity) -> Verdict:
+        """Decide whether a request may run now, and start its trial if it needs one.
 
-        Of two threads that ask for one suspect, one may try it.
+        If two threads ask for the same suspect, only one of them may try it.
         """
         with self.lock:
-            verdict = self.verdict(asked)
+            verdict = self.verdict(request)
             if isinstance(verdict, AllowedAlone):
-                self.begin_trial(asked, verdict)
+                self.begin_trial(request, verdict)
         return verdict
 
     @contextmanager
-    def trial(self, asked: JudgedRequest, verdict: Verdict) -> Iterator[None]:
-        """Keep a suspect from running elsewhere meanwhile."""
+    def trial(self, request: RequestIdentity, verdict: Verdict) -> Iterator[None]:
+        """Keep a suspect from running elsewhere during its trial."""
         if not isinstance(verdict, AllowedAlone):
             yield
             return
-        self.begin_trial(asked, verdict)
+        self.begin_trial(request, verdict)
         try:
             yield
         finally:
-            self.end_trial(asked)
+            self.end_trial(request)
 
-    def begin_trial(self, asked: JudgedRequest, verdict: AllowedAlone) -> None:
-        """Note that a suspect is tried here."""
+    def begin_trial(self, request: RequestIdentity, verdict: AllowedAlone) -> None:
+        """Record that the trial of a suspect starts here."""
         LOG.info(
             "Suspect tried.",
-            request=asked.request,
-            digest=asked.digest,
-            customer=asked.customer,
-            upstreams=self.quarantine.exited_upstreams(asked.digest),
+            request=request.request_id,
+            digest=request.digest,
+            customer=request.customer,
+            upstreams=self.quarantine.exited_upstreams(request.digest),
             probe=verdict.probe,
         )
         with self.lock:
-            self.quarantine.begin_trial(asked.digest, verdict, time.monotonic())
-        self.tell(asked.digest)
+            self.quarantine.begin_trial(request.digest, verdict, time.monotonic())
+        self.note_change(request.digest)
 
-    def end_trial(self, asked: JudgedRequest) -> None:
-        """Note that a trial is over, whatever came of it."""
+    def end_trial(self, request: RequestIdentity) -> None:
+        """Record that a trial is over, whatever its result."""
         with self.lock:
-            self.quarantine.end_trial(asked.digest)
-        self.tell(asked.digest)
+            self.quarantine.end_trial(request.digest)
+        self.note_change(request.digest)
 
-    def upstream_ended(self, asked: JudgedRequest, upstream_id: UpstreamId) -> None:
-        """Note that an upstream ended under a request."""
+    def record_exit(self, request: RequestIdentity, upstream_id: UpstreamId) -> None:
+        """Record that an upstream exited while it ran a request."""
         now = time.monotonic()
         with self.lock:
-            if not self.quarantine.record_exit(asked.digest, upstream_id, now):
+            if not self.quarantine.record_exit(request.digest, upstream_id, now):
                 return
-        self.metrics.count(UPSTREAM_ENDS)
+        self.metrics.count(UPSTREAM_EXITS)
         LOG.info(
             "Upstream ended.",
-            request=asked.request,
-            digest=asked.digest,
-            customer=asked.customer,
+            request=request.request_id,
+            digest=request.digest,
+            customer=request.customer,
             upstream=upstream_id,
-            ends=self.quarantine.exit_count(asked.digest),
+            ends=self.quarantine.exit_count(request.digest),
         )
-        self.tell(asked.digest)
+        self.note_change(request.digest)
 
-    def answered(self, asked: JudgedRequest) -> None:
-        """Clear a request that an upstream has answered whole."""
+    def record_answer(self, request: RequestIdentity) -> None:
+        """Clear a request that an upstream has answered completely."""
         with self.lock:
-            cleared = self.quarantine.record_answer(asked.digest, time.monotonic())
+            cleared = self.quarantine.record_answer(request.digest, time.monotonic())
         if cleared:
-            LOG.info("Suspect cleared.", request=asked.request, digest=asked.digest)
-            self.tell(asked.digest)
-
-    def tell(self, digest: RequestDigest) -> None:
-        """Tell the others what has changed."""
-        self.changes += 1
-        self.tell_others(digest)
-
-    def take(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
-        """Take in what another process tells, or what this one knew before."""
-        for told in message.suspects[:MOST_TAKEN]:
-            problem = suspect_report_problem(told)
+            LOG.info(
+                "Suspect cleared.", request=request.request_id, digest=request.digest
+            )
+            self.note_change(request.digest)
+
+    def note_change(self, digest: RequestDigest) -> None:
+        """Count a change and broadcast the changed request."""
+        self.change_count += 1
+        self.broadcast(digest)
+
+    def merge_reports(self, sender: InstanceId, message: SuspectRequestsTold) -> None:
+        """Merge reports of another process, or those that this one stored earlier."""
+        for report in message.suspects[:MAX_REPORTS_PER_MESSAGE]:
+            problem = suspect_report_problem(report)
             if problem is not None:
                 LOG.warning("Word of a suspect refused.", peer=sender, problem=problem)
                 continue
-            self.take_one(sender, told)
+            self.merge_report(sender, report)
 
-    def take_one(self, sender: InstanceId, told: SuspectRequestReport) -> None:
-        """Take in word of one request."""
+    def merge_report(self, sender: InstanceId, report: SuspectRequestReport) -> None:
+        """Merge a report of one request."""
         with self.lock:
-            before = self.quarantine.exit_count(told.digest)
-            if not self.quarantine.merge_report(told, time.monotonic()):
+            before = self.quarantine.exit_count(report.digest)
+            if not self.quarantine.merge_report(report, time.monotonic()):
                 return
-            self.changes += 1
-            ends = self.quarantine.exit_count(told.digest)
-        if ends != before:
+            self.change_count += 1
+            exits = self.quarantine.exit_count(report.digest)
+        if exits != before:
             LOG.info(
                 "Suspect heard of.",
                 peer=sender,
-                digest=told.digest,
-                upstreams=self.quarantine.exited_upstreams(told.digest),
-                ends=ends,
+                digest=report.digest,
+                upstreams=self.quarantine.exited_upstreams(report.digest),
+                ends=exits,
                 before=before,
             )
 
     def release(self, digest: RequestDigest, by: str) -> bool:
-        """Clear a request on somebody's word; return whether anything was known."""
+        """Clear a request for an operator; return whether anything was known of it."""
         with self.lock:
             released = self.quarantine.record_answer(digest, time.monotonic())
         if released:
             LOG.info("Suspect released.", digest=digest, by=by)
-            self.tell(digest)
+            self.note_change(digest)
         return released
 
     def listed(self) -> tuple[ListedSuspect, ...]:
-        """List the requests against which something speaks, the worst first."""
+        """Return the suspect requests, the most suspect first."""
         with self.lock:
             return self.quarantine.listed(time.monotonic())
 
     def forget_old(self) -> None:
-        """Forget what is too old to matter, and show how many are held back."""
+        """Forget old suspects, and update the gauge of held requests."""
         with self.lock:
             forgotten = self.quarantine.forget_old(time.monotonic())
             held = len(self.quarantine.held_requests())
@@ -206,17 +209,17 @@
             LOG.info("Request let go.", digest=digest)
         self.metrics.gauge(HELD, held)
 
-    def told(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
-        """Write what is known of some requests."""
+    def reports(self, digests: frozenset[RequestDigest]) -> SuspectRequestsTold:
+        """Return a message with the reports of some requests."""
         with self.lock:
             suspects = self.quarantine.reports(digests, time.monotonic())
         return SuspectRequestsTold(suspects)
 
-    def told_all(self) -> SuspectRequestsTold:
-        """Write what is known of all requests."""
-        return self.told_worst(len(self.quarantine.suspects))
+    def all_reports(self) -> SuspectRequestsTold:
+        """Return a message with the reports of all suspect requests."""
+        return self.most_suspect_reports(len(self.quarantine.suspects))
 
-    def told_worst(self, most: int) -> SuspectRequestsTold:
-        """Write what is known of the requests against which most speaks."""
+    def most_suspect_reports(self, count: int) -> SuspectRequestsTold:
+        """Return a message with the reports of the most suspect requests."""
         with self.lock:
-            return self.told(self.quarantine.most_suspect(most))
+            return self.reports(self.quarantine.most_suspect(count))
