--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/hint_file.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/hint_file.py
@@ -10,7 +10,11 @@
 import msgspec
 
 from cowslipshelf_host.logs import part_logger
-from cowslipshelf_host.storage import StorageError, read_file, replace_file
+from cowslipshelf_host.storage import (
+    StorageError,
+    read_record_file,
+    replace_record_file,
+)
 
 LOG = part_logger("hint_file")
 
@@ -31,7 +35,9 @@
     def read_document(self) -> Document | None:
         """Return the document that was written last, or None."""
         try:
-            return msgspec.msgpack.decode(read_file(self.path), type=self.document_type)
+            return msgspec.msgpack.decode(
+                read_record_file(self.path), type=self.document_type
+            )
         except FileNotFoundError:
             return None
         except (OSError, StorageError, msgspec.MsgspecError) as error:
@@ -52,7 +58,7 @@
     def write(self, data: bytes, key: Hashable) -> None:
         """Replace the file, and record the key of its content."""
         try:
-            replace_file(self.path, data)
+            replace_record_file(self.path, data)
         except OSError as error:
             LOG.warning("Hints not written.", path=str(self.path), error=str(error))
             return
--- a/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
@@ -16,7 +16,7 @@
 
 METRIC_NAME = re.compile(r"[a-z][a-z0-9_]*\Z")
 RESERVED_LABELS = frozenset({"quantile", "le"})
-MOST_LABEL_SETS = 200
+MAX_LABEL_SETS = 200
 OVERFLOW_METRIC = "cowslipshelf_metrics_overflow_total"
 OVERFLOW_HELP = "Values whose label set was beyond the bound, by metric."
 
@@ -40,8 +40,8 @@
 class Metrics:
     """Count, hold and time by name and labels, from any thread."""
 
-    def __init__(self, most_label_sets: int = MOST_LABEL_SETS) -> None:
-        self.most_label_sets = most_label_sets
+    def __init__(self, max_label_sets: int = MAX_LABEL_SETS) -> None:
+        self.max_label_sets = max_label_sets
         self.lock = Lock()
         self.metrics: dict[str, Metric] = {}
         self.helps: dict[str, str] = {OVERFLOW_METRIC: OVERFLOW_HELP}
@@ -83,7 +83,7 @@
                 self.metrics[name] = metric
             if metric.make_series is not kind:
                 raise MetricError(f"{name} is of two kinds")
-            if key not in metric.series and len(metric.series) >= self.most_label_sets:
+            if key not in metric.series and len(metric.series) >= self.max_label_sets:
                 self.note_overflow(name)
                 key = OVERFLOW_LABELS
             if key not in metric.series:
--- a/packages/host/src/cowslipshelf_host/internal/storage/files.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/files.py
@@ -27,7 +27,7 @@
         view = view[os.write(descriptor, view) :]
 
 
-def replace_file(path: Path, payload: bytes) -> None:
+def replace_record_file(path: Path, payload: bytes) -> None:
     """Put a file of one record in place, durably, old or new but never mixed."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
@@ -40,7 +40,7 @@
     sync_folder(path.parent)
 
 
-def read_file(path: Path) -> bytes:
+def read_record_file(path: Path) -> bytes:
     """Read a file of one record, or raise `StorageError` for damage."""
     data = path.read_bytes()
     found = scan(data)
--- a/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
@@ -13,7 +13,7 @@
 )
 
 
-class ForcedFolder(NamedTuple):
+class ForcedMembership(NamedTuple):
     """Say what was done to a data folder, for the operator."""
 
     replica_id: ReplicaId
@@ -25,7 +25,7 @@
 
 def force_members_in_folder(
     config: ReplicaStorageConfig, operator: str, at: float
-) -> Result[ForcedFolder, StorageError]:
+) -> Result[ForcedMembership, StorageError]:
     """Make the replica of a folder the only member of a new cluster, durably.
 
     The folder's lock proves that its process has stopped. `at` is in seconds
@@ -38,7 +38,7 @@
 
 def force_in(
     storage: ReplicaStorage, operator: str, at: float
-) -> Result[ForcedFolder, StorageError]:
+) -> Result[ForcedMembership, StorageError]:
     """Write the forced membership through a storage, then close it."""
     try:
         stored = storage.load()
@@ -57,4 +57,4 @@
     finally:
         storage.close()
     entry = forced.persist.entries[-1]
-    return Ok(ForcedFolder(replica_id, entry.term, entry.index, forced.warning))
+    return Ok(ForcedMembership(replica_id, entry.term, entry.index, forced.warning))
--- a/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
@@ -23,8 +23,8 @@
 from cowslipshelf_host.internal.storage.files import (
     TEMPORARY_SUFFIX,
     lock_folder,
-    read_file,
-    replace_file,
+    read_record_file,
+    replace_record_file,
     sync_folder,
 )
 from cowslipshelf_host.internal.storage.segments import (
@@ -227,7 +227,7 @@
 
 def write_document(path: Path, document: object) -> None:
     """Replace a file of one record, durably."""
-    replace_file(path, msgspec.msgpack.encode(document))
+    replace_record_file(path, msgspec.msgpack.encode(document))
 
 
 def read_document(path: Path, kind: type):
@@ -235,6 +235,6 @@
     if not path.exists():
         raise StorageError.corrupt(path, "the file is missing")
     try:
-        return msgspec.msgpack.decode(read_file(path), type=kind)
+        return msgspec.msgpack.decode(read_record_file(path), type=kind)
     except msgspec.DecodeError as error:
         raise StorageError.corrupt(path, f"wrong content: {error}") from error
--- a/packages/host/src/cowslipshelf_host/storage.py
+++ b/packages/host/src/cowslipshelf_host/storage.py
@@ -1,9 +1,12 @@
 """Store a replica's log, hard state and snapshots durably."""
 
 from cowslipshelf_host.internal.storage.errors import StorageError
-from cowslipshelf_host.internal.storage.files import read_file, replace_file
+from cowslipshelf_host.internal.storage.files import (
+    read_record_file,
+    replace_record_file,
+)
 from cowslipshelf_host.internal.storage.recovery import (
-    ForcedFolder,
+    ForcedMembership,
     force_members_in_folder,
 )
 from cowslipshelf_host.internal.storage.replica_storage import (
@@ -14,13 +17,13 @@
 from cowslipshelf_host.internal.storage.volatile_storage import VolatileStorage
 
 __all__ = [
-    "ForcedFolder",
+    "ForcedMembership",
     "ReplicaStorage",
     "ReplicaStorageConfig",
     "StorageError",
     "VolatileStorage",
     "force_members_in_folder",
     "new_identity",
-    "read_file",
-    "replace_file",
+    "read_record_file",
+    "replace_record_file",
 ]
--- a/tests/cover/host/test_metrics.py
+++ b/tests/cover/host/test_metrics.py
@@ -28,7 +28,7 @@
 @STEADY
 @given(st.lists(st.tuples(st.text(max_size=3), st.integers(0, 9)), max_size=30))
 def test_counts_add_up_whatever_the_label_values(counts) -> None:
-    metrics = Metrics(most_label_sets=4)
+    metrics = Metrics(max_label_sets=4)
     for label, amount in counts:
         metrics.count("requests_total", amount, customer=label)
     found = samples_of(metrics)
@@ -44,7 +44,7 @@
     A caller asks for a new model name in every request; each becomes a label
     value, and each label value a series that is never given back.
     """
-    metrics = Metrics(most_label_sets=bound)
+    metrics = Metrics(max_label_sets=bound)
     for label in labels:
         metrics.record_seconds("wait_seconds", 0.5, model=str(label))
     found = samples_of(metrics)
