--- a/packages/daemon/src/cowslipshelf_daemon/internal/forced_members.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/forced_members.py
@@ -47,7 +47,7 @@
 
 
 def find_problem(settings: DaemonSettings, operator: str) -> str:
-    """Return why the members cannot be forced; an empty text if they can."""
+    """Return why forcing is not possible, or "", without touching the folder."""
     if settings.entry is None or settings.entry.data_folder is None:
         return "These settings name no data folder; only a replica can be forced."
     if not Path(settings.entry.data_folder).is_dir():
--- a/tests/cover/adapter/test_boundary.py
+++ b/tests/cover/adapter/test_boundary.py
@@ -15,8 +15,8 @@
     r"|report|ready)\b",
     re.IGNORECASE,
 )
-"""Without the attempt's id, whose header the project's own protocol for engines named
-before there was an adapter."""
+"""Does not contain the header of the attempt's id, which the project's own protocol for
+engines used before there was an adapter."""
 SOURCES = sorted(ROOT.glob("packages/*/src/**/*.py"))
 
 
--- a/tests/cover/adapter/test_configuration.py
+++ b/tests/cover/adapter/test_configuration.py
@@ -1,4 +1,4 @@
-"""Check that the operators' documents are decoded whole, or refused with a reason."""
+"""Check that configurations and heartbeats are decoded, or refused with a reason."""
 
 import json
 
@@ -90,10 +90,10 @@
 
 
 def test_equal_contents_have_equal_digests_whatever_their_order():
-    turned = dict(reversed(DOCUMENT.items()))
+    reordered = dict(reversed(DOCUMENT.items()))
     digests = {
         ConfigurationReader().read(text).unwrap().document.digest
-        for text in (body(), json.dumps(turned, indent=2).encode())
+        for text in (body(), json.dumps(reordered, indent=2).encode())
     }
     assert len(digests) == 1
     other = ConfigurationReader().read(body(limits={})).unwrap().document.digest
@@ -150,7 +150,7 @@
 
 HUGE = (10**30, 2**64, 2**53)
 NOT_COUNTS = (1.0, "1", True, None, -1, [], {}, *HUGE)
-FOREIGN = {
+FOREIGN_VALUES = {
     "seq": NOT_COUNTS,
     "slots": (*NOT_COUNTS, 0),
     "born": (*NOT_COUNTS, 0, BORN * 1000),
@@ -174,19 +174,20 @@
         None,
     ),
 }
-"""Values that an upstream never sends of itself, by field."""
+"""Values that an upstream itself never sends, by field."""
 
 
 @pytest.mark.parametrize(
     ("name", "value"),
-    [(name, value) for name, values in FOREIGN.items() for value in values],
+    [(name, value) for name, values in FOREIGN_VALUES.items() for value in values],
     ids=str,
 )
 def test_a_heartbeat_of_another_writer_is_refused_with_the_field_named(name, value):
-    """The only sound upstream is out of use at all gateways, or a gateway ends.
+    """Guards against a foreign heartbeat that disables an upstream or ends a gateway.
 
-    Somebody else writes under its id: an unknown state was taken for leaving, and a
-    number beyond 64 bits could not be told to the other gateways.
+    Another process sent heartbeats under an upstream's id. An unknown state was read
+    as leaving, which took the only healthy upstream out of use at all gateways, and a
+    number beyond 64 bits could not be sent to the other gateways.
     """
     text = json.dumps(HEARTBEAT | {name: value}).encode()
     assert name in decode_heartbeat("i", text).unwrap_err()
@@ -228,9 +229,9 @@
     ids=str,
 )
 def test_numbers_that_cannot_be_reckoned_with_are_refused(changes):
-    """An operator hears nothing of a change, and hears nothing again.
+    """Guards against changes that get no answer, now or when repeated.
 
-    A number beyond 64 bits failed where the change was to be told to the others.
+    A number beyond 64 bits failed when the change was sent to the other gateways.
     """
     assert ConfigurationReader().read(body(**changes)).is_err()
 
@@ -241,7 +242,7 @@
     ConfigurationReader().read(junk)
 
 
-ANYTHING = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: (
         st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3)
@@ -250,7 +251,7 @@
 )
 
 
-@given(st.dictionaries(st.sampled_from([*HEARTBEAT, "born"]), ANYTHING))
+@given(st.dictionaries(st.sampled_from([*HEARTBEAT, "born"]), JSON_VALUES))
 def test_any_fields_make_a_heartbeat_that_can_be_told_on_or_none(changes):
     text = json.dumps(HEARTBEAT | changes).encode()
     read = decode_heartbeat("i", text)
@@ -275,7 +276,7 @@
 
 @given(st.lists(ROUTES, min_size=1, max_size=4))
 def test_a_configuration_reads_the_same_whatever_was_read_before(versions):
-    """Routes that stay as they were are taken from the version read before."""
+    """Unchanged routes are taken from the version that was read before."""
     reader = ConfigurationReader()
     for routes in versions:
         written = body(routes=routes)
@@ -294,7 +295,7 @@
     reader = ConfigurationReader()
     for number in range(50):
         reader.read(body(routes=[ROUTE | {"name": f"r-{number}"}])).unwrap()
-    assert len(reader.routes_read) == 1
+    assert len(reader.decoded_routes) == 1
 
 
 def test_a_route_that_cannot_be_read_is_named_with_its_field():
--- a/tests/cover/adapter/test_machine_settings.py
+++ b/tests/cover/adapter/test_machine_settings.py
@@ -1,4 +1,4 @@
-"""Check that the machines' settings are decoded, and seen when they change."""
+"""Check that the machines' settings are decoded, and reloaded when they change."""
 
 import pytest
 
@@ -51,7 +51,7 @@
 
 
 def test_a_machine_without_a_disk_holds_no_replica_unless_its_loss_counts(source):
-    """Nothing is ever accepted on machines none of which has a disk."""
+    """Guards against a fleet without disks that never accepts a change."""
     text = SETTINGS.replace('data_dir = "/data/my-front"', "")
     source.path.write_text(text)
     settings = source.load().unwrap()
--- a/tests/cover/adapter/test_wire.py
+++ b/tests/cover/adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""Check what callers and upstreams see of each other's headers."""
+"""Check which headers callers and upstreams see of each other."""
 
 import json
 
@@ -76,9 +76,9 @@
 
 
 def test_an_upstream_never_sees_a_key_nor_what_callers_forge():
-    """One customer's request runs in the name of another.
+    """Guards against a request of one customer that runs in the name of another.
 
-    A caller sends the headers that only we may set, among them the customer's name.
+    A caller sent headers that only the gateway may set, among them the customer's name.
     """
     seen = forwarded()
     assert b"authorization" not in seen
