--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -232,16 +232,18 @@
         else:
             reply.put(self.buffers.find(hand_over.attempt_id))
 
-    def handle_revoke(self, asked: RevokeRequest, now: float) -> None:
+    def handle_revoke(self, request: RevokeRequest, now: float) -> None:
         """Handle a revocation and answer it."""
-        answer: NeverRan | MayHaveRun = MayHaveRun(asked.event.attempt_id, known=False)
-        for effect in self.state.handle(asked.event, now):
+        answer: NeverRan | MayHaveRun = MayHaveRun(
+            request.event.attempt_id, known=False
+        )
+        for effect in self.state.handle(request.event, now):
             match effect:
                 case AnswerRevoke():
                     answer = effect.answer
                 case _:
                     self.perform(effect)
-        asked.reply.put(answer)
+        request.reply.put(answer)
 
     def perform(self, effect: SidecarEffect) -> None:
         """Perform one effect."""
@@ -271,8 +273,8 @@
     ) -> None:
         """Start the thread that runs an attempt at the upstream."""
         buffer = self.buffers.find(hand_over.attempt_id)
-        kind = PartRunner if hand_over.is_part else AttemptRunner
-        runner = kind(hand_over, buffer, self.attempt_context, parts)
+        runner_class = PartRunner if hand_over.is_part else AttemptRunner
+        runner = runner_class(hand_over, buffer, self.attempt_context, parts)
         self.runners[hand_over.attempt_id] = runner
         runner.start()
 
@@ -299,10 +301,10 @@
 
     def request_fencing(self) -> None:
         """Ask all replicas for the fencing number; only the leader answers."""
-        question = FencingAsked(self.description.upstream_id, self.epoch)
+        query = FencingAsked(self.description.upstream_id, self.epoch)
         for entry in self.settings.entries:
             if entry.replica:
-                self.mailbox.send(entry.mailbox_address, question)
+                self.mailbox.send(entry.mailbox_address, query)
 
     def finish_leaving(self) -> None:
         """Withdraw the upstream at the entries and let the process end."""
@@ -339,8 +341,8 @@
         """Pass an event to the configuration view and perform the effects."""
         for effect in self.view.handle(event, now):
             match effect:
-                case AskForConfiguration(address, question):
-                    self.mailbox.send(address, question)
+                case AskForConfiguration(address, query):
+                    self.mailbox.send(address, query)
                 case ApplyConfiguration(configuration):
                     LOG.info("configuration in force", version=configuration.version)
                     self.handle_event(ConfigurationApplied(configuration), now)
