--- a/tests/nocover/daemon/test_failing_actor.py
+++ b/tests/nocover/daemon/test_failing_actor.py
@@ -14,7 +14,7 @@
     def on_receive(self, message):
         raise ValueError(message)
 
-Failing.start().tell("unexpected message")
+Failing.start().tell("no decider expects this")
 threading.Event().wait()
 """
 TIMEOUT_SECONDS = 60.0
@@ -36,4 +36,4 @@
         check=False,
     )
     assert ended.returncode == EXIT_ACTOR_FAILED
-    assert b"unexpected message" in ended.stdout + ended.stderr
+    assert b"no decider expects this" in ended.stdout + ended.stderr
