--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -143,15 +143,15 @@
         for seed in settings.seeds:
             self.messenger.add_entry(seed, settings.peer_address(seed))
         proposals = ProposalClient.from_config(ProposalClientConfig(()))
-        self.control_actor: ActorRef = GatewayActor.start(proposals, self.messenger)
-        self.client = ControlClient(self.control_actor, self.messenger)
+        self.proposal_client: ActorRef = GatewayActor.start(proposals, self.messenger)
+        self.client = ControlClient(self.proposal_client, self.messenger)
         self.gossip = Gossip(
             self.view, self.messenger, self.client, dialect, self.metrics
         )
         self.view.on_work_changed = self.gossip.queue_work
         self.inbox = LoopInbox(self.loop, self.gossip.receive, self.metrics)
         self.supervisor = ReplicaSupervisor(
-            self.view, self.messenger, self.inbox, self.control_actor, self.metrics
+            self.view, self.messenger, self.inbox, self.proposal_client, self.metrics
         )
         self.suspects = self.gossip.suspects
         self.upstreams_file: UpstreamsFile | None = None
@@ -223,7 +223,7 @@
             ):
                 self.inbox.tell(delivered)
             case ProposalResult() | LeaderSeen():
-                self.control_actor.tell(delivered)
+                self.proposal_client.tell(delivered)
             case _:
                 actor = self.supervisor.actor
                 if actor is not None and actor.is_alive():
@@ -293,7 +293,7 @@
     def tick(self) -> None:
         """Advance the replica, pending commands and configuration fetches."""
         self.supervisor.tick()
-        self.control_actor.tell(Tick())
+        self.proposal_client.tell(Tick())
         self.gossip.routes.fetch_when_due()
 
     def forget_old(self) -> None:
@@ -357,7 +357,7 @@
             server.abort_all()
         self.pool.close_all()
         self.supervisor.stop()
-        self.control_actor.stop(block=False)
+        self.proposal_client.stop(block=False)
         self.mailbox.stop()
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/control_client.py
@@ -37,8 +37,8 @@
 class ControlClient:
     """Send changes and reads to the replicas."""
 
-    def __init__(self, gateway: ActorRef, messenger: Messenger) -> None:
-        self.gateway = gateway
+    def __init__(self, proposal_client: ActorRef, messenger: Messenger) -> None:
+        self.proposal_client = proposal_client
         self.messenger = messenger
         self.pending_reads: dict[str, asyncio.Future[RoutesDocument]] = {}
 
@@ -48,7 +48,7 @@
         reply = LoopReply(loop)
         deadline = time.monotonic() + CHANGE_TIMEOUT_SECONDS
         submit = CommandSubmitted(uuid.uuid4().hex, encode_command(command), deadline)
-        self.gateway.tell(CommandRequest(submit, reply))
+        self.proposal_client.tell(CommandRequest(submit, reply))
         try:
             async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS + 0.5):
                 return await reply.future
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/gossip.py
@@ -266,8 +266,8 @@
                     self.view.engines.replace(delivered.sender, message, now)
             case FetchWork():
                 self.send_work_snapshot(delivered.sender)
-            case FetchRoutes() as question:
-                self.routes.answer(delivered.sender_address, question)
+            case FetchRoutes() as query:
+                self.routes.answer(delivered.sender_address, query)
             case RoutesSnapshot() as snapshot:
                 self.routes.receive_snapshot(delivered.sender, snapshot)
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/replica_supervisor.py
@@ -58,14 +58,14 @@
         view: FleetView,
         messenger: Messenger,
         inbox: LoopInbox,
-        gateway: ActorRef,
+        proposal_client: ActorRef,
         metrics: Metrics,
     ) -> None:
         self.view = view
         self.metrics = metrics
         self.messenger = messenger
         self.inbox = inbox
-        self.gateway = gateway
+        self.proposal_client = proposal_client
         self.actor: ActorRef | None = None
         self.replicas: tuple[InstanceId, ...] = ()
         self.started = time.monotonic()
@@ -139,7 +139,7 @@
                 state,
                 self.messenger,
                 self.inbox,
-                self.gateway,
+                self.proposal_client,
             )
         )
         LOG.info("Replica started.", folder=stored.replica_id.folder)
@@ -194,7 +194,7 @@
             return
         self.replicas = replicas
         LOG.info("Replicas known.", replicas=replicas)
-        self.gateway.tell(ReplicasSeen(replicas))
+        self.proposal_client.tell(ReplicasSeen(replicas))
         if self.actor is not None:
             self.actor.tell(ReplicasSeen(replicas))
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -36,9 +36,9 @@
         self.copies = 0
         """Copies of configurations received, useful or not."""
 
-    def answer(self, address: str, question: FetchRoutes) -> None:
+    def answer(self, address: str, query: FetchRoutes) -> None:
         """Send the configuration in force to a gateway with an older one."""
-        if self.view.document.version > question.have_version:
+        if self.view.document.version > query.have_version:
             self.messenger.send(address, RoutesSnapshot(self.view.document, False))
 
     def fetch_when_due(self) -> None:
--- a/tests/cover/gateway/test_shutdown.py
+++ b/tests/cover/gateway/test_shutdown.py
@@ -72,7 +72,7 @@
         patch(f"{module}.sleep", clock.sleep),
     ):
         gateway.mailbox.flush()
-    gateway.control_actor.stop()
+    gateway.proposal_client.stop()
     return clock.now
 
 
