--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/assembly.py
@@ -126,7 +126,7 @@
 
 
 class Gateway:
-    """Own the parts of one gateway, which run on one event loop."""
+    """Hold the parts of one gateway, which run on one event loop."""
 
     def __init__(
         self, settings: GatewaySettings, source: SettingsSource, dialect: Dialect
--- a/tests/nocover/gateway/test_gateway_processes.py
+++ b/tests/nocover/gateway/test_gateway_processes.py
@@ -144,7 +144,7 @@
 
 
 def has_three_voters(gateway) -> bool:
-    """Return whether a gateway's replica counts three voters."""
+    """Return whether a gateway's replica is up to date and counts three voters."""
     return gateway.voters() == 3
 
 
