--- a/packages/host/src/cowslipshelf_host/internal/logs/setup.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/setup.py
@@ -6,8 +6,8 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
+from cowslipshelf_host.internal.logs.line_writers import LineWriter, QueuedLineWriter
 from cowslipshelf_host.internal.logs.secrets import mask_secrets
-from cowslipshelf_host.internal.logs.writing import LineWriter, QueuedLineWriter
 from cowslipshelf_host.settings import LogSettings
 
 Writer = TypeVar("Writer", bound=LineWriter)
--- a/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
@@ -5,6 +5,7 @@
 from threading import Lock
 from typing import NamedTuple, TypeVar
 
+from cowslipshelf_host.internal.metrics.prometheus_text import metric_lines
 from cowslipshelf_host.internal.metrics.series import (
     Counter,
     Gauge,
@@ -12,7 +13,6 @@
     Sample,
     Series,
 )
-from cowslipshelf_host.internal.metrics.text import metric_lines
 
 METRIC_NAME = re.compile(r"[a-z][a-z0-9_]*\Z")
 RESERVED_LABELS = frozenset({"quantile", "le"})
--- a/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
@@ -8,12 +8,12 @@
     AddressError,
     parse_address,
 )
+from cowslipshelf_host.internal.settings.field_formats import FieldForm
 from cowslipshelf_host.internal.settings.field_types import (
     FieldType,
     allowed_text,
     fields_of,
 )
-from cowslipshelf_host.internal.settings.forms import FieldForm
 from cowslipshelf_host.internal.settings.masking import is_secret
 from cowslipshelf_host.internal.settings.placeholders import (
     placeholder,
--- a/packages/host/src/cowslipshelf_host/internal/settings/documents.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/documents.py
@@ -13,7 +13,7 @@
     ServiceName,
     UpstreamId,
 )
-from cowslipshelf_host.internal.settings.forms import (
+from cowslipshelf_host.internal.settings.field_formats import (
     SECRET_KEY,
     Folder,
     KeyHash,
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cowslipshelf_host.internal.settings.forms import (
+from cowslipshelf_host.internal.settings.field_formats import (
     FORM_KEY,
     SECRET_KEY,
     FieldForm,
--- a/packages/host/src/cowslipshelf_host/internal/settings/placeholders.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/placeholders.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from cowslipshelf_host.internal.settings.field_formats import FieldForm
 from cowslipshelf_host.internal.settings.field_types import FieldType, fields_of
-from cowslipshelf_host.internal.settings.forms import FieldForm
 
 FORM_PLACEHOLDERS = {
     FieldForm.NAME: "placeholder",
--- a/packages/host/src/cowslipshelf_host/settings.py
+++ b/packages/host/src/cowslipshelf_host/settings.py
@@ -16,15 +16,15 @@
     TimingSettings,
     UpstreamSettings,
 )
+from cowslipshelf_host.internal.settings.fleet_checks import (
+    LoadedSettings,
+    fleet_problems,
+)
 from cowslipshelf_host.internal.settings.loading import (
     decode_settings,
     load_settings,
 )
 from cowslipshelf_host.internal.settings.problems import SettingsProblem
-from cowslipshelf_host.internal.settings.together import (
-    LoadedSettings,
-    fleet_problems,
-)
 
 __all__ = [
     "AddressError",
