--- a/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
@@ -6,9 +6,9 @@
 from threading import Condition, Lock, Thread
 from typing import TextIO
 
-MOST_WAITING_LINES = 4_000
+MAX_QUEUED_LINES = 4_000
 """Lines that wait for a slow reader: some seconds of a busy process's."""
-LINES_PER_SECOND = 400
+MAX_LINES_PER_SECOND = 400
 """Lines written on average at most. A request takes three; a process serves some ten
 requests a second, and a hundred when it is one of few that are left."""
 BATCH_SECONDS = 0.05
@@ -52,57 +52,57 @@
 
     def __init__(self, stream: TextIO | None = None) -> None:
         super().__init__(stream)
-        self.waiting: deque[str] = deque()
-        self.arrived = Condition()
-        self.allowance = float(LINES_PER_SECOND)
-        self.filled_at = time.monotonic()
-        self.dropped = 0
+        self.queue: deque[str] = deque()
+        self.condition = Condition()
+        self.tokens = float(MAX_LINES_PER_SECOND)
+        self.refilled_at = time.monotonic()
+        self.dropped_lines = 0
         self.stopping = False
-        self.thread = Thread(target=self.write_all, name="log", daemon=True)
+        self.thread = Thread(target=self.run, name="log", daemon=True)
         self.thread.start()
 
     def write_line(self, line: str) -> None:
         """Queue one line, or drop it."""
-        with self.arrived:
-            if not self.is_allowed():
-                self.dropped += 1
+        with self.condition:
+            if not self.admit_line():
+                self.dropped_lines += 1
                 return
-            self.waiting.append(line)
-            self.arrived.notify()
+            self.queue.append(line)
+            self.condition.notify()
 
     debug = info = warning = error = critical = msg = write_line
     exception = fatal = warn = log = write_line
 
-    def is_allowed(self) -> bool:
+    def admit_line(self) -> bool:
         """Spend the allowance of one line; the bounds are those of the constants."""
         now = time.monotonic()
-        gained = (now - self.filled_at) * LINES_PER_SECOND
-        self.filled_at = now
-        self.allowance = min(LINES_PER_SECOND, self.allowance + gained)
-        if self.allowance < 1 or len(self.waiting) >= MOST_WAITING_LINES:
+        gained = (now - self.refilled_at) * MAX_LINES_PER_SECOND
+        self.refilled_at = now
+        self.tokens = min(MAX_LINES_PER_SECOND, self.tokens + gained)
+        if self.tokens < 1 or len(self.queue) >= MAX_QUEUED_LINES:
             return False
-        self.allowance -= 1
+        self.tokens -= 1
         return True
 
-    def write_all(self) -> None:
+    def run(self) -> None:
         """Write what waits, until stopped; the work of the thread."""
         while True:
-            with self.arrived:
-                while not self.waiting and not self.stopping:
-                    self.arrived.wait()
-                if not self.waiting:
+            with self.condition:
+                while not self.queue and not self.stopping:
+                    self.condition.wait()
+                if not self.queue:
                     return
                 ending = self.stopping
             if not ending:
                 time.sleep(BATCH_SECONDS)
-            super().write_line("\n".join(self.take_waiting()))
+            super().write_line("\n".join(self.drain_queue()))
 
-    def take_waiting(self) -> list[str]:
+    def drain_queue(self) -> list[str]:
         """Take all lines that wait, and say how many were dropped before them."""
-        with self.arrived:
-            lines = list(self.waiting)
-            self.waiting.clear()
-            dropped, self.dropped = self.dropped, 0
+        with self.condition:
+            lines = list(self.queue)
+            self.queue.clear()
+            dropped, self.dropped_lines = self.dropped_lines, 0
         if dropped:
             self.lost_lines += dropped
             lines.append(f'{{"event": "logs: Lines dropped.", "count": {dropped}}}')
@@ -110,7 +110,7 @@
 
     def stop(self) -> None:
         """Let the last lines go out, within a short time."""
-        with self.arrived:
+        with self.condition:
             self.stopping = True
-            self.arrived.notify()
+            self.condition.notify()
         self.thread.join(STOP_SECONDS)
--- a/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
@@ -9,11 +9,11 @@
 from structlog.typing import EventDict, WrappedLogger
 
 MASK = "***"
-DEEPEST_VALUE = 8
-TOO_DEEP = "..."
+MAX_DEPTH = 8
+TRUNCATED_VALUE = "..."
 
 SECRET_NAMES = frozenset({"authorization", "proxy_authorization"})
-SECRET_LAST_WORDS = (
+SECRET_SUFFIXES = (
     "_cookie",
     "_key",
     "_keys",
@@ -23,19 +23,19 @@
     "_secret",
     "_token",
 )
-BEARER = re.compile(r"(?i)\b(bearer\s+)[^\s'\",;]+")
+BEARER_PATTERN = re.compile(r"(?i)\b(bearer\s+)[^\s'\",;]+")
 
 
 def mask_secrets(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
     """Mask secrets by the names they stand under, however deep they are nested."""
-    return {name: masked_field(name, value, 0) for name, value in event.items()}
+    return {name: mask_field(name, value, 0) for name, value in event.items()}
 
 
-def masked_field(name: object, value: Any, depth: int) -> Any:
+def mask_field(name: object, value: Any, depth: int) -> Any:
     """Mask a value if its name says that it is secret, else what is inside it."""
     if is_secret_name(name):
         return MASK
-    return masked_value(value, depth)
+    return mask_value(value, depth)
 
 
 def is_secret_name(name: object) -> bool:
@@ -43,14 +43,14 @@
     if not isinstance(name, str):
         return False
     plain = name.lower().replace("-", "_")
-    return plain in SECRET_NAMES or f"_{plain}".endswith(SECRET_LAST_WORDS)
+    return plain in SECRET_NAMES or f"_{plain}".endswith(SECRET_SUFFIXES)
 
 
-def masked_value(value: Any, depth: int) -> Any:
+def mask_value(value: Any, depth: int) -> Any:
     """Mask what is secret inside a value."""
     # A value that contains itself would else recurse until the thread dies.
-    if depth > DEEPEST_VALUE:
-        return TOO_DEEP
+    if depth > MAX_DEPTH:
+        return TRUNCATED_VALUE
     if isinstance(value, str):
         return mask_bearer(value)
     if isinstance(value, bytes | bytearray | memoryview):
@@ -59,14 +59,14 @@
     fields = named_fields(value)
     if fields is not None:
         return {
-            field_name(name): masked_field(name, inner, depth + 1)
+            field_name(name): mask_field(name, inner, depth + 1)
             for name, inner in fields.items()
         }
     if isinstance(value, list | tuple | set | frozenset):
-        return [masked_item(item, depth + 1) for item in value]
+        return [mask_item(item, depth + 1) for item in value]
     if value is None or isinstance(value, bool | int | float):
         return value
-    return mask_bearer(safe_text(value))
+    return mask_bearer(safe_repr(value))
 
 
 def named_fields(value: Any) -> Mapping[Any, Any] | None:
@@ -83,25 +83,25 @@
     return None
 
 
-def masked_item(item: Any, depth: int) -> Any:
+def mask_item(item: Any, depth: int) -> Any:
     """Mask an item of a list; headers come as pairs of a name and a value."""
     match item:
         case (str() as name, value):
-            return [name, masked_field(name, value, depth)]
-    return masked_value(item, depth)
+            return [name, mask_field(name, value, depth)]
+    return mask_value(item, depth)
 
 
 def mask_bearer(text: str) -> str:
     """Mask a key that follows the word bearer within a text."""
-    return BEARER.sub(rf"\g<1>{MASK}", text)
+    return BEARER_PATTERN.sub(rf"\g<1>{MASK}", text)
 
 
 def field_name(name: object) -> str:
     """Give a field name that every format can write."""
-    return name if isinstance(name, str) else safe_text(name)
+    return name if isinstance(name, str) else safe_repr(name)
 
 
-def safe_text(value: object) -> str:
+def safe_repr(value: object) -> str:
     """Show any value, also one that cannot show itself."""
     try:
         return repr(value)
--- a/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
@@ -13,7 +13,7 @@
 ) -> Iterator[str]:
     """Write one metric with all its samples."""
     if help_text:
-        yield f"# HELP {name} {escaped(help_text)}"
+        yield f"# HELP {name} {escape(help_text)}"
     yield f"# TYPE {name} {kind}"
     for labels, sample in samples:
         shown = [*labels]
@@ -26,11 +26,11 @@
     """Write labels in braces, or nothing where there are none."""
     if not labels:
         return ""
-    pairs = (f'{key}="{escaped(value, quoted=True)}"' for key, value in labels)
+    pairs = (f'{key}="{escape(value, quoted=True)}"' for key, value in labels)
     return "{" + ",".join(pairs) + "}"
 
 
-def escaped(text: str, *, quoted: bool = False) -> str:
+def escape(text: str, *, quoted: bool = False) -> str:
     """Escape what the format reserves, and what UTF-8 cannot carry."""
     sound = text.encode("utf-8", "backslashreplace").decode("utf-8")
     safe = sound.replace("\\", "\\\\").replace("\n", "\\n")
--- a/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
@@ -9,9 +9,9 @@
 from cowslipshelf_host.internal.metrics.series import (
     Counter,
     Gauge,
-    Latency,
     Sample,
     Series,
+    Summary,
 )
 
 METRIC_NAME = re.compile(r"[a-z][a-z0-9_]*\Z")
@@ -22,7 +22,7 @@
 
 LabelSet = tuple[tuple[str, str], ...]
 OVERFLOW_LABELS: LabelSet = (("overflow", "true"),)
-SeriesType = TypeVar("SeriesType", Counter, Gauge, Latency)
+SeriesType = TypeVar("SeriesType", Counter, Gauge, Summary)
 
 
 class MetricError(ValueError):
@@ -33,7 +33,7 @@
     """Be one metric with its series by label set."""
 
     name: str
-    make_series: Callable[[], Series]
+    series_type: Callable[[], Series]
     series: dict[LabelSet, Series]
 
 
@@ -44,11 +44,11 @@
         self.max_label_sets = max_label_sets
         self.lock = Lock()
         self.metrics: dict[str, Metric] = {}
-        self.helps: dict[str, str] = {OVERFLOW_METRIC: OVERFLOW_HELP}
+        self.help_texts: dict[str, str] = {OVERFLOW_METRIC: OVERFLOW_HELP}
 
     def describe(self, name: str, help_text: str) -> None:
         """Say what a metric means, for who reads the text."""
-        self.helps[checked_name(name)] = help_text
+        self.help_texts[validate_name(name)] = help_text
 
     def count(self, name: str, amount: float = 1, /, **labels: str) -> None:
         """Add to a counter; its name ends in `_total`."""
@@ -60,7 +60,7 @@
 
     def record_seconds(self, name: str, seconds: float, /, **labels: str) -> None:
         """Record a duration in seconds; its name ends in `_seconds`."""
-        self.series(name, Latency, labels).record(seconds)
+        self.series(name, Summary, labels).record(seconds)
 
     def series(
         self, name: str, kind: type[SeriesType], labels: dict[str, str]
@@ -77,20 +77,20 @@
         with self.lock:
             metric = self.metrics.get(name)
             if metric is None or key not in metric.series:
-                check_labels(key)
+                validate_labels(key)
             if metric is None:
-                metric = Metric(checked_name(name), kind, {})
+                metric = Metric(validate_name(name), kind, {})
                 self.metrics[name] = metric
-            if metric.make_series is not kind:
+            if metric.series_type is not kind:
                 raise MetricError(f"{name} is of two kinds")
             if key not in metric.series and len(metric.series) >= self.max_label_sets:
-                self.note_overflow(name)
+                self.count_overflow(name)
                 key = OVERFLOW_LABELS
             if key not in metric.series:
                 metric.series[key] = kind()
             return metric.series[key]  # type: ignore[return-value]
 
-    def note_overflow(self, name: str) -> None:
+    def count_overflow(self, name: str) -> None:
         """Count a value beyond the bound; there are no more series than metrics."""
         made = Metric(OVERFLOW_METRIC, Counter, {})
         metric = self.metrics.setdefault(OVERFLOW_METRIC, made)
@@ -111,19 +111,19 @@
                 (labels, sample) for labels, each in series for sample in each.samples()
             ]
             lines += metric_lines(
-                metric.name, kind, self.helps.get(metric.name, ""), samples
+                metric.name, kind, self.help_texts.get(metric.name, ""), samples
             )
         return "".join(f"{line}\n" for line in lines)
 
 
-def check_labels(labels: LabelSet) -> None:
+def validate_labels(labels: LabelSet) -> None:
     """Raise `MetricError` for a label name that the text format does not allow."""
     for label, _ in labels:
         if label in RESERVED_LABELS or not METRIC_NAME.match(label):
             raise MetricError(f"{label!r} is no label name, or one with a meaning")
 
 
-def checked_name(name: str) -> str:
+def validate_name(name: str) -> str:
     """Return a name that the text format allows, or raise `MetricError`."""
     if not METRIC_NAME.match(name):
         raise MetricError(f"{name!r} is no metric name: a-z, 0-9 and '_' only")
--- a/packages/host/src/cowslipshelf_host/internal/metrics/series.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/series.py
@@ -6,9 +6,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-MICROSECONDS = 1_000_000
-SHORTEST_MICROSECONDS = 1
-LONGEST_MICROSECONDS = 3600 * MICROSECONDS
+MICROSECONDS_PER_SECOND = 1_000_000
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 3600 * MICROSECONDS_PER_SECOND
 SIGNIFICANT_DIGITS = 2
 QUANTILES = (0.5, 0.95, 0.99)
 
@@ -68,7 +68,7 @@
         return [Sample("", None, self.value)]
 
 
-class Latency:
+class Summary:
     """Hold durations from a microsecond to an hour, to two digits."""
 
     kind = "summary"
@@ -78,7 +78,7 @@
         # millisecond, and threads that record others need not wait for that.
         self.lock = Lock()
         self.histogram = HdrHistogram(
-            SHORTEST_MICROSECONDS, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS
+            MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS
         )
         self.sum_seconds = 0.0
 
@@ -86,9 +86,9 @@
         """Record a duration; one beyond the range counts as its nearest end."""
         if math.isnan(seconds):
             raise ValueError("a duration cannot be NaN")
-        longest = LONGEST_MICROSECONDS / MICROSECONDS
+        longest = MAX_MICROSECONDS / MICROSECONDS_PER_SECOND
         clamped = min(max(seconds, 0.0), longest)
-        microseconds = max(SHORTEST_MICROSECONDS, round(clamped * MICROSECONDS))
+        microseconds = max(MIN_MICROSECONDS, round(clamped * MICROSECONDS_PER_SECOND))
         with self.lock:
             self.histogram.record_value(microseconds)
             self.sum_seconds += clamped
@@ -102,8 +102,8 @@
             most = self.histogram.get_max_value() if count else 0
             total = self.sum_seconds
         found = [
-            Sample("", quantile, values.get(percent, 0) / MICROSECONDS)
+            Sample("", quantile, values.get(percent, 0) / MICROSECONDS_PER_SECOND)
             for quantile, percent in zip(QUANTILES, wanted, strict=True)
         ]
-        found.append(Sample("", 1.0, most / MICROSECONDS))
+        found.append(Sample("", 1.0, most / MICROSECONDS_PER_SECOND))
         return [*found, Sample("_sum", None, total), Sample("_count", None, count)]
--- a/packages/host/src/cowslipshelf_host/internal/settings/addresses.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/addresses.py
@@ -3,7 +3,7 @@
 from ipaddress import IPv4Address, IPv6Address, ip_address
 from typing import NamedTuple
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class NetworkAddress(NamedTuple):
@@ -12,7 +12,7 @@
     ip: IPv4Address | IPv6Address
     port: int
 
-    def collides(self, other: "NetworkAddress") -> bool:
+    def conflicts_with(self, other: "NetworkAddress") -> bool:
         """Tell whether both can't be bound on one machine."""
         if self.port != other.port:
             return False
@@ -32,8 +32,8 @@
     if not (port.isascii() and port.isdigit()):
         raise AddressError("whose port is no number")
     # Compared by length first: Python refuses to convert very long numbers.
-    if len(port) > len(str(HIGHEST_PORT)) or not 1 <= int(port) <= HIGHEST_PORT:
-        raise AddressError(f"whose port is not between 1 and {HIGHEST_PORT}")
+    if len(port) > len(str(MAX_PORT)) or not 1 <= int(port) <= MAX_PORT:
+        raise AddressError(f"whose port is not between 1 and {MAX_PORT}")
     return NetworkAddress(parse_ip(host), int(port))
 
 
--- a/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
@@ -8,11 +8,11 @@
     AddressError,
     parse_address,
 )
-from cowslipshelf_host.internal.settings.field_formats import FieldForm
+from cowslipshelf_host.internal.settings.field_formats import FieldFormat
 from cowslipshelf_host.internal.settings.field_types import (
     FieldType,
     allowed_text,
-    fields_of,
+    field_types_of,
 )
 from cowslipshelf_host.internal.settings.masking import is_secret
 from cowslipshelf_host.internal.settings.placeholders import (
@@ -22,15 +22,15 @@
 from cowslipshelf_host.internal.settings.problems import (
     WHOLE_FILE,
     SettingsProblem,
-    shown,
+    format_value,
 )
 
-ADDRESS_FORMS = (FieldForm.LISTEN_ADDRESS, FieldForm.PEER_ADDRESS)
-SECRET_FOUND = "a value that is not shown, as it is secret"
-LEAST_LIKENESS = 0.5
+ADDRESS_FORMATS = (FieldFormat.LISTEN_ADDRESS, FieldFormat.PEER_ADDRESS)
+HIDDEN_VALUE_TEXT = "a value that is not shown, as it is secret"
+MIN_SIMILARITY = 0.5
 
 
-class DocumentCheck:
+class DocumentChecker:
     """Walk one file's JSON beside the types and note what is wrong.
 
     Each method returns a value that the types allow: the given one, with
@@ -42,81 +42,83 @@
         self.file = file
         self.problems: list[SettingsProblem] = []
 
-    def note(self, field: str, found: str, allowed: str) -> None:
+    def add_problem(self, field: str, found: str, allowed: str) -> None:
         """Note a problem."""
         self.problems.append(SettingsProblem(self.file, field, found, allowed))
 
-    def document(
+    def check_document(
         self, value: object, document: type[msgspec.Struct], path: str = ""
     ) -> dict[str, object]:
         """Check an object and everything in it."""
         if not isinstance(value, dict):
-            self.note(path or WHOLE_FILE, shown(value), "an object")
+            self.add_problem(path or WHOLE_FILE, format_value(value), "an object")
             return placeholder_document(document)
-        fields = fields_of(document)
+        fields = field_types_of(document)
         for name in value:
             if name not in fields:
-                self.note_unknown_field(name, list(fields), path)
+                self.add_unknown_field(name, list(fields), path)
         usable: dict[str, object] = {}
         for info in msgspec.structs.fields(document):
-            field, inner = fields[info.name], joined(path, info.name)
+            field, inner = fields[info.name], join_path(path, info.name)
             if info.name in value:
-                usable[info.name] = self.field(value[info.name], field, inner)
+                usable[info.name] = self.check_field(value[info.name], field, inner)
             elif info.required:
-                self.note(inner, "nothing", allowed_text(field))
+                self.add_problem(inner, "nothing", allowed_text(field))
                 usable[info.name] = placeholder(field)
         return usable
 
-    def field(self, value: object, field: FieldType, path: str) -> object:
+    def check_field(self, value: object, field: FieldType, path: str) -> object:
         """Check the value of one field."""
         if value is None and field.optional:
             return None
         if field.is_document:
-            return self.document(value, field.base, path)
+            return self.check_document(value, field.base, path)
         if field.item is not None and isinstance(value, list):
-            return self.items(value, field, path)
-        return self.single_value(value, field, path)
+            return self.check_items(value, field, path)
+        return self.check_scalar(value, field, path)
 
-    def items(self, value: list[object], field: FieldType, path: str) -> object:
+    def check_items(self, value: list[object], field: FieldType, path: str) -> object:
         """Check a list and its items."""
-        if len(value) < (field.shortest or 0):
-            self.note(path, shown(value), allowed_text(field))
+        if len(value) < (field.min_length or 0):
+            self.add_problem(path, format_value(value), allowed_text(field))
             return placeholder(field)
         return [
-            self.field(item, field.item, f"{path}[{index}]")
+            self.check_field(item, field.item, f"{path}[{index}]")
             for index, item in enumerate(value)
         ]
 
-    def single_value(self, value: object, field: FieldType, path: str) -> object:
+    def check_scalar(self, value: object, field: FieldType, path: str) -> object:
         """Check a text, number or truth value."""
-        found = SECRET_FOUND if is_secret(field) else shown(value)
+        found = HIDDEN_VALUE_TEXT if is_secret(field) else format_value(value)
         try:
-            msgspec.convert(value, field.whole)
-            if field.form in ADDRESS_FORMS:
-                check_address(value, field.form)
+            msgspec.convert(value, field.annotation)
+            if field.format in ADDRESS_FORMATS:
+                check_address(value, field.format)
         except msgspec.ValidationError:
-            self.note(path, found, allowed_text(field))
+            self.add_problem(path, found, allowed_text(field))
         except AddressError as error:
-            self.note(path, f"{found}, {error}", allowed_text(field))
+            self.add_problem(path, f"{found}, {error}", allowed_text(field))
         else:
             return value
         return placeholder(field)
 
-    def note_unknown_field(self, name: str, known: list[str], path: str) -> None:
+    def add_unknown_field(self, name: str, known: list[str], path: str) -> None:
         """Note an unknown field and suggest the name that was meant."""
-        near = get_close_matches(name, known, n=1, cutoff=LEAST_LIKENESS)
+        near = get_close_matches(name, known, n=1, cutoff=MIN_SIMILARITY)
         suggested = f'did you mean "{near[0]}"? ' if near else ""
         allowed = f"{suggested}known: {', '.join(known)}"
-        self.note(joined(path, shown(name)), "an unknown field", allowed)
+        self.add_problem(
+            join_path(path, format_value(name)), "an unknown field", allowed
+        )
 
 
-def check_address(text: str, form: FieldForm) -> None:
+def check_address(text: str, field_format: FieldFormat) -> None:
     """Raise `AddressError` where a text is no address of its form."""
     address = parse_address(text)
-    if form is FieldForm.PEER_ADDRESS and address.ip.is_unspecified:
+    if field_format is FieldFormat.PEER_ADDRESS and address.ip.is_unspecified:
         raise AddressError("the address of all interfaces")
 
 
-def joined(path: str, name: str) -> str:
+def join_path(path: str, name: str) -> str:
     """Add a field name to a path in the JSON."""
     return f"{path}.{name}" if path else name
--- a/packages/host/src/cowslipshelf_host/internal/settings/documents.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/documents.py
@@ -28,7 +28,7 @@
 LogFormat = Literal["json", "console"]
 LogLevel = Literal["debug", "info", "warning", "error"]
 
-SHORTEST_CLUSTER_KEY = 16
+MIN_CLUSTER_KEY_CHARACTERS = 16
 KIBIBYTE = 1024
 MEBIBYTE = 1024 * KIBIBYTE
 GIBIBYTE = 1024 * MEBIBYTE
@@ -173,7 +173,9 @@
     cluster_key: Annotated[
         str,
         msgspec.Meta(
-            min_length=SHORTEST_CLUSTER_KEY, max_length=1024, extra={SECRET_KEY: True}
+            min_length=MIN_CLUSTER_KEY_CHARACTERS,
+            max_length=1024,
+            extra={SECRET_KEY: True},
         ),
     ]
     """Secret that all instances of the fleet share; it is never printed."""
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_formats.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_formats.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-FORM_KEY = "form"
+FORMAT_KEY = "form"
 SECRET_KEY = "secret"
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z"
 KEY_HASH_PATTERN = r"^[0-9a-f]{64}\Z"
 
 
-class FieldForm(StrEnum):
+class FieldFormat(StrEnum):
     """Tell what a text field stands for."""
 
     NAME = "name"
@@ -25,18 +25,22 @@
     OTHER = "other"
 
 
-Name = msgspec.Meta(pattern=NAME_PATTERN, extra={FORM_KEY: FieldForm.NAME})
+Name = msgspec.Meta(pattern=NAME_PATTERN, extra={FORMAT_KEY: FieldFormat.NAME})
 
-ListenAddress = Annotated[str, msgspec.Meta(extra={FORM_KEY: FieldForm.LISTEN_ADDRESS})]
-PeerAddress = Annotated[str, msgspec.Meta(extra={FORM_KEY: FieldForm.PEER_ADDRESS})]
+ListenAddress = Annotated[
+    str, msgspec.Meta(extra={FORMAT_KEY: FieldFormat.LISTEN_ADDRESS})
+]
+PeerAddress = Annotated[str, msgspec.Meta(extra={FORMAT_KEY: FieldFormat.PEER_ADDRESS})]
 KeyHash = Annotated[
     str,
     msgspec.Meta(
         pattern=KEY_HASH_PATTERN,
-        extra={FORM_KEY: FieldForm.KEY_HASH, SECRET_KEY: True},
+        extra={FORMAT_KEY: FieldFormat.KEY_HASH, SECRET_KEY: True},
     ),
 ]
-Folder = Annotated[str, msgspec.Meta(min_length=1, extra={FORM_KEY: FieldForm.FOLDER})]
+Folder = Annotated[
+    str, msgspec.Meta(min_length=1, extra={FORMAT_KEY: FieldFormat.FOLDER})
+]
 
 
 def between(low: float, high: float) -> msgspec.Meta:
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
@@ -8,43 +8,48 @@
 import msgspec
 
 from cowslipshelf_host.internal.settings.field_formats import (
-    FORM_KEY,
+    FORMAT_KEY,
     SECRET_KEY,
-    FieldForm,
+    FieldFormat,
 )
 
-NOUNS = {str: "text", int: "a whole number", float: "a number", bool: "true or false"}
-FORM_TEXTS = {
-    FieldForm.NAME: "a name of 1 to 63 letters, digits, '.', '_' or '-'",
-    FieldForm.LISTEN_ADDRESS: "IP:PORT, such as 0.0.0.0:8080 or [::1]:8080",
-    FieldForm.PEER_ADDRESS: "IP:PORT that peers can reach, such as 10.0.0.7:8080",
-    FieldForm.KEY_HASH: "a SHA-256 as 64 hexadecimal digits in lower case",
-    FieldForm.FOLDER: "the path of a folder",
+TYPE_TEXTS = {
+    str: "text",
+    int: "a whole number",
+    float: "a number",
+    bool: "true or false",
+}
+FORMAT_TEXTS = {
+    FieldFormat.NAME: "a name of 1 to 63 letters, digits, '.', '_' or '-'",
+    FieldFormat.LISTEN_ADDRESS: "IP:PORT, such as 0.0.0.0:8080 or [::1]:8080",
+    FieldFormat.PEER_ADDRESS: "IP:PORT that peers can reach, such as 10.0.0.7:8080",
+    FieldFormat.KEY_HASH: "a SHA-256 as 64 hexadecimal digits in lower case",
+    FieldFormat.FOLDER: "the path of a folder",
 }
 
 
 class FieldType(NamedTuple):
     """Be the type of a field, taken apart."""
 
-    whole: Any
+    annotation: Any
     """The type as written, which the codec checks a value against."""
     base: Any
     """The type without its range and without None."""
     optional: bool
-    form: FieldForm
+    format: FieldFormat
     secret: bool
-    low: float | None
-    high: float | None
-    shortest: int | None
-    longest: int | None
+    min_value: float | None
+    max_value: float | None
+    min_length: int | None
+    max_length: int | None
     item: "FieldType | None"
     """Type of the items, where the field is a list."""
 
     @classmethod
     def from_hint(cls, hint: Any) -> "FieldType":
         """Take a type hint apart."""
-        inner, optional = without_none(hint)
-        base, metas = without_meta(inner)
+        inner, optional = split_optional(hint)
+        base, metas = split_annotated(inner)
         base = getattr(base, "__supertype__", base)
         extra = {
             key: value for meta in metas for key, value in (meta.extra or {}).items()
@@ -53,15 +58,15 @@
         if get_origin(base) is tuple:
             item = cls.from_hint(get_args(base)[0])
         return cls(
-            whole=hint,
+            annotation=hint,
             base=base,
             optional=optional,
-            form=extra.get(FORM_KEY, FieldForm.OTHER),
+            format=extra.get(FORMAT_KEY, FieldFormat.OTHER),
             secret=bool(extra.get(SECRET_KEY, False)),
-            low=first_given(meta.ge for meta in metas),
-            high=first_given(meta.le for meta in metas),
-            shortest=first_given(meta.min_length for meta in metas),
-            longest=first_given(meta.max_length for meta in metas),
+            min_value=first_not_none(meta.ge for meta in metas),
+            max_value=first_not_none(meta.le for meta in metas),
+            min_length=first_not_none(meta.min_length for meta in metas),
+            max_length=first_not_none(meta.max_length for meta in metas),
             item=item,
         )
 
@@ -71,7 +76,7 @@
         return isinstance(self.base, type) and issubclass(self.base, msgspec.Struct)
 
 
-def without_none(hint: Any) -> tuple[Any, bool]:
+def split_optional(hint: Any) -> tuple[Any, bool]:
     """Split `T | None` into T and whether None is allowed."""
     if get_origin(hint) not in (Union, UnionType):
         return hint, False
@@ -79,7 +84,7 @@
     return kept[0], True
 
 
-def without_meta(hint: Any) -> tuple[Any, list[msgspec.Meta]]:
+def split_annotated(hint: Any) -> tuple[Any, list[msgspec.Meta]]:
     """Split an annotated type into the plain one and its constraints."""
     if get_origin(hint) is not Annotated:
         return hint, []
@@ -87,13 +92,13 @@
     return base, [note for note in notes if isinstance(note, msgspec.Meta)]
 
 
-def first_given(values: Any) -> Any:
+def first_not_none(values: Any) -> Any:
     """Return the first value that is set."""
     return next((value for value in values if value is not None), None)
 
 
 @cache
-def fields_of(document: type[msgspec.Struct]) -> dict[str, FieldType]:
+def field_types_of(document: type[msgspec.Struct]) -> dict[str, FieldType]:
     """Read the types of a document's fields, in order."""
     hints = resolved_hints(document, include_extras=True)
     names = document.__struct_fields__
@@ -108,21 +113,21 @@
         return "an object"
     if get_origin(field.base) is Literal:
         return "one of " + ", ".join(f'"{value}"' for value in get_args(field.base))
-    if field.form in FORM_TEXTS:
-        return FORM_TEXTS[field.form]
-    return NOUNS[field.base] + range_text(field)
+    if field.format in FORMAT_TEXTS:
+        return FORMAT_TEXTS[field.format]
+    return TYPE_TEXTS[field.base] + range_text(field)
 
 
 def list_text(field: FieldType) -> str:
     """Say in words what a list allows."""
-    least = f" with at least {field.shortest} of" if field.shortest else " of"
+    least = f" with at least {field.min_length} of" if field.min_length else " of"
     return f"a list{least}: {allowed_text(field.item)}"
 
 
 def range_text(field: FieldType) -> str:
     """Say in words how long or large a value may be."""
-    if field.low is not None:
-        return f" from {field.low:,} to {field.high:,}".replace(",", " ")
-    if field.shortest is not None and field.longest is not None:
-        return f" of {field.shortest} to {field.longest} characters"
+    if field.min_value is not None:
+        return f" from {field.min_value:,} to {field.max_value:,}".replace(",", " ")
+    if field.min_length is not None and field.max_length is not None:
+        return f" of {field.min_length} to {field.max_length} characters"
     return ""
--- a/packages/host/src/cowslipshelf_host/internal/settings/fleet_checks.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/fleet_checks.py
@@ -46,13 +46,13 @@
     if set(one.data_centres) != set(other.data_centres):
         found, allowed = ", ".join(other.data_centres), ", ".join(one.data_centres)
         yield second.problem("data_centres", found, f"{allowed}, as in {first.file}")
-    yield from shared_addresses(first, second)
-    yield from shared_upstream(first, second)
-    yield from wrong_mentions(first, second)
-    yield from wrong_mentions(second, first)
+    yield from address_conflicts(first, second)
+    yield from upstream_conflicts(first, second)
+    yield from entry_mismatches(first, second)
+    yield from entry_mismatches(second, first)
 
 
-def shared_addresses(
+def address_conflicts(
     first: LoadedSettings, second: LoadedSettings
 ) -> Iterator[SettingsProblem]:
     """Yield addresses that both files give out."""
@@ -75,7 +75,7 @@
     return found
 
 
-def shared_upstream(
+def upstream_conflicts(
     first: LoadedSettings, second: LoadedSettings
 ) -> Iterator[SettingsProblem]:
     """Yield an upstream that two sidecars both claim."""
@@ -88,7 +88,7 @@
         yield second.problem("sidecar.upstream.upstream_id", f'"{name}"', allowed)
 
 
-def wrong_mentions(
+def entry_mismatches(
     told: LoadedSettings, mentioning: LoadedSettings
 ) -> Iterator[SettingsProblem]:
     """Yield what one file lists of an entry otherwise than that entry's own file."""
--- a/packages/host/src/cowslipshelf_host/internal/settings/json_text.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/json_text.py
@@ -2,17 +2,17 @@
 
 import json
 
-from cowslipshelf_host.internal.settings.problems import shown
+from cowslipshelf_host.internal.settings.problems import format_value
 
-LARGEST_FILE_BYTES = 4 * 1024 * 1024
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 class JsonTextError(ValueError):
     """Say where a text is no JSON that settings may be written in."""
 
-    def __init__(self, place: str, found: str, allowed: str) -> None:
-        super().__init__(f"{place}: {found}")
-        self.place = place
+    def __init__(self, location: str, found: str, allowed: str) -> None:
+        super().__init__(f"{location}: {found}")
+        self.location = location
         self.found = found
         self.allowed = allowed
 
@@ -22,15 +22,15 @@
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
-        place = place_in(data[: error.start].decode("utf-8"))
-        raise JsonTextError(place, "bytes that are not UTF-8", "UTF-8") from None
+        location = location_after(data[: error.start].decode("utf-8"))
+        raise JsonTextError(location, "bytes that are not UTF-8", "UTF-8") from None
     try:
         return json.loads(
-            text, object_pairs_hook=unique_fields, parse_constant=refuse_constant
+            text, object_pairs_hook=build_object, parse_constant=reject_constant
         )
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno}, column {error.colno}"
-        raise JsonTextError(place, f"malformed JSON ({error.msg})", "JSON") from None
+        location = f"line {error.lineno}, column {error.colno}"
+        raise JsonTextError(location, f"malformed JSON ({error.msg})", "JSON") from None
     except RecursionError:
         raise JsonTextError("(file)", "nesting without end", "JSON") from None
     except JsonTextError:
@@ -40,7 +40,7 @@
         raise JsonTextError("(file)", "a number that is too long", "JSON") from None
 
 
-def unique_fields(pairs: list[tuple[str, object]]) -> dict[str, object]:
+def build_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
     """Build an object, and refuse a field that is given twice.
 
     Decoders keep the last one without a word, so that an edit of the first
@@ -49,17 +49,19 @@
     fields: dict[str, object] = {}
     for name, value in pairs:
         if name in fields:
-            raise JsonTextError(shown(name), "the field twice", "each field once")
+            raise JsonTextError(
+                format_value(name), "the field twice", "each field once"
+            )
         fields[name] = value
     return fields
 
 
-def refuse_constant(text: str) -> object:
+def reject_constant(text: str) -> object:
     """Refuse NaN and the infinities, which JSON does not have."""
     raise JsonTextError("(file)", text, "JSON numbers")
 
 
-def place_in(text: str) -> str:
+def location_after(text: str) -> str:
     """Give the line and column after a text, counted from one."""
     line = text.count("\n") + 1
     column = len(text) - (text.rfind("\n") + 1) + 1
--- a/packages/host/src/cowslipshelf_host/internal/settings/masking.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/masking.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-from cowslipshelf_host.internal.settings.field_types import FieldType, fields_of
+from cowslipshelf_host.internal.settings.field_types import FieldType, field_types_of
 
 MASK = "'***'"
 
 
 def masked_repr(document: msgspec.Struct) -> str:
     """Show a document with its secret fields masked."""
-    fields = fields_of(type(document))
+    fields = field_types_of(type(document))
     shown = (
         f"{name}={shown_value(getattr(document, name), field)}"
         for name, field in fields.items()
--- a/packages/host/src/cowslipshelf_host/internal/settings/page.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/page.py
@@ -12,12 +12,12 @@
 from cowslipshelf_host.internal.settings.field_types import (
     FieldType,
     allowed_text,
-    fields_of,
+    field_types_of,
 )
 from cowslipshelf_host.internal.settings.masking import is_secret
 from cowslipshelf_host.internal.settings.rules import (
-    FEWEST_INTERVALS,
-    LONGER_THAN,
+    INTERVAL_PAIRS,
+    MIN_INTERVALS,
 )
 
 INTRODUCTION = """\
@@ -45,8 +45,8 @@
     """Write the whole page as Markdown."""
     described = field_docstrings(inspect.getsource(documents))
     proportions = "\n".join(
-        f"- `{longer}` is at least {FEWEST_INTERVALS} x `{shorter}`"
-        for longer, shorter in LONGER_THAN
+        f"- `{longer}` is at least {MIN_INTERVALS} x `{shorter}`"
+        for longer, shorter in INTERVAL_PAIRS
     )
     sections = [INTRODUCTION.format(proportions=proportions).rstrip()]
     for document in documents_under(DaemonSettings):
@@ -57,7 +57,7 @@
 def documents_under(document: type[msgspec.Struct]) -> list[type[msgspec.Struct]]:
     """List a document and those nested in it, each once, from the outside in."""
     found = [document]
-    for field in fields_of(document).values():
+    for field in field_types_of(document).values():
         nested = nested_document(field)
         if nested is not None:
             found += [each for each in documents_under(nested) if each not in found]
@@ -79,7 +79,7 @@
     yield inspect.getdoc(document) or ""
     yield ""
     yield from TABLE_HEAD
-    fields = fields_of(document)
+    fields = field_types_of(document)
     for info in msgspec.structs.fields(document):
         field = fields[info.name]
         cells = (
--- a/packages/host/src/cowslipshelf_host/internal/settings/problems.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/problems.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 WHOLE_FILE = "(file)"
-LONGEST_SHOWN_VALUE = 60
+MAX_VALUE_CHARACTERS = 60
 
 
 class SettingsProblem(NamedTuple):
@@ -21,7 +21,7 @@
         return f"{self.file}: {self.field}: found {self.found}; allowed: {self.allowed}"
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Show a JSON value on one short line; of lists and objects only the kind."""
     if isinstance(value, dict):
         return "an object"
@@ -30,6 +30,6 @@
     # Escaped to ASCII: a line feed or half a surrogate pair in a value must not
     # break the one line that is promised for each problem.
     text = json.dumps(value)
-    if len(text) > LONGEST_SHOWN_VALUE:
-        return text[:LONGEST_SHOWN_VALUE] + "..."
+    if len(text) > MAX_VALUE_CHARACTERS:
+        return text[:MAX_VALUE_CHARACTERS] + "..."
     return text
--- a/packages/host/src/cowslipshelf_host/internal/settings/rules.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/rules.py
@@ -12,8 +12,8 @@
     UpstreamSettings,
 )
 
-FEWEST_INTERVALS = 2
-LONGER_THAN = (
+MIN_INTERVALS = 2
+INTERVAL_PAIRS = (
     ("lease_seconds", "announce_seconds"),
     ("silence_seconds", "heartbeat_seconds"),
     ("owner_lease_seconds", "heartbeat_seconds"),
@@ -24,22 +24,22 @@
 """Times of which the first must span at least two of the second."""
 
 
-class RuleBroken(NamedTuple):
+class RuleViolation(NamedTuple):
     """Be a problem without its file."""
 
     field: str
     found: str
     allowed: str
-    also_read: tuple[str, ...] = ()
+    other_fields: tuple[str, ...] = ()
     """Fields, beside its own, that the rule was tried on."""
 
-    def reads_any_of(self, faulty: tuple[str, ...]) -> bool:
+    def depends_on_any(self, faulty: tuple[str, ...]) -> bool:
         """Tell whether the rule read one of the fields, or a part or the whole."""
-        read = (self.field, *self.also_read)
-        return any(overlap(field, each) for field in faulty for each in read)
+        read = (self.field, *self.other_fields)
+        return any(paths_overlap(field, each) for field in faulty for each in read)
 
 
-def overlap(first: str, second: str) -> bool:
+def paths_overlap(first: str, second: str) -> bool:
     """Tell whether two paths are the same or one lies within the other."""
     shorter, longer = sorted((first, second), key=len)
     after = longer[len(shorter) : len(shorter) + 1]
@@ -54,35 +54,35 @@
     address: str
 
 
-def broken_rules(settings: DaemonSettings) -> Iterator[RuleBroken]:
+def find_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
     """Yield every rule that the settings of one daemon break."""
-    yield from role_rules(settings)
-    yield from data_centre_rules(settings)
-    yield from entry_rules(settings)
-    yield from address_rules(settings)
-    yield from timing_rules(settings.timings)
+    yield from role_violations(settings)
+    yield from data_centre_violations(settings)
+    yield from entry_violations(settings)
+    yield from address_violations(settings)
+    yield from timing_violations(settings.timings)
     if settings.entry is not None:
-        yield from limit_rules(settings.entry.limits)
+        yield from limit_violations(settings.entry.limits)
     if settings.sidecar is not None:
-        yield from upstream_rules(settings.sidecar.upstream)
+        yield from upstream_violations(settings.sidecar.upstream)
 
 
-def role_rules(settings: DaemonSettings) -> Iterator[RuleBroken]:
+def role_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
     """Yield a missing section of the role, and the section of another one."""
     sections = {"entry": settings.entry, "sidecar": settings.sidecar}
     for role, section in sections.items():
         if role == settings.role and section is None:
             allowed = f'an object, as the role is "{role}"'
-            yield RuleBroken(role, "nothing", allowed, ("role",))
+            yield RuleViolation(role, "nothing", allowed, ("role",))
         if role != settings.role and section is not None:
             allowed = f'nothing, as the role is "{settings.role}"'
-            yield RuleBroken(role, "an object", allowed, ("role",))
+            yield RuleViolation(role, "an object", allowed, ("role",))
     if settings.role == "sidecar" and not settings.entries:
         allowed = "at least one entry to announce to"
-        yield RuleBroken("entries", "a list of 0", allowed, ("role",))
+        yield RuleViolation("entries", "a list of 0", allowed, ("role",))
 
 
-def data_centre_rules(settings: DaemonSettings) -> Iterator[RuleBroken]:
+def data_centre_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
     """Yield data centres that are not listed, listed twice or without instances."""
     listed = settings.data_centres
     used = {"data_centre": settings.data_centre}
@@ -91,25 +91,25 @@
     for field, name in used.items():
         if name not in listed:
             allowed = "one of data_centres: " + ", ".join(listed)
-            yield RuleBroken(field, f'"{name}"', allowed, ("data_centres",))
+            yield RuleViolation(field, f'"{name}"', allowed, ("data_centres",))
     for index, name in enumerate(listed):
         field = f"data_centres[{index}]"
         if name in listed[:index]:
-            yield RuleBroken(field, f'"{name}" again', "each data centre once")
+            yield RuleViolation(field, f'"{name}" again', "each data centre once")
         if name not in used.values():
             allowed = "data centres that this instance or one of entries is in"
             found = f'"{name}", where no instance is'
-            yield RuleBroken(field, found, allowed, tuple(used))
+            yield RuleViolation(field, found, allowed, tuple(used))
 
 
-def entry_rules(settings: DaemonSettings) -> Iterator[RuleBroken]:
+def entry_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
     """Yield entries listed twice or otherwise than this instance says of itself."""
     names = [entry.instance for entry in settings.entries]
     for index, entry in enumerate(settings.entries):
         field = f"entries[{index}]"
         if entry.instance in names[:index]:
             found = f'"{entry.instance}" again'
-            yield RuleBroken(f"{field}.instance", found, "each instance once")
+            yield RuleViolation(f"{field}.instance", found, "each instance once")
         if entry.instance != settings.instance:
             continue
         own = settings.mailbox_address
@@ -117,29 +117,29 @@
             found = f'"{entry.mailbox_address}"'
             allowed = f"this instance's own mailbox_address {own}"
             read = ("instance", "mailbox_address")
-            yield RuleBroken(f"{field}.mailbox_address", found, allowed, read)
+            yield RuleViolation(f"{field}.mailbox_address", found, allowed, read)
         if entry.data_centre != settings.data_centre:
             found = f'"{entry.data_centre}"'
             allowed = f"this instance's own data_centre {settings.data_centre}"
             read = ("instance", "data_centre")
-            yield RuleBroken(f"{field}.data_centre", found, allowed, read)
-        yield from own_replica_rules(settings, field, entry.replica)
+            yield RuleViolation(f"{field}.data_centre", found, allowed, read)
+        yield from own_replica_violations(settings, field, entry.replica)
 
 
-def own_replica_rules(
+def own_replica_violations(
     settings: DaemonSettings, field: str, replica: bool
-) -> Iterator[RuleBroken]:
+) -> Iterator[RuleViolation]:
     """Yield a disagreement on whether this instance holds a replica."""
     if settings.role == "sidecar":
         allowed = "entries only; this instance is a sidecar"
-        yield RuleBroken(field, "this instance", allowed, ("instance", "role"))
+        yield RuleViolation(field, "this instance", allowed, ("instance", "role"))
         return
     if settings.entry is None:
         return
     has_folder = settings.entry.data_folder is not None
     if replica != has_folder:
         state = "set" if has_folder else "not set"
-        yield RuleBroken(
+        yield RuleViolation(
             f"{field}.replica",
             str(replica).lower(),
             f"{str(has_folder).lower()}, as entry.data_folder is {state}",
@@ -147,16 +147,16 @@
         )
 
 
-def address_rules(settings: DaemonSettings) -> Iterator[RuleBroken]:
+def address_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
     """Yield addresses that two would have to share."""
     for first, second in combinations(addresses_in_use(settings), 2):
         earlier, later = parse_address(first.address), parse_address(second.address)
         same_machine = first.instance == second.instance
-        if (same_machine and earlier.collides(later)) or earlier == later:
+        if (same_machine and earlier.conflicts_with(later)) or earlier == later:
             taken = f"{first.instance} has it by {first.field}"
             allowed = f"an address of its own; {taken}"
             found = f'"{second.address}"'
-            yield RuleBroken(second.field, found, allowed, (first.field, "instance"))
+            yield RuleViolation(second.field, found, allowed, (first.field, "instance"))
 
 
 def addresses_in_use(settings: DaemonSettings) -> list[AddressInUse]:
@@ -184,19 +184,19 @@
     return own
 
 
-def timing_rules(timings: TimingSettings) -> Iterator[RuleBroken]:
+def timing_violations(timings: TimingSettings) -> Iterator[RuleViolation]:
     """Yield times that contradict each other."""
-    for longer, shorter in LONGER_THAN:
+    for longer, shorter in INTERVAL_PAIRS:
         # One lost message or one late look must not count as a failure already.
-        least = FEWEST_INTERVALS * getattr(timings, shorter)
+        least = MIN_INTERVALS * getattr(timings, shorter)
         found = getattr(timings, longer)
         if found < least:
-            allowed = f"at least {FEWEST_INTERVALS} x {shorter} = {least:g}"
+            allowed = f"at least {MIN_INTERVALS} x {shorter} = {least:g}"
             read = (f"timings.{shorter}",)
-            yield RuleBroken(f"timings.{longer}", f"{found:g}", allowed, read)
+            yield RuleViolation(f"timings.{longer}", f"{found:g}", allowed, read)
 
 
-def limit_rules(limits: LimitSettings) -> Iterator[RuleBroken]:
+def limit_violations(limits: LimitSettings) -> Iterator[RuleViolation]:
     """Yield limits that contradict each other."""
     pairs = (
         ("most_queued_seconds_short", "most_queued_seconds_long"),
@@ -206,24 +206,26 @@
         found, most = getattr(limits, smaller), getattr(limits, larger)
         if found > most:
             field, read = f"entry.limits.{smaller}", (f"entry.limits.{larger}",)
-            yield RuleBroken(field, f"{found:g}", f"at most {larger} = {most:g}", read)
+            yield RuleViolation(
+                field, f"{found:g}", f"at most {larger} = {most:g}", read
+            )
 
 
-def upstream_rules(upstream: UpstreamSettings) -> Iterator[RuleBroken]:
+def upstream_violations(upstream: UpstreamSettings) -> Iterator[RuleViolation]:
     """Yield what an upstream of its kind lacks or cannot have."""
     models, memory = "sidecar.upstream.models", "sidecar.upstream.memory_tokens"
     read = ("sidecar.upstream.kind",)
     if len(set(upstream.models)) < len(upstream.models):
-        yield RuleBroken(models, "a model twice", "each model once")
+        yield RuleViolation(models, "a model twice", "each model once")
     is_model = upstream.kind == "model"
     if is_model and not upstream.models:
-        yield RuleBroken(models, "no model", "at least one model", read)
+        yield RuleViolation(models, "no model", "at least one model", read)
     if is_model and not upstream.memory_tokens:
         allowed = "the tokens of KV cache that fit its memory"
-        yield RuleBroken(memory, "0", allowed, read)
+        yield RuleViolation(memory, "0", allowed, read)
     if not is_model and upstream.models:
         allowed = 'none, as the kind is "plain"'
-        yield RuleBroken(models, "models", allowed, read)
+        yield RuleViolation(models, "models", allowed, read)
     if not is_model and upstream.memory_tokens:
         allowed = '0, as the kind is "plain"'
-        yield RuleBroken(memory, str(upstream.memory_tokens), allowed, read)
+        yield RuleViolation(memory, str(upstream.memory_tokens), allowed, read)
--- a/packages/host/src/cowslipshelf_host/internal/signals.py
+++ b/packages/host/src/cowslipshelf_host/internal/signals.py
@@ -14,7 +14,7 @@
 
 STOP_WATCHING = 0
 """Asks the watching thread to end; no signal has this number."""
-MOST_NUMBERS = 64
+MAX_SIGNALS_PER_READ = 64
 """Signals taken at once."""
 
 
@@ -34,9 +34,9 @@
     ) -> None:
         self.begin = begin
         self.end = end
-        self.arrivals, self.arrived = socket.socketpair()
-        self.arrived.setblocking(False)
-        self.previous: dict[int, object] = {}
+        self.wakeup_reader, self.wakeup_writer = socket.socketpair()
+        self.wakeup_writer.setblocking(False)
+        self.previous_handlers: dict[int, object] = {}
         self.previous_wakeup = -1
         self.thread = Thread(target=self.watch, name="signals", daemon=True)
 
@@ -50,13 +50,13 @@
     def install(self) -> None:
         """Start to watch; call it from the main thread."""
         self.thread.start()
-        self.previous_wakeup = signal.set_wakeup_fd(self.arrived.fileno())
+        self.previous_wakeup = signal.set_wakeup_fd(self.wakeup_writer.fileno())
         for number in SHUTDOWN_SIGNALS:
-            self.previous[number] = signal.signal(number, leave_to_watcher)
+            self.previous_handlers[number] = signal.signal(number, ignore_in_handler)
 
     def receive(self, number: int) -> None:
         """Take a signal's number, as the interpreter gives it."""
-        self.arrived.send(bytes((number,)))
+        self.wakeup_writer.send(bytes((number,)))
 
     def watch(self) -> None:
         """Call back for each signal until asked to stop.
@@ -66,28 +66,28 @@
         """
         callbacks = iter((self.begin, self.end))
         while True:
-            for number in self.arrivals.recv(MOST_NUMBERS):
+            for number in self.wakeup_reader.recv(MAX_SIGNALS_PER_READ):
                 if number == STOP_WATCHING:
                     return
                 if number in SHUTDOWN_SIGNALS:
-                    call_back(next(callbacks, None), signal.Signals(number).name)
+                    run_callback(next(callbacks, None), signal.Signals(number).name)
 
     def stop(self) -> None:
         """Stop to watch and give the signals back to who had them before."""
-        for number, handler in self.previous.items():
+        for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)  # type: ignore[arg-type]
         signal.set_wakeup_fd(self.previous_wakeup)
         self.receive(STOP_WATCHING)
         self.thread.join()
-        self.arrivals.close()
-        self.arrived.close()
+        self.wakeup_reader.close()
+        self.wakeup_writer.close()
 
 
-def leave_to_watcher(_number: int, _frame: object) -> None:
+def ignore_in_handler(_number: int, _frame: object) -> None:
     """Keep a signal from its default, which ends the process."""
 
 
-def call_back(callback: Callable[[str], object] | None, name: str) -> None:
+def run_callback(callback: Callable[[str], object] | None, name: str) -> None:
     """Call back; a failure is logged, so that the next signal is still heard."""
     if callback is None:
         LOG.info("Signal ignored, the end was already asked for.", signal=name)
--- a/packages/host/src/cowslipshelf_host/internal/storage/files.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/files.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from cowslipshelf_host.internal.storage.errors import StorageError
-from cowslipshelf_host.internal.storage.framing import frame, scan
+from cowslipshelf_host.internal.storage.framing import frame_record, scan_records
 
 TEMPORARY_SUFFIX = ".tmp"
 FILE_MODE = 0o600
@@ -32,7 +32,7 @@
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
-        write_all(descriptor, frame(payload))
+        write_all(descriptor, frame_record(payload))
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
@@ -43,7 +43,7 @@
 def read_record_file(path: Path) -> bytes:
     """Read a file of one record, or raise `StorageError` for damage."""
     data = path.read_bytes()
-    found = scan(data)
+    found = scan_records(data)
     if len(found.records) != 1 or found.end != len(data):
         raise StorageError.corrupt(path, "the checksum does not match", found.end)
     return found.records[0].payload
--- a/packages/host/src/cowslipshelf_host/internal/storage/framing.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/framing.py
@@ -5,46 +5,46 @@
 from typing import NamedTuple
 
 HEADER = struct.Struct("<IIII")
-CHECKED_HEADER = struct.Struct("<III")
+HEADER_FIELDS = struct.Struct("<III")
 SECTOR_BYTES = 512
-FEWEST_ZEROS = 32
+MIN_ZERO_BYTES = 32
 """A shorter run of zeros at a sector's end may well belong to a record."""
 
 
-class Record(NamedTuple):
+class FramedRecord(NamedTuple):
     """Be a whole record of a file."""
 
     offset: int
     payload: bytes
 
 
-class Scan(NamedTuple):
+class ScanResult(NamedTuple):
     """Be what a file holds, up to its first bad record if there is one."""
 
-    records: list[Record]
+    records: list[FramedRecord]
     end: int
     """Offset after the last whole record."""
     corrupt: bool
     """True where bytes after the end were synced and have been damaged since."""
 
 
-def frame(payload: bytes, synced: int = 0) -> bytes:
+def frame_record(payload: bytes, synced: int = 0) -> bytes:
     """Return a record; `synced` is the length of the file known to be synced."""
-    checked = CHECKED_HEADER.pack(len(payload), synced, zlib.crc32(payload))
+    checked = HEADER_FIELDS.pack(len(payload), synced, zlib.crc32(payload))
     return checked + struct.pack("<I", zlib.crc32(checked)) + payload
 
 
-def scan(data: bytes) -> Scan:
+def scan_records(data: bytes) -> ScanResult:
     """Read records from the start, and judge what follows the last whole one."""
     records = []
     offset = 0
     while offset < len(data):
         payload = record_at(data, offset)
         if payload is None:
-            return Scan(records, offset, not is_torn(data, offset))
-        records.append(Record(offset, payload))
+            return ScanResult(records, offset, not is_torn(data, offset))
+        records.append(FramedRecord(offset, payload))
         offset += HEADER.size + len(payload)
-    return Scan(records, offset, corrupt=False)
+    return ScanResult(records, offset, corrupt=False)
 
 
 def header_at(data: bytes, offset: int) -> tuple[int, int, int] | None:
@@ -52,7 +52,7 @@
     if offset + HEADER.size > len(data):
         return None
     length, synced, checksum, header_checksum = HEADER.unpack_from(data, offset)
-    checked = data[offset : offset + CHECKED_HEADER.size]
+    checked = data[offset : offset + HEADER_FIELDS.size]
     return (
         (length, synced, checksum) if zlib.crc32(checked) == header_checksum else None
     )
@@ -105,7 +105,7 @@
     start = offset
     while start < len(data):
         end = min(len(data), start - start % SECTOR_BYTES + SECTOR_BYTES)
-        if end - start >= FEWEST_ZEROS and not any(data[start:end]):
+        if end - start >= MIN_ZERO_BYTES and not any(data[start:end]):
             return True
         start = end
     return False
--- a/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
@@ -32,11 +32,11 @@
     since 1970.
     """
     return ReplicaStorage.from_config(config).and_then(
-        lambda storage: force_in(storage, operator, at)
+        lambda storage: force_in_storage(storage, operator, at)
     )
 
 
-def force_in(
+def force_in_storage(
     storage: ReplicaStorage, operator: str, at: float
 ) -> Result[ForcedMembership, StorageError]:
     """Write the forced membership through a storage, then close it."""
--- a/packages/host/src/cowslipshelf_host/internal/storage/segments.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/segments.py
@@ -14,7 +14,7 @@
     sync_folder,
     write_all,
 )
-from cowslipshelf_host.internal.storage.framing import frame, scan
+from cowslipshelf_host.internal.storage.framing import frame_record, scan_records
 
 SEGMENT_PATTERN = "log-*"
 SEGMENT_NAME = "log-{first_index:020d}"
@@ -30,7 +30,7 @@
     path: Path
     first_index: int
     size: int = 0
-    synced: int = 0
+    synced_size: int = 0
     offsets: array = field(default_factory=lambda: array("Q"))
     """Offset of each entry, so that the log can be cut before it."""
 
@@ -70,7 +70,7 @@
                     detail = f"entry {entry.index} stands for {segment.next_index}"
                     raise StorageError.corrupt(path, detail, offset)
                 segment.offsets.append(offset)
-                segment.size = segment.synced = end
+                segment.size = segment.synced_size = end
                 entries.append(entry)
         if self.segments[0].first_index > snapshot_index + 1:
             detail = f"the entries from {snapshot_index + 1} on are missing"
@@ -97,7 +97,7 @@
     def load_segment(self, path: Path, is_last: bool) -> list[tuple[int, int, Entry]]:
         """Read a segment; only the last one may end in a torn record."""
         data = path.read_bytes()
-        found = scan(data)
+        found = scan_records(data)
         if found.corrupt or (found.end < len(data) and not is_last):
             detail = "a record that was synced is damaged"
             raise StorageError.corrupt(path, detail, found.end)
@@ -144,7 +144,7 @@
                 self.sync()
                 self.create(segment.next_index)
                 segment = self.segments[-1]
-            record = frame(ENTRY_ENCODER.encode(entry), segment.synced)
+            record = frame_record(ENTRY_ENCODER.encode(entry), segment.synced_size)
             segment.offsets.append(segment.size)
             segment.size += len(record)
             self.pending += record
@@ -159,9 +159,9 @@
         """Make everything appended durable."""
         self.flush()
         segment = self.segments[-1]
-        if segment.synced < segment.size:
+        if segment.synced_size < segment.size:
             os.fdatasync(self.descriptor)
-            segment.synced = segment.size
+            segment.synced_size = segment.size
 
     def truncate_from(self, index: int) -> None:
         """Cut off an entry and all after it, the newest file first.
@@ -178,7 +178,7 @@
         if position < len(segment.offsets):
             segment.size = segment.offsets[position]
             del segment.offsets[position:]
-        segment.synced = min(segment.synced, segment.size)
+        segment.synced_size = min(segment.synced_size, segment.size)
         os.ftruncate(self.descriptor, segment.size)
         os.fsync(self.descriptor)
         sync_folder(self.folder)
--- a/packages/host/src/cowslipshelf_host/log_entries.py
+++ b/packages/host/src/cowslipshelf_host/log_entries.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-HIDDEN = frozenset({"event", "timestamp", "level", "part", "request"})
+OMITTED_FIELDS = frozenset({"event", "timestamp", "level", "part", "request"})
 
 
 class LogEntry(NamedTuple):
@@ -27,7 +27,7 @@
         shown = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in HIDDEN and value not in (None, "", [])
+            if name not in OMITTED_FIELDS and value not in (None, "", [])
         )
         return f"{self.at:%H:%M:%S.%f} {self.source} {self.event} {shown}".rstrip()
 
@@ -37,12 +37,12 @@
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as lines:
             for line in lines:
-                entry = entry_of(line, str(path))
+                entry = parse_entry(line, str(path))
                 if entry is not None:
                     yield entry
 
 
-def entry_of(line: str, file_name: str) -> LogEntry | None:
+def parse_entry(line: str, file_name: str) -> LogEntry | None:
     """Read one line; whoever collects logs may have put a name before the entry."""
     before, brace, rest = line.partition("{")
     try:
