--- a/packages/host/src/cowslipshelf_host/__init__.py
+++ b/packages/host/src/cowslipshelf_host/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the host: settings, logs, metrics, disk, clock and signals."""
+"""Provide settings, logs, metrics, storage, clock and signals of a process."""
--- a/packages/host/src/cowslipshelf_host/clock.py
+++ b/packages/host/src/cowslipshelf_host/clock.py
@@ -1,4 +1,4 @@
-"""Read clocks; deciders get the readings as arguments."""
+"""Provide clocks; decision code takes their readings as arguments."""
 
 import time
 from collections.abc import Callable
@@ -6,12 +6,12 @@
 
 
 class Clock(NamedTuple):
-    """Be the two clocks of a process."""
+    """Hold the two clocks of a process."""
 
     monotonic: Callable[[], float]
-    """Seconds since an arbitrary start; never goes back. For all waiting."""
+    """Seconds since an arbitrary start; never goes back. Use it for timeouts."""
     wall: Callable[[], float]
-    """Seconds since 1970; may jump. For people and for the log only."""
+    """Seconds since 1970; may jump. Use it only for display and log entries."""
 
 
 SYSTEM_CLOCK = Clock(monotonic=time.monotonic, wall=time.time)
--- a/packages/host/src/cowslipshelf_host/internal/__init__.py
+++ b/packages/host/src/cowslipshelf_host/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the public modules of the package re-export."""
+"""Implement what the public modules of the package re-export."""
--- a/packages/host/src/cowslipshelf_host/internal/logs/__init__.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Write logs."""
+"""Write structured logs."""
--- a/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever stopping the thread that logs."""
+"""Write log lines without failing the thread that logs."""
 
 import sys
 import time
@@ -7,27 +7,27 @@
 from typing import TextIO
 
 MAX_QUEUED_LINES = 4_000
-"""Lines that wait for a slow reader: some seconds of a busy process's."""
+"""Lines queued for a slow reader: some seconds of a busy process's lines."""
 MAX_LINES_PER_SECOND = 400
-"""Lines written on average at most. A request takes three; a process serves some ten
-requests a second, and a hundred when it is one of few that are left."""
+"""Average rate, with a burst of one second's lines. A request logs three lines. A
+process serves some ten requests per second, and a hundred if few processes are left."""
 BATCH_SECONDS = 0.05
-"""Time for which lines are collected, so that many go out in one write."""
+"""Time for which lines are collected before they go out in one write."""
 STOP_SECONDS = 0.5
-"""Time for the last lines to go out when the process ends."""
+"""Time in which the last lines can go out when the process ends."""
 
 
 class LineWriter:
-    """Write lines to a stream, or to standard error as it is at that time."""
+    """Write lines to a stream, or to the current `sys.stderr`."""
 
     def __init__(self, stream: TextIO | None = None) -> None:
         self.stream = stream
         self.lock = Lock()
         self.lost_lines = 0
-        """Lines that could not be written."""
+        """Lines that were not written."""
 
     def write_line(self, line: str) -> None:
-        """Write one line, whole, and count it as lost where that fails."""
+        """Write one whole line; if that fails, count it as lost."""
         text = line.encode("utf-8", "backslashreplace").decode("utf-8") + "\n"
         with self.lock:
             stream = self.stream or sys.stderr
@@ -35,8 +35,8 @@
                 stream.write(text)
                 stream.flush()
             except (OSError, ValueError):
-                # The reader of the stream has gone or the disk behind it is full.
-                # A log line is worth less than the request that the thread serves.
+                # The reader of the stream is gone or the disk is full. Losing a log
+                # line is better than failing the request that the thread serves.
                 self.lost_lines += 1
 
     debug = info = warning = error = critical = msg = write_line
@@ -44,10 +44,10 @@
 
 
 class QueuedLineWriter(LineWriter):
-    """Write lines on a thread of its own, so many a second at most.
+    """Write lines on a background thread, at a limited rate.
 
-    A full pipe would hold up whoever writes to it; here only the queue grows, to its
-    bound. Lines beyond the bounds are dropped and counted, and the count is written.
+    A write to a full pipe would block the logging thread; here only a bounded queue
+    grows. Lines beyond the bounds are dropped, and their number is logged.
     """
 
     def __init__(self, stream: TextIO | None = None) -> None:
@@ -62,7 +62,7 @@
         self.thread.start()
 
     def write_line(self, line: str) -> None:
-        """Queue one line, or drop it."""
+        """Queue one line, or drop it if the queue or the rate limit is full."""
         with self.condition:
             if not self.admit_line():
                 self.dropped_lines += 1
@@ -74,7 +74,7 @@
     exception = fatal = warn = log = write_line
 
     def admit_line(self) -> bool:
-        """Spend the allowance of one line; the bounds are those of the constants."""
+        """Take a token from the bucket; return False at the rate or queue limit."""
         now = time.monotonic()
         gained = (now - self.refilled_at) * MAX_LINES_PER_SECOND
         self.refilled_at = now
@@ -85,7 +85,7 @@
         return True
 
     def run(self) -> None:
-        """Write what waits, until stopped; the work of the thread."""
+        """Write the queued lines in batches until stopped; the thread runs this."""
         while True:
             with self.condition:
                 while not self.queue and not self.stopping:
@@ -98,7 +98,7 @@
             super().write_line("\n".join(self.drain_queue()))
 
     def drain_queue(self) -> list[str]:
-        """Take all lines that wait, and say how many were dropped before them."""
+        """Take all queued lines, and add a line with the number of dropped ones."""
         with self.condition:
             lines = list(self.queue)
             self.queue.clear()
@@ -109,7 +109,7 @@
         return lines
 
     def stop(self) -> None:
-        """Let the last lines go out, within a short time."""
+        """Let the last lines go out, within `STOP_SECONDS`."""
         with self.condition:
             self.stopping = True
             self.condition.notify()
--- a/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
@@ -1,4 +1,4 @@
-"""Keep secrets out of log lines."""
+"""Mask secrets in log entries."""
 
 import dataclasses
 import re
@@ -27,19 +27,19 @@
 
 
 def mask_secrets(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Mask secrets by the names they stand under, however deep they are nested."""
+    """Mask values whose field names mark them as secret, at any depth."""
     return {name: mask_field(name, value, 0) for name, value in event.items()}
 
 
 def mask_field(name: object, value: Any, depth: int) -> Any:
-    """Mask a value if its name says that it is secret, else what is inside it."""
+    """Mask a value whose name marks it as secret, or else the secrets inside it."""
     if is_secret_name(name):
         return MASK
     return mask_value(value, depth)
 
 
 def is_secret_name(name: object) -> bool:
-    """Tell whether values under a name must not be logged."""
+    """Return whether the values of a field must not be logged."""
     if not isinstance(name, str):
         return False
     plain = name.lower().replace("-", "_")
@@ -47,14 +47,14 @@
 
 
 def mask_value(value: Any, depth: int) -> Any:
-    """Mask what is secret inside a value."""
-    # A value that contains itself would else recurse until the thread dies.
+    """Mask the secrets inside a value and convert it to plain data."""
+    # Without a bound, a value that contains itself would recurse without end.
     if depth > MAX_DEPTH:
         return TRUNCATED_VALUE
     if isinstance(value, str):
         return mask_bearer(value)
     if isinstance(value, bytes | bytearray | memoryview):
-        # Bodies hold callers' own matters; how long they are is all that is told.
+        # Bodies hold callers' private data, so only their length is logged.
         return f"{len(value)} bytes"
     fields = named_fields(value)
     if fields is not None:
@@ -70,7 +70,7 @@
 
 
 def named_fields(value: Any) -> Mapping[Any, Any] | None:
-    """Return the fields of a mapping, record, document or data class."""
+    """Return the fields of a mapping, named tuple, struct or data class, or None."""
     if isinstance(value, Mapping):
         return value
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
@@ -84,7 +84,7 @@
 
 
 def mask_item(item: Any, depth: int) -> Any:
-    """Mask an item of a list; headers come as pairs of a name and a value."""
+    """Mask a list item; headers are pairs of a name and a value."""
     match item:
         case (str() as name, value):
             return [name, mask_field(name, value, depth)]
@@ -92,17 +92,17 @@
 
 
 def mask_bearer(text: str) -> str:
-    """Mask a key that follows the word bearer within a text."""
+    """Mask the key after the word "bearer" in a text."""
     return BEARER_PATTERN.sub(rf"\g<1>{MASK}", text)
 
 
 def field_name(name: object) -> str:
-    """Give a field name that every format can write."""
+    """Return a field name as text, which every log format can write."""
     return name if isinstance(name, str) else safe_repr(name)
 
 
 def safe_repr(value: object) -> str:
-    """Show any value, also one that cannot show itself."""
+    """Return the repr of a value, or a note if its `__repr__` fails."""
     try:
         return repr(value)
     except Exception as error:
--- a/packages/host/src/cowslipshelf_host/internal/logs/setup.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/setup.py
@@ -1,4 +1,4 @@
-"""Set up structured logs."""
+"""Configure structured logs."""
 
 import logging
 from typing import Any, TextIO, TypeVar
@@ -17,17 +17,17 @@
 
 
 def configure_logs(settings: LogSettings, stream: TextIO | None = None) -> LineWriter:
-    """Make every part logger write as the settings say, to standard error if unset."""
+    """Configure all part loggers; they write to standard error by default."""
     return configure_writer(settings, LineWriter(stream))
 
 
 def configure_queued_logs(settings: LogSettings, stream: TextIO) -> QueuedLineWriter:
-    """Make every part logger write on a thread of its own; stop it at the end."""
+    """Configure all part loggers to write on a background thread; stop it at exit."""
     return configure_writer(settings, QueuedLineWriter(stream))
 
 
 def configure_writer(settings: LogSettings, writer: Writer) -> Writer:
-    """Make every part logger write through a writer."""
+    """Configure all part loggers to write through a writer."""
     level = logging.getLevelNamesMapping()[settings.level.upper()]
     structlog.configure(
         processors=[
@@ -47,12 +47,12 @@
 
 
 def part_logger(prefix: str) -> Any:
-    """Return the logger of one part, whose lines all begin with its prefix."""
+    """Return the logger of one part of the program; it prefixes each event."""
     return structlog.get_logger(**{PART: prefix})
 
 
 def prefix_event(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Put the part's prefix before the sentence."""
+    """Put the part's prefix before the event text."""
     part = event.get(PART)
     if part is None:
         return event
@@ -60,7 +60,7 @@
 
 
 def renderers(settings: LogSettings) -> list[Processor]:
-    """Return what turns a log entry into one line."""
+    """Return the processors that format a log entry as one line."""
     match settings.format:
         case "json":
             return [structlog.processors.JSONRenderer()]
@@ -69,17 +69,17 @@
 
 
 def drop_part(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Leave out the part, as a console line begins with it."""
+    """Drop the part field, which the event text already begins with."""
     return {name: value for name, value in event.items() if name != PART}
 
 
 def escape_event(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Escape what would break the line, as text from peers could forge a second one."""
+    """Escape line breaks; otherwise text from peers could forge a log line."""
     return event | {EVENT: repr(event[EVENT])[1:-1]}
 
 
 def console_line(_logger: WrappedLogger, _method: str, event: EventDict) -> str:
-    """Write the time, the level, the sentence and the fields behind it."""
+    """Format the time, the level, the event text and the other fields."""
     fields = dict(event)
     head = [fields.pop("timestamp"), fields.pop("level"), fields.pop(EVENT)]
     return " ".join(head + [f"{name}={value!r}" for name, value in fields.items()])
--- a/packages/host/src/cowslipshelf_host/internal/metrics/__init__.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Count and time what happens."""
+"""Collect metrics and format them for Prometheus."""
--- a/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
@@ -1,4 +1,4 @@
-"""Write samples in the Prometheus text format."""
+"""Format samples in the Prometheus text format."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -11,7 +11,7 @@
 def metric_lines(
     name: str, kind: str, help_text: str, samples: Sequence[tuple[Labels, Sample]]
 ) -> Iterator[str]:
-    """Write one metric with all its samples."""
+    """Yield the lines of one metric with all its samples."""
     if help_text:
         yield f"# HELP {name} {escape(help_text)}"
     yield f"# TYPE {name} {kind}"
@@ -23,7 +23,7 @@
 
 
 def labels_text(labels: Labels) -> str:
-    """Write labels in braces, or nothing where there are none."""
+    """Return labels in braces, or an empty text if there are none."""
     if not labels:
         return ""
     pairs = (f'{key}="{escape(value, quoted=True)}"' for key, value in labels)
@@ -31,14 +31,14 @@
 
 
 def escape(text: str, *, quoted: bool = False) -> str:
-    """Escape what the format reserves, and what UTF-8 cannot carry."""
+    """Escape characters that the format reserves or that UTF-8 can't encode."""
     sound = text.encode("utf-8", "backslashreplace").decode("utf-8")
     safe = sound.replace("\\", "\\\\").replace("\n", "\\n")
     return safe.replace('"', '\\"') if quoted else safe
 
 
 def value_text(value: float) -> str:
-    """Write a number as the format has it."""
+    """Return a number in the notation of the format."""
     if math.isnan(value):
         return "NaN"
     if math.isinf(value):
--- a/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
@@ -1,4 +1,4 @@
-"""Hold all metrics of a process and write them for Prometheus."""
+"""Hold all metrics of a process and format them for Prometheus."""
 
 import re
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 
 
 class MetricError(ValueError):
-    """Say how a metric is misused."""
+    """Report a misused metric."""
 
 
 class Metric(NamedTuple):
-    """Be one metric with its series by label set."""
+    """Hold one metric and its series by label set."""
 
     name: str
     series_type: Callable[[], Series]
@@ -38,7 +38,7 @@
 
 
 class Metrics:
-    """Count, hold and time by name and labels, from any thread."""
+    """Record counters, gauges and durations by name and labels; thread-safe."""
 
     def __init__(self, max_label_sets: int = MAX_LABEL_SETS) -> None:
         self.max_label_sets = max_label_sets
@@ -47,11 +47,11 @@
         self.help_texts: dict[str, str] = {OVERFLOW_METRIC: OVERFLOW_HELP}
 
     def describe(self, name: str, help_text: str) -> None:
-        """Say what a metric means, for who reads the text."""
+        """Set the help text of a metric."""
         self.help_texts[validate_name(name)] = help_text
 
     def count(self, name: str, amount: float = 1, /, **labels: str) -> None:
-        """Add to a counter; its name ends in `_total`."""
+        """Add to a counter, whose name ends in `_total`."""
         self.series(name, Counter, labels).add(amount)
 
     def gauge(self, name: str, value: float, /, **labels: str) -> None:
@@ -59,17 +59,17 @@
         self.series(name, Gauge, labels).set(value)
 
     def record_seconds(self, name: str, seconds: float, /, **labels: str) -> None:
-        """Record a duration in seconds; its name ends in `_seconds`."""
+        """Record a duration in a summary, whose name ends in `_seconds`."""
         self.series(name, Summary, labels).record(seconds)
 
     def series(
         self, name: str, kind: type[SeriesType], labels: dict[str, str]
     ) -> SeriesType:
-        """Find a series, or make it where the bound allows one more.
+        """Return a series; create it if the bound on label sets allows one more.
 
-        Label values can come from callers, such as a model that nobody has; without
-        a bound each would cost memory for good. What is beyond it is counted under
-        one label set and reported by a counter of its own.
+        Label values can come from callers, such as the name of a model that does not
+        exist; without a bound, each new value would take memory forever. Values beyond
+        the bound share one label set, and a separate counter reports them.
         """
         key: LabelSet = tuple(
             sorted((key, str(value)) for key, value in labels.items())
@@ -91,14 +91,14 @@
             return metric.series[key]  # type: ignore[return-value]
 
     def count_overflow(self, name: str) -> None:
-        """Count a value beyond the bound; there are no more series than metrics."""
+        """Count a value beyond the bound; this counter has one series per metric."""
         made = Metric(OVERFLOW_METRIC, Counter, {})
         metric = self.metrics.setdefault(OVERFLOW_METRIC, made)
         series = metric.series.setdefault((("metric", name),), Counter())
         series.add(1)  # type: ignore[attr-defined]
 
     def prometheus_text(self) -> str:
-        """Write all metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         with self.lock:
             listed = [
                 (metric, sorted(metric.series.items()))
--- a/packages/host/src/cowslipshelf_host/internal/metrics/series.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/series.py
@@ -1,4 +1,4 @@
-"""Keep the values of one metric under one set of labels."""
+"""Hold the values of one metric for one label set."""
 
 import math
 from threading import Lock
@@ -14,7 +14,7 @@
 
 
 class Sample(NamedTuple):
-    """Be one line of the text format, without the metric's name and labels."""
+    """Hold one line of the text format, without the metric's name and labels."""
 
     suffix: str
     quantile: float | None
@@ -22,16 +22,16 @@
 
 
 class Series(Protocol):
-    """Be what all kinds of series can do."""
+    """Define what all kinds of series provide."""
 
     kind: str
 
     def samples(self) -> list[Sample]:
-        """Read the present values."""
+        """Return the current values."""
 
 
 class Counter:
-    """Count what happened."""
+    """Hold a total that only grows."""
 
     kind = "counter"
 
@@ -40,14 +40,14 @@
         self.total = 0.0
 
     def add(self, amount: float) -> None:
-        """Add an amount that is not negative, as rates are taken from the total."""
+        """Add an amount that is not negative, as rates are computed from the total."""
         if not (math.isfinite(amount) and amount >= 0):
             raise ValueError(f"a counter cannot grow by {amount}")
         with self.lock:
             self.total += amount
 
     def samples(self) -> list[Sample]:
-        """Read the total."""
+        """Return the total."""
         return [Sample("", None, self.total)]
 
 
@@ -60,22 +60,22 @@
         self.value = 0.0
 
     def set(self, value: float) -> None:
-        """Replace the value."""
+        """Set the value."""
         self.value = float(value)
 
     def samples(self) -> list[Sample]:
-        """Read the value."""
+        """Return the value."""
         return [Sample("", None, self.value)]
 
 
 class Summary:
-    """Hold durations from a microsecond to an hour, to two digits."""
+    """Hold durations from 1 microsecond to 1 hour, to two significant digits."""
 
     kind = "summary"
 
     def __init__(self) -> None:
-        # Each series has its own lock: reading the quantiles of one takes about a
-        # millisecond, and threads that record others need not wait for that.
+        # Each series has its own lock: reading the quantiles of one takes about 1 ms,
+        # for which threads that record in other series need not wait.
         self.lock = Lock()
         self.histogram = HdrHistogram(
             MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS
@@ -83,7 +83,7 @@
         self.sum_seconds = 0.0
 
     def record(self, seconds: float) -> None:
-        """Record a duration; one beyond the range counts as its nearest end."""
+        """Record a duration, clamped to the range."""
         if math.isnan(seconds):
             raise ValueError("a duration cannot be NaN")
         longest = MAX_MICROSECONDS / MICROSECONDS_PER_SECOND
@@ -94,7 +94,7 @@
             self.sum_seconds += clamped
 
     def samples(self) -> list[Sample]:
-        """Read the quantiles, the sum, the number and the maximum."""
+        """Return the quantiles, the maximum, the sum and the count."""
         with self.lock:
             wanted = [quantile * 100 for quantile in QUANTILES]
             values = self.histogram.get_percentile_to_value_dict(wanted)
--- a/packages/host/src/cowslipshelf_host/internal/settings/__init__.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Describe, load and check settings."""
+"""Define, load and check settings."""
--- a/packages/host/src/cowslipshelf_host/internal/settings/addresses.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/addresses.py
@@ -1,4 +1,4 @@
-"""Read addresses of the form IP:PORT."""
+"""Parse addresses of the form IP:PORT."""
 
 from ipaddress import IPv4Address, IPv6Address, ip_address
 from typing import NamedTuple
@@ -7,13 +7,13 @@
 
 
 class NetworkAddress(NamedTuple):
-    """Be an IP number and a port."""
+    """Hold an IP address and a port."""
 
     ip: IPv4Address | IPv6Address
     port: int
 
     def conflicts_with(self, other: "NetworkAddress") -> bool:
-        """Tell whether both can't be bound on one machine."""
+        """Return whether one machine can't bind both addresses."""
         if self.port != other.port:
             return False
         same = self.ip == other.ip
@@ -21,24 +21,24 @@
 
 
 class AddressError(ValueError):
-    """Say why a text is no address."""
+    """Report why a text is not an address."""
 
 
 def parse_address(text: str) -> NetworkAddress:
-    """Read IP:PORT, or raise `AddressError` with the reason."""
+    """Parse IP:PORT, or raise `AddressError` with the reason."""
     host, colon, port = text.rpartition(":")
     if not colon:
         raise AddressError("without a port")
     if not (port.isascii() and port.isdigit()):
         raise AddressError("whose port is no number")
-    # Compared by length first: Python refuses to convert very long numbers.
+    # The length is checked first: Python refuses to convert very long numbers.
     if len(port) > len(str(MAX_PORT)) or not 1 <= int(port) <= MAX_PORT:
         raise AddressError(f"whose port is not between 1 and {MAX_PORT}")
     return NetworkAddress(parse_ip(host), int(port))
 
 
 def parse_ip(host: str) -> IPv4Address | IPv6Address:
-    """Read an IP number, an IPv6 one in brackets, or raise `AddressError`."""
+    """Parse an IP address, IPv6 in brackets, or raise `AddressError`."""
     bracketed = host.startswith("[") and host.endswith("]")
     try:
         ip = ip_address(host[1:-1] if bracketed else host)
--- a/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
@@ -1,4 +1,4 @@
-"""Compare a JSON value with the settings types and collect every problem."""
+"""Check a JSON value against the settings types and collect every problem."""
 
 from difflib import get_close_matches
 
@@ -31,11 +31,11 @@
 
 
 class DocumentChecker:
-    """Walk one file's JSON beside the types and note what is wrong.
+    """Check the JSON of one file against the settings types.
 
-    Each method returns a value that the types allow: the given one, with
-    placeholders where it was faulty. So the rules on what fields mean together
-    can be tried in the same run, and one run names everything.
+    Each method returns a value that the types allow: the given one, with placeholders
+    for faulty parts. So the rules that compare fields can be checked in the same run,
+    and one run reports every problem.
     """
 
     def __init__(self, file: str) -> None:
@@ -43,7 +43,7 @@
         self.problems: list[SettingsProblem] = []
 
     def add_problem(self, field: str, found: str, allowed: str) -> None:
-        """Note a problem."""
+        """Record a problem."""
         self.problems.append(SettingsProblem(self.file, field, found, allowed))
 
     def check_document(
@@ -88,7 +88,7 @@
         ]
 
     def check_scalar(self, value: object, field: FieldType, path: str) -> object:
-        """Check a text, number or truth value."""
+        """Check a text, number or boolean."""
         found = HIDDEN_VALUE_TEXT if is_secret(field) else format_value(value)
         try:
             msgspec.convert(value, field.annotation)
@@ -103,7 +103,7 @@
         return placeholder(field)
 
     def add_unknown_field(self, name: str, known: list[str], path: str) -> None:
-        """Note an unknown field and suggest the name that was meant."""
+        """Record an unknown field and suggest a known name similar to it."""
         near = get_close_matches(name, known, n=1, cutoff=MIN_SIMILARITY)
         suggested = f'did you mean "{near[0]}"? ' if near else ""
         allowed = f"{suggested}known: {', '.join(known)}"
@@ -113,12 +113,12 @@
 
 
 def check_address(text: str, field_format: FieldFormat) -> None:
-    """Raise `AddressError` where a text is no address of its form."""
+    """Raise `AddressError` if a text is not an address of the given format."""
     address = parse_address(text)
     if field_format is FieldFormat.PEER_ADDRESS and address.ip.is_unspecified:
         raise AddressError("the address of all interfaces")
 
 
 def join_path(path: str, name: str) -> str:
-    """Add a field name to a path in the JSON."""
+    """Append a field name to a JSON path."""
     return f"{path}.{name}" if path else name
--- a/packages/host/src/cowslipshelf_host/internal/settings/documents.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/documents.py
@@ -1,4 +1,4 @@
-"""Define the settings of one daemon as people write them, in JSON."""
+"""Define the settings of one daemon, which operators write as JSON."""
 
 from collections.abc import Iterator
 from typing import Annotated, Literal
@@ -35,141 +35,141 @@
 
 
 class SettingsDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Be a part of the settings; secrets are masked wherever it is printed."""
+    """Define a section of the settings; secrets are masked when it is printed."""
 
     def __repr__(self) -> str:
-        """Show every field but the secret ones."""
+        """Return all fields, with the secret ones masked."""
         return masked_repr(self)
 
     def __rich_repr__(self) -> Iterator[str]:
-        """Show the same to pretty printers, which would else read every field."""
+        """Yield the masked repr; pretty printers would otherwise read every field."""
         yield masked_repr(self)
 
 
 class EntryAddress(SettingsDocument, frozen=True):
-    """Tell where an entry instance is."""
+    """Locate one entry instance."""
 
     instance: Annotated[InstanceId, Name]
     """Name of the entry instance."""
     data_centre: Annotated[DataCentre, Name]
-    """Data centre that it is in."""
+    """Data centre of the entry instance."""
     mailbox_address: PeerAddress
-    """Address of its mailbox."""
+    """Address on which other instances send it messages."""
     replica: bool = False
-    """Whether it holds a replica of the control state."""
+    """Whether it holds a replica of the replicated control state."""
 
 
 class LimitSettings(SettingsDocument, frozen=True):
-    """Bound what callers can cost an entry."""
+    """Limit the resources that callers can take from an entry."""
 
     largest_body_bytes: Annotated[int, between(KIBIBYTE, GIBIBYTE)] = 16 * MEBIBYTE
-    """Largest body of a request, in bytes; larger ones are refused unread."""
+    """Maximum size of a request body, in bytes; larger ones are refused unread."""
     largest_header_bytes: Annotated[int, between(KIBIBYTE, MEBIBYTE)] = 32 * KIBIBYTE
-    """Largest head of a request, in bytes."""
+    """Maximum size of a request's line and headers, in bytes."""
     most_connections: Annotated[int, between(1, 65_536)] = 1024
-    """Connections of callers that wait for their next call, at a time."""
+    """Maximum number of idle keep-alive connections of callers."""
     slow_client_seconds: Annotated[float, between(0.1, 600)] = 30.0
-    """Seconds that a caller may take for the next bytes, sent or read."""
+    """Seconds that a caller may take to send or read the next bytes."""
     most_queued_seconds_short: Annotated[float, between(0, 3600)] = 4.0
-    """Seconds of predicted work that may wait in the queue of short requests."""
+    """Maximum predicted work in the queue of short requests, in seconds."""
     most_queued_seconds_long: Annotated[float, between(0, 3600)] = 40.0
-    """Seconds of predicted work that may wait in the queue of long requests."""
+    """Maximum predicted work in the queue of long requests, in seconds."""
     largest_stored_answer_bytes: Annotated[int, between(0, 16 * MEBIBYTE)] = (
         256 * KIBIBYTE
     )
-    """Largest answer, in bytes, that is kept for resends of an idempotency key."""
+    """Maximum size, in bytes, of answers stored for their idempotency key."""
 
 
 class EntrySettings(SettingsDocument, frozen=True):
-    """Set up the role `entry`."""
+    """Configure the role `entry`."""
 
     callers_address: ListenAddress
     """Address on which callers are served."""
     operators_address: ListenAddress
     """Address on which operators are served."""
     data_folder: Folder | None = None
-    """Folder for what must survive; the entry holds a replica if, and only if, set."""
+    """Folder for durable data; the entry holds a replica if and only if it is set."""
     operator_key_hashes: tuple[KeyHash, ...] = ()
-    """Hex SHA-256 of each operator key; without one nobody can change anything."""
+    """Hex SHA-256 of each operator key; without any, all changes are refused."""
     limits: LimitSettings = LimitSettings()
-    """Bounds on what callers can cost."""
+    """Limits on the resources that callers can take."""
 
 
 class UpstreamSettings(SettingsDocument, frozen=True):
-    """Describe the upstream in whose slot a sidecar runs."""
+    """Describe the upstream that a sidecar serves."""
 
     upstream_id: Annotated[UpstreamId, Name]
-    """Name of the upstream instance; it keeps it over restarts."""
+    """Name of the upstream instance; it stays the same across restarts."""
     service: Annotated[ServiceName, Name]
-    """Service that it is part of."""
+    """Service that the upstream belongs to."""
     kind: ServiceKind
     """Whether it is a model engine or a plain service."""
     address: PeerAddress
-    """Address on which the engine or plain service answers HTTP."""
+    """HTTP address of the engine or plain service."""
     models: tuple[Annotated[ModelName, Name], ...] = ()
-    """Models that it holds at start; required for an engine."""
+    """Models loaded at start; required for an engine."""
     memory_tokens: Annotated[int, between(0, 1_000_000_000)] = 0
-    """Tokens of KV cache that fit its memory; zero for a plain service."""
+    """Capacity of its KV cache, in tokens; zero for a plain service."""
     checks_fencing: bool = False
-    """Whether the engine itself refuses orders with an old fencing number."""
+    """Whether the engine itself refuses orders with an outdated fencing number."""
 
 
 class SidecarSettings(SettingsDocument, frozen=True):
-    """Set up the role `sidecar`."""
+    """Configure the role `sidecar`."""
 
     attempts_address: PeerAddress
-    """Address on which entries hand over attempts."""
+    """Address on which entries hand over attempts to run requests."""
     upstream: UpstreamSettings
-    """The upstream beside it."""
+    """The upstream that this sidecar serves."""
     announce_entries: Annotated[int, between(1, 400)] = 8
-    """Entries that the upstream is announced to; the others do not use it."""
+    """Number of entries that the upstream is announced to; others don't use it."""
 
 
 class TimingSettings(SettingsDocument, frozen=True):
-    """Set how often things happen and after how long they count as failed."""
+    """Configure intervals and timeouts."""
 
     announce_seconds: Annotated[float, between(0.05, 60)] = 0.5
     """Seconds between two announcements of an upstream."""
     lease_seconds: Annotated[float, between(0.1, 600)] = 3.0
-    """Seconds for which an announcement holds; at least two announcements long."""
+    """Seconds for which an announcement is valid; at least two intervals."""
     heartbeat_seconds: Annotated[float, between(0.05, 60)] = 0.5
     """Seconds without other traffic after which a connection sends a heartbeat."""
     silence_seconds: Annotated[float, between(0.1, 600)] = 2.5
-    """Seconds of silence after which a connection is lost; two heartbeats or more."""
+    """Seconds of silence after which a connection is lost; at least two heartbeats."""
     tick_seconds: Annotated[float, between(0.005, 1)] = 0.05
-    """Seconds between two looks at what is due."""
+    """Seconds between two checks for due timers."""
     election_seconds: Annotated[float, between(0.1, 60)] = 1.0
-    """Seconds without a leader after which a replica stands for election."""
+    """Election timeout: seconds without a leader before a replica seeks votes."""
     connect_seconds: Annotated[float, between(0.05, 60)] = 1.0
-    """Seconds that setting up a connection may take."""
+    """Timeout for setting up a connection, in seconds."""
     shutdown_seconds: Annotated[float, between(0.1, 3600)] = 30.0
     """Seconds that running requests get to finish in a graceful shutdown."""
     owner_lease_seconds: Annotated[float, between(0.2, 600)] = 5.0
-    """Seconds for which a reservation outlives the last word of its owner."""
+    """Seconds for which a reservation stays valid after its owner was last heard."""
 
 
 class LogSettings(SettingsDocument, frozen=True):
-    """Say how logs are written, to standard error."""
+    """Configure the logs, which are written to standard error."""
 
     format: LogFormat = "json"
-    """One JSON object a line, or text for a console."""
+    """One JSON object per line, or plain text for a console."""
     level: LogLevel = "info"
-    """Least level that is written."""
+    """Minimum level that is written."""
 
 
 class DaemonSettings(SettingsDocument, frozen=True):
-    """Be everything that one daemon is told before it starts."""
+    """Hold all settings of one daemon."""
 
     instance: Annotated[InstanceId, Name]
-    """Name of this instance; no other instance has it."""
+    """Name of this instance, unique in the fleet."""
     data_centre: Annotated[DataCentre, Name]
-    """Data centre that it is in."""
+    """Data centre of this instance."""
     data_centres: Annotated[
         tuple[Annotated[DataCentre, Name], ...], msgspec.Meta(min_length=1)
     ]
     """All data centres of the fleet."""
     role: Role
-    """What this instance does."""
+    """Whether this instance is an entry or a sidecar."""
     cluster_key: Annotated[
         str,
         msgspec.Meta(
@@ -178,16 +178,16 @@
             extra={SECRET_KEY: True},
         ),
     ]
-    """Secret that all instances of the fleet share; it is never printed."""
+    """Key that all instances of the fleet share; it is never printed."""
     mailbox_address: PeerAddress
-    """Address on which other instances reach this one."""
+    """Address on which other instances send messages to this one."""
     entries: tuple[EntryAddress, ...]
     """Entry instances known at start; a sidecar needs at least one."""
     entry: EntrySettings | None = None
-    """Settings of the role `entry`; required there and refused elsewhere."""
+    """Settings of the role `entry`: required for that role, refused for others."""
     sidecar: SidecarSettings | None = None
-    """Settings of the role `sidecar`; required there and refused elsewhere."""
+    """Settings of the role `sidecar`: required for that role, refused for others."""
     timings: TimingSettings = TimingSettings()
-    """How often things happen and after how long they count as failed."""
+    """Intervals and timeouts."""
     log: LogSettings = LogSettings()
-    """How logs are written."""
+    """Format and level of the logs."""
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_formats.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_formats.py
@@ -1,4 +1,4 @@
-"""Name the forms that a settings field may take beyond its type."""
+"""Define formats of settings fields that are stricter than their types."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -13,13 +13,13 @@
 
 
 class FieldFormat(StrEnum):
-    """Tell what a text field stands for."""
+    """Name the format of a text field."""
 
     NAME = "name"
     LISTEN_ADDRESS = "listen_address"
-    """May be the address of all interfaces, as nobody is told of it."""
+    """May be the wildcard address, as it is not sent to peers."""
     PEER_ADDRESS = "peer_address"
-    """Is told to peers, so it must be one that they can reach."""
+    """Sent to peers, so it must be an address that they can reach."""
     KEY_HASH = "key_hash"
     FOLDER = "folder"
     OTHER = "other"
@@ -44,5 +44,5 @@
 
 
 def between(low: float, high: float) -> msgspec.Meta:
-    """Give the range of a number, both ends allowed."""
+    """Return the constraint for a range of numbers, both ends included."""
     return msgspec.Meta(ge=low, le=high)
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
@@ -1,4 +1,4 @@
-"""Read what a settings field allows from its type."""
+"""Derive what a settings field allows from its type."""
 
 from functools import cache
 from types import NoneType, UnionType
@@ -29,12 +29,12 @@
 
 
 class FieldType(NamedTuple):
-    """Be the type of a field, taken apart."""
+    """Hold the parts of a field's type."""
 
     annotation: Any
-    """The type as written, which the codec checks a value against."""
+    """Type as declared, against which msgspec validates a value."""
     base: Any
-    """The type without its range and without None."""
+    """Type without constraints and without None."""
     optional: bool
     format: FieldFormat
     secret: bool
@@ -43,11 +43,11 @@
     min_length: int | None
     max_length: int | None
     item: "FieldType | None"
-    """Type of the items, where the field is a list."""
+    """Type of the items if the field is a list."""
 
     @classmethod
     def from_hint(cls, hint: Any) -> "FieldType":
-        """Take a type hint apart."""
+        """Build from a type hint."""
         inner, optional = split_optional(hint)
         base, metas = split_annotated(inner)
         base = getattr(base, "__supertype__", base)
@@ -72,7 +72,7 @@
 
     @property
     def is_document(self) -> bool:
-        """Tell whether the field holds a nested object."""
+        """Return whether the field holds a nested object."""
         return isinstance(self.base, type) and issubclass(self.base, msgspec.Struct)
 
 
@@ -85,7 +85,7 @@
 
 
 def split_annotated(hint: Any) -> tuple[Any, list[msgspec.Meta]]:
-    """Split an annotated type into the plain one and its constraints."""
+    """Split an annotated type into the plain type and its constraints."""
     if get_origin(hint) is not Annotated:
         return hint, []
     base, *notes = get_args(hint)
@@ -93,20 +93,20 @@
 
 
 def first_not_none(values: Any) -> Any:
-    """Return the first value that is set."""
+    """Return the first value that is not None, or None."""
     return next((value for value in values if value is not None), None)
 
 
 @cache
 def field_types_of(document: type[msgspec.Struct]) -> dict[str, FieldType]:
-    """Read the types of a document's fields, in order."""
+    """Return the types of a document's fields, in order."""
     hints = resolved_hints(document, include_extras=True)
     names = document.__struct_fields__
     return {name: FieldType.from_hint(hints[name]) for name in names}
 
 
 def allowed_text(field: FieldType) -> str:
-    """Say in words what a field allows."""
+    """Describe what a field allows."""
     if field.item is not None:
         return list_text(field)
     if field.is_document:
@@ -119,13 +119,13 @@
 
 
 def list_text(field: FieldType) -> str:
-    """Say in words what a list allows."""
+    """Describe what a list allows."""
     least = f" with at least {field.min_length} of" if field.min_length else " of"
     return f"a list{least}: {allowed_text(field.item)}"
 
 
 def range_text(field: FieldType) -> str:
-    """Say in words how long or large a value may be."""
+    """Describe the allowed range or length of a value."""
     if field.min_value is not None:
         return f" from {field.min_value:,} to {field.max_value:,}".replace(",", " ")
     if field.min_length is not None and field.max_length is not None:
--- a/packages/host/src/cowslipshelf_host/internal/settings/fleet_checks.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/fleet_checks.py
@@ -1,4 +1,4 @@
-"""Check that the settings of several daemons fit each other."""
+"""Check that the settings of several daemons are consistent."""
 
 from collections.abc import Iterator, Sequence
 from itertools import combinations
@@ -13,18 +13,18 @@
 
 
 class LoadedSettings(NamedTuple):
-    """Be sound settings and the file that they are from."""
+    """Hold valid settings and the name of their file."""
 
     file: str
     settings: DaemonSettings
 
     def problem(self, field: str, found: str, allowed: str) -> SettingsProblem:
-        """Describe a problem of this file."""
+        """Return a problem in this file."""
         return SettingsProblem(self.file, field, found, allowed)
 
 
 def fleet_problems(loaded: Sequence[LoadedSettings]) -> list[SettingsProblem]:
-    """List what keeps the daemons of these files from being one fleet."""
+    """List what prevents the daemons of these files from forming one fleet."""
     return [
         problem
         for first, second in combinations(loaded, 2)
@@ -35,7 +35,7 @@
 def pair_problems(
     first: LoadedSettings, second: LoadedSettings
 ) -> Iterator[SettingsProblem]:
-    """Yield what two files say differently, or claim both."""
+    """Yield contradictions and conflicts between two files."""
     one, other = first.settings, second.settings
     if one.instance == other.instance:
         allowed = f"a name of its own; {first.file} has this one"
@@ -55,7 +55,7 @@
 def address_conflicts(
     first: LoadedSettings, second: LoadedSettings
 ) -> Iterator[SettingsProblem]:
-    """Yield addresses that both files give out."""
+    """Yield addresses that both files use."""
     for field, address in reachable_addresses(second.settings).items():
         for taken_field, taken in reachable_addresses(first.settings).items():
             if parse_address(address) == parse_address(taken):
@@ -64,11 +64,11 @@
 
 
 def reachable_addresses(settings: DaemonSettings) -> dict[str, str]:
-    """List the addresses that mean the same wherever they are read."""
+    """Return the addresses that mean the same on every machine, by field."""
     found = {}
     for field, address in own_addresses(settings).items():
         ip = parse_address(address).ip
-        # Each sidecar has its upstream beside it, on its own machine's loopback.
+        # A sidecar's upstream may be on the loopback interface of its own machine.
         local = ip.is_loopback and field == UPSTREAM_ADDRESS
         if not (ip.is_unspecified or local):
             found[field] = address
@@ -78,7 +78,7 @@
 def upstream_conflicts(
     first: LoadedSettings, second: LoadedSettings
 ) -> Iterator[SettingsProblem]:
-    """Yield an upstream that two sidecars both claim."""
+    """Yield an upstream that both sidecars claim."""
     one, other = first.settings.sidecar, second.settings.sidecar
     if one is None or other is None:
         return
@@ -89,21 +89,21 @@
 
 
 def entry_mismatches(
-    told: LoadedSettings, mentioning: LoadedSettings
+    described: LoadedSettings, listing: LoadedSettings
 ) -> Iterator[SettingsProblem]:
-    """Yield what one file lists of an entry otherwise than that entry's own file."""
-    own = told.settings
-    for index, entry in enumerate(mentioning.settings.entries):
+    """Yield fields of a listed entry that contradict that entry's own file."""
+    own = described.settings
+    for index, entry in enumerate(listing.settings.entries):
         if entry.instance != own.instance or own.entry is None:
             continue
-        truths = {
+        expected = {
             "mailbox_address": own.mailbox_address,
             "data_centre": own.data_centre,
             "replica": own.entry.data_folder is not None,
         }
-        for name, truth in truths.items():
+        for name, value in expected.items():
             found = getattr(entry, name)
-            if found != truth:
+            if found != value:
                 field = f"entries[{index}].{name}"
-                allowed = f"{truth}, as {told.file} says"
-                yield mentioning.problem(field, str(found), allowed)
+                allowed = f"{value}, as {described.file} says"
+                yield listing.problem(field, str(found), allowed)
--- a/packages/host/src/cowslipshelf_host/internal/settings/json_text.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/json_text.py
@@ -1,4 +1,4 @@
-"""Read JSON text strictly."""
+"""Decode JSON strictly."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 class JsonTextError(ValueError):
-    """Say where a text is no JSON that settings may be written in."""
+    """Report where a text is not acceptable JSON."""
 
     def __init__(self, location: str, found: str, allowed: str) -> None:
         super().__init__(f"{location}: {found}")
@@ -41,10 +41,10 @@
 
 
 def build_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Build an object, and refuse a field that is given twice.
+    """Build an object; refuse duplicate fields.
 
-    Decoders keep the last one without a word, so that an edit of the first
-    would have no effect and nobody would be told.
+    JSON decoders silently keep the last duplicate, so an edit of the first one would
+    have no effect.
     """
     fields: dict[str, object] = {}
     for name, value in pairs:
@@ -57,12 +57,12 @@
 
 
 def reject_constant(text: str) -> object:
-    """Refuse NaN and the infinities, which JSON does not have."""
+    """Refuse NaN and the infinities, which are not JSON."""
     raise JsonTextError("(file)", text, "JSON numbers")
 
 
 def location_after(text: str) -> str:
-    """Give the line and column after a text, counted from one."""
+    """Return the line and column after a text, counted from 1."""
     line = text.count("\n") + 1
     column = len(text) - (text.rfind("\n") + 1) + 1
     return f"line {line}, column {column}"
--- a/packages/host/src/cowslipshelf_host/internal/settings/loading.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/loading.py
@@ -1,4 +1,4 @@
-"""Load the settings of a daemon and collect all that is wrong with them."""
+"""Load the settings of a daemon and collect all problems."""
 
 from os import PathLike
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 def load_settings(path: str | PathLike[str]) -> Result[DaemonSettings, Problems]:
-    """Read and check the settings in a file, or return every problem in it."""
+    """Read and check a settings file, or return every problem in it."""
     file = str(path)
     try:
         with Path(path).open("rb") as opened:
@@ -39,7 +39,7 @@
 
 
 def decode_settings(data: bytes, file: str) -> Result[DaemonSettings, Problems]:
-    """Decode and check settings; the file is only named in problems."""
+    """Decode and check settings; `file` is the name used in problems."""
     try:
         value = read_json(data)
     except JsonTextError as error:
@@ -51,7 +51,7 @@
     )
     faulty = tuple(problem.field for problem in checker.problems)
     for violation in find_violations(settings):
-        # A rule that read a placeholder says nothing about what was written.
+        # A rule that read a placeholder says nothing about the given value.
         if not violation.depends_on_any(faulty):
             checker.add_problem(violation.field, violation.found, violation.allowed)
     return Err(tuple(checker.problems)) if checker.problems else Ok(settings)
--- a/packages/host/src/cowslipshelf_host/internal/settings/masking.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/masking.py
@@ -1,4 +1,4 @@
-"""Print documents without their secrets."""
+"""Mask the secret fields of documents."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 def masked_repr(document: msgspec.Struct) -> str:
-    """Show a document with its secret fields masked."""
+    """Return the repr of a document with its secret fields masked."""
     fields = field_types_of(type(document))
     shown = (
         f"{name}={shown_value(getattr(document, name), field)}"
@@ -18,12 +18,12 @@
 
 
 def shown_value(value: object, field: FieldType) -> str:
-    """Show one field, or the mask where it or its items are secret."""
+    """Return the repr of one field, or the mask if it or its items are secret."""
     if is_secret(field):
         return MASK
     return repr(value)
 
 
 def is_secret(field: FieldType) -> bool:
-    """Tell whether a field must never be printed."""
+    """Return whether a field must never be printed."""
     return field.secret or (field.item is not None and field.item.secret)
--- a/packages/host/src/cowslipshelf_host/internal/settings/page.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/page.py
@@ -1,4 +1,4 @@
-"""Write the page on settings from the types, so that it cannot lag behind them."""
+"""Generate the settings page from the types, so that it stays up to date."""
 
 import ast
 import inspect
@@ -32,7 +32,7 @@
 Unknown fields, a field given twice and hostnames are refused: addresses are IP:PORT.
 Secret values are never printed, logged or shown in problems. Besides the ranges below,
 fields must agree with each other: an address serves one purpose of one instance, each
-data centre has an instance, and these times stand in proportion:
+data centre has an instance, and these minimum ratios between times apply:
 
 {proportions}
 
@@ -42,7 +42,7 @@
 
 
 def render_settings_page() -> str:
-    """Write the whole page as Markdown."""
+    """Return the page as Markdown."""
     described = field_docstrings(inspect.getsource(documents))
     proportions = "\n".join(
         f"- `{longer}` is at least {MIN_INTERVALS} x `{shorter}`"
@@ -55,7 +55,7 @@
 
 
 def documents_under(document: type[msgspec.Struct]) -> list[type[msgspec.Struct]]:
-    """List a document and those nested in it, each once, from the outside in."""
+    """List a document and those nested in it, each once, outer ones first."""
     found = [document]
     for field in field_types_of(document).values():
         nested = nested_document(field)
@@ -65,7 +65,7 @@
 
 
 def nested_document(field: FieldType) -> type[msgspec.Struct] | None:
-    """Return the document that a field or its items hold."""
+    """Return the document type of a field or of its items, or None."""
     inner = field.item or field
     return inner.base if inner.is_document else None
 
@@ -73,7 +73,7 @@
 def section_lines(
     document: type[msgspec.Struct], described: dict[tuple[str, str], str]
 ) -> Iterator[str]:
-    """Write the section of one document."""
+    """Yield the lines of one document's section."""
     yield f"## {document.__name__}"
     yield ""
     yield inspect.getdoc(document) or ""
@@ -92,7 +92,7 @@
 
 
 def allowed_cell(field: FieldType) -> str:
-    """Say what a field allows, with a link to the section of what it holds."""
+    """Describe what a field allows, with a link if it holds a document."""
     nested = nested_document(field)
     if nested is None:
         return allowed_text(field)
@@ -101,7 +101,7 @@
 
 
 def default_cell(info: msgspec.structs.FieldInfo) -> str:
-    """Say what holds where the field is not given."""
+    """Describe the default of a field."""
     if info.required:
         return "required"
     value = info.default
@@ -115,12 +115,12 @@
 
 
 def secret_note(field: FieldType) -> str:
-    """Mark a secret field."""
+    """Return the note for a secret field, or an empty text."""
     return " Secret." if is_secret(field) else ""
 
 
 def field_docstrings(source: str) -> dict[tuple[str, str], str]:
-    """Read the text that follows each field, by class and field name."""
+    """Return the docstring after each field, by class and field name."""
     found: dict[tuple[str, str], str] = {}
     for statement in ast.parse(source).body:
         if not isinstance(statement, ast.ClassDef):
--- a/packages/host/src/cowslipshelf_host/internal/settings/placeholders.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/placeholders.py
@@ -1,4 +1,4 @@
-"""Give values that stand in for faulty ones while the rest is checked."""
+"""Replace faulty values by placeholders while the rest is checked."""
 
 from typing import get_args, get_origin
 
@@ -17,7 +17,7 @@
 
 
 def placeholder(field: FieldType) -> object:
-    """Give a value that the field allows."""
+    """Return a value that the field allows."""
     if field.optional:
         return None
     if field.item is not None:
@@ -34,7 +34,7 @@
 
 
 def placeholder_document(document: type[msgspec.Struct]) -> dict[str, object]:
-    """Give an object with nothing but its required fields."""
+    """Return an object with only its required fields."""
     fields = field_types_of(document)
     described = msgspec.structs.fields(document)
     return {
--- a/packages/host/src/cowslipshelf_host/internal/settings/problems.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/problems.py
@@ -1,4 +1,4 @@
-"""Describe what is wrong with settings."""
+"""Describe problems in settings."""
 
 import json
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class SettingsProblem(NamedTuple):
-    """Be one thing that is wrong: where it is, what was found, what is allowed."""
+    """Describe one problem: its place, what was found, what is allowed."""
 
     file: str
     field: str
@@ -17,18 +17,18 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Show the problem as one line."""
+        """Format the problem as one line."""
         return f"{self.file}: {self.field}: found {self.found}; allowed: {self.allowed}"
 
 
 def format_value(value: object) -> str:
-    """Show a JSON value on one short line; of lists and objects only the kind."""
+    """Format a JSON value as one short line; lists and objects by their kind only."""
     if isinstance(value, dict):
         return "an object"
     if isinstance(value, list):
         return f"a list of {len(value)}"
-    # Escaped to ASCII: a line feed or half a surrogate pair in a value must not
-    # break the one line that is promised for each problem.
+    # json.dumps escapes to ASCII: a line feed or a lone surrogate in a value must not
+    # break the output, which has one line per problem.
     text = json.dumps(value)
     if len(text) > MAX_VALUE_CHARACTERS:
         return text[:MAX_VALUE_CHARACTERS] + "..."
--- a/packages/host/src/cowslipshelf_host/internal/settings/rules.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/rules.py
@@ -1,4 +1,4 @@
-"""Check what settings mean, once each field is well-formed by itself."""
+"""Check rules between fields of one daemon's settings."""
 
 from collections.abc import Iterator
 from itertools import combinations
@@ -21,33 +21,33 @@
     ("heartbeat_seconds", "tick_seconds"),
     ("election_seconds", "tick_seconds"),
 )
-"""Times of which the first must span at least two of the second."""
+"""Pairs of times; the first must be at least `MIN_INTERVALS` times the second."""
 
 
 class RuleViolation(NamedTuple):
-    """Be a problem without its file."""
+    """Describe a violated rule; the file is not known here."""
 
     field: str
     found: str
     allowed: str
     other_fields: tuple[str, ...] = ()
-    """Fields, beside its own, that the rule was tried on."""
+    """Other fields that the rule read."""
 
     def depends_on_any(self, faulty: tuple[str, ...]) -> bool:
-        """Tell whether the rule read one of the fields, or a part or the whole."""
+        """Return whether the rule read one of the fields, or a part or parent of it."""
         read = (self.field, *self.other_fields)
         return any(paths_overlap(field, each) for field in faulty for each in read)
 
 
 def paths_overlap(first: str, second: str) -> bool:
-    """Tell whether two paths are the same or one lies within the other."""
+    """Return whether two paths are equal or one contains the other."""
     shorter, longer = sorted((first, second), key=len)
     after = longer[len(shorter) : len(shorter) + 1]
     return longer.startswith(shorter) and after in ("", ".", "[")
 
 
 class AddressInUse(NamedTuple):
-    """Be one address, who has it and by which field."""
+    """Hold an address, the instance that uses it and the field that sets it."""
 
     instance: str
     field: str
@@ -55,7 +55,7 @@
 
 
 def find_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
-    """Yield every rule that the settings of one daemon break."""
+    """Yield every violated rule of one daemon's settings."""
     yield from role_violations(settings)
     yield from data_centre_violations(settings)
     yield from entry_violations(settings)
@@ -68,7 +68,7 @@
 
 
 def role_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
-    """Yield a missing section of the role, and the section of another one."""
+    """Yield the role's section if missing, and sections of other roles."""
     sections = {"entry": settings.entry, "sidecar": settings.sidecar}
     for role, section in sections.items():
         if role == settings.role and section is None:
@@ -83,7 +83,7 @@
 
 
 def data_centre_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
-    """Yield data centres that are not listed, listed twice or without instances."""
+    """Yield data centres that are unlisted, listed twice or without instances."""
     listed = settings.data_centres
     used = {"data_centre": settings.data_centre}
     for index, entry in enumerate(settings.entries):
@@ -103,7 +103,7 @@
 
 
 def entry_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
-    """Yield entries listed twice or otherwise than this instance says of itself."""
+    """Yield entries listed twice or contradicting this instance's own settings."""
     names = [entry.instance for entry in settings.entries]
     for index, entry in enumerate(settings.entries):
         field = f"entries[{index}]"
@@ -129,7 +129,7 @@
 def own_replica_violations(
     settings: DaemonSettings, field: str, replica: bool
 ) -> Iterator[RuleViolation]:
-    """Yield a disagreement on whether this instance holds a replica."""
+    """Yield a contradiction on whether this instance holds a replica."""
     if settings.role == "sidecar":
         allowed = "entries only; this instance is a sidecar"
         yield RuleViolation(field, "this instance", allowed, ("instance", "role"))
@@ -148,7 +148,7 @@
 
 
 def address_violations(settings: DaemonSettings) -> Iterator[RuleViolation]:
-    """Yield addresses that two would have to share."""
+    """Yield addresses that are used twice."""
     for first, second in combinations(addresses_in_use(settings), 2):
         earlier, later = parse_address(first.address), parse_address(second.address)
         same_machine = first.instance == second.instance
@@ -160,7 +160,7 @@
 
 
 def addresses_in_use(settings: DaemonSettings) -> list[AddressInUse]:
-    """List the addresses that the settings give out, this instance's own first."""
+    """List all addresses in the settings, this instance's own first."""
     listed = [
         AddressInUse(settings.instance, field, address)
         for field, address in own_addresses(settings).items()
@@ -173,7 +173,7 @@
 
 
 def own_addresses(settings: DaemonSettings) -> dict[str, str]:
-    """List the addresses that the instance itself uses, by field."""
+    """Return this instance's own addresses by field."""
     own = {"mailbox_address": settings.mailbox_address}
     if settings.entry is not None:
         own["entry.callers_address"] = settings.entry.callers_address
@@ -185,9 +185,9 @@
 
 
 def timing_violations(timings: TimingSettings) -> Iterator[RuleViolation]:
-    """Yield times that contradict each other."""
+    """Yield pairs of times in which one is too short for the other."""
     for longer, shorter in INTERVAL_PAIRS:
-        # One lost message or one late look must not count as a failure already.
+        # A single lost message or late check must not count as a failure.
         least = MIN_INTERVALS * getattr(timings, shorter)
         found = getattr(timings, longer)
         if found < least:
@@ -197,7 +197,7 @@
 
 
 def limit_violations(limits: LimitSettings) -> Iterator[RuleViolation]:
-    """Yield limits that contradict each other."""
+    """Yield limits that exceed another limit that bounds them."""
     pairs = (
         ("most_queued_seconds_short", "most_queued_seconds_long"),
         ("largest_stored_answer_bytes", "largest_body_bytes"),
@@ -212,7 +212,7 @@
 
 
 def upstream_violations(upstream: UpstreamSettings) -> Iterator[RuleViolation]:
-    """Yield what an upstream of its kind lacks or cannot have."""
+    """Yield fields that the upstream's kind requires or forbids."""
     models, memory = "sidecar.upstream.models", "sidecar.upstream.memory_tokens"
     read = ("sidecar.upstream.kind",)
     if len(set(upstream.models)) < len(upstream.models):
--- a/packages/host/src/cowslipshelf_host/internal/signals.py
+++ b/packages/host/src/cowslipshelf_host/internal/signals.py
@@ -1,4 +1,4 @@
-"""Turn signals into a graceful shutdown, and a second one into its end."""
+"""Shut down gracefully at the first signal and at once at the second."""
 
 import signal
 import socket
@@ -13,20 +13,22 @@
 
 
 STOP_WATCHING = 0
-"""Asks the watching thread to end; no signal has this number."""
+"""Byte that stops the watching thread; no signal has this number."""
 MAX_SIGNALS_PER_READ = 64
-"""Signals taken at once."""
+"""Signal numbers, of one byte each, that one read takes."""
 
 
 class ShutdownSignals:
-    """Begin a shutdown at the first signal and end it at the second.
-
-    The kernel may give a signal to any thread, and does so where the main one has
-    another still to take, as after a pause of the process. Python runs its handlers in
-    the main thread alone, which waits in a lock that such a signal does not interrupt:
-    the process would never hear that it is to end, and be killed with its work when
-    its grace is over. So the interpreter writes each signal's number to a socket, in
-    whichever thread it comes, and a thread that reads the socket calls back.
+    """Call `begin` at the first shutdown signal and `end` at the second.
+
+    The kernel may deliver a signal to any thread. It does so where the main thread
+    still has another signal pending, as after a pause of the process. Python runs
+    signal handlers in the main thread only, and that thread waits for a lock, which a
+    signal delivered to another thread does not interrupt. The process would then never
+    notice the signal, and would be killed with its running work at the end of its
+    grace period. Therefore the interpreter writes each signal's number to a socket, in
+    whichever thread the signal arrives (`signal.set_wakeup_fd`), and a thread that
+    reads the socket runs the callbacks.
     """
 
     def __init__(
@@ -44,25 +46,25 @@
     def from_callbacks(
         cls, begin: Callable[[str], object], end: Callable[[str], object]
     ) -> "ShutdownSignals":
-        """Build from what to call, with the signal's name, at the first and second."""
+        """Build from the callbacks, which take a signal name, for both signals."""
         return cls(begin, end)
 
     def install(self) -> None:
-        """Start to watch; call it from the main thread."""
+        """Start watching; must be called from the main thread."""
         self.thread.start()
         self.previous_wakeup = signal.set_wakeup_fd(self.wakeup_writer.fileno())
         for number in SHUTDOWN_SIGNALS:
             self.previous_handlers[number] = signal.signal(number, ignore_in_handler)
 
     def receive(self, number: int) -> None:
-        """Take a signal's number, as the interpreter gives it."""
+        """Pass on a signal's number, as the interpreter does for a real signal."""
         self.wakeup_writer.send(bytes((number,)))
 
     def watch(self) -> None:
-        """Call back for each signal until asked to stop.
+        """Run the callback of each signal until asked to stop.
 
-        The callbacks run in this thread: the main one may hold any lock while it takes
-        a signal, and a callback that wants the same lock would wait for ever.
+        The callbacks run in this thread: the main thread may hold a lock while a signal
+        interrupts it, and a callback that needs the same lock would deadlock there.
         """
         callbacks = iter((self.begin, self.end))
         while True:
@@ -73,7 +75,7 @@
                     run_callback(next(callbacks, None), signal.Signals(number).name)
 
     def stop(self) -> None:
-        """Stop to watch and give the signals back to who had them before."""
+        """Stop watching and restore the previous signal handlers."""
         for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)  # type: ignore[arg-type]
         signal.set_wakeup_fd(self.previous_wakeup)
@@ -84,11 +86,11 @@
 
 
 def ignore_in_handler(_number: int, _frame: object) -> None:
-    """Keep a signal from its default, which ends the process."""
+    """Replace the default action of a signal, which ends the process."""
 
 
 def run_callback(callback: Callable[[str], object] | None, name: str) -> None:
-    """Call back; a failure is logged, so that the next signal is still heard."""
+    """Run a callback; log its failure, so that the next signal is still handled."""
     if callback is None:
         LOG.info("Signal ignored, the end was already asked for.", signal=name)
         return
--- a/packages/host/src/cowslipshelf_host/log_entries.py
+++ b/packages/host/src/cowslipshelf_host/log_entries.py
@@ -1,4 +1,4 @@
-"""Read the structured logs of the system's processes."""
+"""Parse the JSON logs that the processes write."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -10,20 +10,20 @@
 
 
 class LogEntry(NamedTuple):
-    """Be one line of a log."""
+    """Hold one parsed log line."""
 
     at: datetime
     source: str
-    """What stands before the entry on its line, or else the file it came from."""
+    """Last word before the JSON object on its line, or else the file name."""
     fields: dict
 
     @property
     def event(self) -> str:
-        """Return what happened."""
+        """Return the event text."""
         return str(self.fields.get("event", ""))
 
     def text(self) -> str:
-        """Write the entry as one line."""
+        """Format the entry as one line."""
         shown = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
@@ -33,7 +33,7 @@
 
 
 def read_entries(paths: Iterable[Path]) -> Iterator[LogEntry]:
-    """Read the entries of some files; lines that hold none are passed over."""
+    """Yield the entries of log files; lines without an entry are skipped."""
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as lines:
             for line in lines:
@@ -43,7 +43,7 @@
 
 
 def parse_entry(line: str, file_name: str) -> LogEntry | None:
-    """Read one line; whoever collects logs may have put a name before the entry."""
+    """Parse one line; a log collector may have put a name before the entry."""
     before, brace, rest = line.partition("{")
     try:
         fields = json.loads(brace + rest)
--- a/packages/host/src/cowslipshelf_host/logs.py
+++ b/packages/host/src/cowslipshelf_host/logs.py
@@ -1,4 +1,4 @@
-"""Write logs: short sentences, a fixed prefix for each part, no secrets."""
+"""Write structured logs with a prefix for each part and without secrets."""
 
 from cowslipshelf_host.internal.logs.line_writers import LineWriter, QueuedLineWriter
 from cowslipshelf_host.internal.logs.setup import (
--- a/packages/host/src/cowslipshelf_host/metrics.py
+++ b/packages/host/src/cowslipshelf_host/metrics.py
@@ -1,4 +1,4 @@
-"""Count, hold and time what happens, and show it to Prometheus."""
+"""Collect counters, gauges and durations for Prometheus."""
 
 from cowslipshelf_host.internal.metrics.registry import MetricError, Metrics
 
--- a/packages/host/src/cowslipshelf_host/settings.py
+++ b/packages/host/src/cowslipshelf_host/settings.py
@@ -1,4 +1,4 @@
-"""Offer the settings of a daemon, their loading and their problems."""
+"""Load and check the settings of a daemon."""
 
 from cowslipshelf_host.internal.settings.addresses import (
     AddressError,
--- a/packages/host/src/cowslipshelf_host/settings_page.py
+++ b/packages/host/src/cowslipshelf_host/settings_page.py
@@ -1,4 +1,4 @@
-"""Write docs/SETTINGS.md: `python -m cowslipshelf_host.settings_page FILE`."""
+"""Generate docs/SETTINGS.md: `python -m cowslipshelf_host.settings_page FILE`."""
 
 import sys
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Write the page to the one file that is named."""
+    """Write the page to the file given as the only argument."""
     (target,) = arguments
     Path(target).write_text(render_settings_page(), encoding="utf-8")
 
--- a/packages/host/src/cowslipshelf_host/signals.py
+++ b/packages/host/src/cowslipshelf_host/signals.py
@@ -1,4 +1,4 @@
-"""Watch for the signals that shut a process down."""
+"""Handle the signals that shut a process down."""
 
 from cowslipshelf_host.internal.signals import ShutdownSignals
 
