--- a/packages/daemon/src/cowslipshelf_daemon/internal/early_listener.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/early_listener.py
@@ -3,7 +3,7 @@
 import socket
 
 BACKLOG = 512
-"""Connections that may queue while the gateway loads; as many as come in seconds."""
+"""Connections that may queue while the gateway loads: those of a few seconds."""
 
 
 def listen_early(address: str = "") -> socket.socket | None:
