--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -99,7 +99,7 @@
 def measure_streams(streams: int, writes: bool) -> StreamsMeasured:
     """Measure pieces on streams that are open together."""
     handler = PacedHandler(streams, PIECES, writes)
-    config = CallersServerConfig("127.0.0.1:0", most_open_calls=streams + 8)
+    config = CallersServerConfig("127.0.0.1:0", max_open_calls=streams + 8)
     server = CallersServer.from_config(config, handler)
     server.start()
     before = resident_kilobytes()
@@ -120,7 +120,7 @@
     """Measure whole requests on kept connections, in microseconds of processor."""
     handler = PacedHandler(connections, 0, writes=False)
     handler.begin.set()
-    config = CallersServerConfig("127.0.0.1:0", most_open_calls=connections + 8)
+    config = CallersServerConfig("127.0.0.1:0", max_open_calls=connections + 8)
     server = CallersServer.from_config(config, handler)
     server.start()
     cpu = cpu_seconds()
--- a/packages/callers/src/cowslipshelf_callers/internal/http_request.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/http_request.py
@@ -194,7 +194,7 @@
     def read_body(self) -> bytes:
         """Read the whole body, within the limits of size and time."""
         request = self.req
-        limit = request.server.config.most_body_bytes
+        limit = request.server.config.max_body_bytes
         try:
             if not request.chunked_read:
                 return self.read_known_length()
--- a/packages/callers/src/cowslipshelf_callers/internal/server.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/server.py
@@ -42,15 +42,13 @@
         self.config = config
         self.handler = handler
         self.draining = False
-        self.requests = CallThreadPool(
-            self, config.least_threads, config.most_open_calls
-        )
+        self.requests = CallThreadPool(self, config.min_threads, config.max_open_calls)
         self.request_queue_size = LISTEN_BACKLOG
         self.timeout = config.idle_seconds
         self.expiration_interval = EXPIRY_INTERVAL_SECONDS
-        self.max_request_header_size = config.most_header_bytes
-        self.max_request_body_size = config.most_body_bytes
-        self.keep_alive_conn_limit = config.most_idle_connections
+        self.max_request_header_size = config.max_header_bytes
+        self.max_request_body_size = config.max_body_bytes
+        self.keep_alive_conn_limit = config.max_idle_connections
 
     def may_keep_connections(self) -> bool:
         """Tell whether a connection may wait for another call."""
--- a/packages/callers/src/cowslipshelf_callers/internal/server_config.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/server_config.py
@@ -10,17 +10,17 @@
 
     listen_address: str
     """IP:port; port zero takes a free one."""
-    most_open_calls: int = 1024
+    max_open_calls: int = 1024
     """Calls at a time, one thread each; more are refused at once.
 
     At the size that the project aims for, 8,400 requests a second that stream for 16
     seconds each come to 350 for each of 400 daemons; the rest is for lost daemons.
     """
-    least_threads: int = 4
-    most_idle_connections: int = 2048
+    min_threads: int = 4
+    max_idle_connections: int = 2048
     """Connections that wait for a call without a thread."""
-    most_header_bytes: int = 32_768
-    most_body_bytes: int = 16 * MEBIBYTE
+    max_header_bytes: int = 32_768
+    max_body_bytes: int = 16 * MEBIBYTE
     idle_seconds: float = 60.0
     """How long a connection may wait for its next call."""
     request_seconds: float = 30.0
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/assembly.py
@@ -294,9 +294,9 @@
     limits = settings.entry.limits
     config = CallersServerConfig(
         settings.entry.callers_address,
-        most_idle_connections=limits.most_connections,
-        most_header_bytes=limits.largest_header_bytes,
-        most_body_bytes=limits.largest_body_bytes,
+        max_idle_connections=limits.most_connections,
+        max_header_bytes=limits.largest_header_bytes,
+        max_body_bytes=limits.largest_body_bytes,
         request_seconds=limits.slow_client_seconds,
         write_seconds=limits.slow_client_seconds,
     )
--- a/packages/operators/src/cowslipshelf_operators/internal/server.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/server.py
@@ -41,12 +41,12 @@
             server_name=SERVER_NAME,
             timeout=config.request_seconds,
             shutdown_timeout=STOP_SECONDS,
-            accepted_queue_size=config.most_waiting_connections,
+            accepted_queue_size=config.max_waiting_connections,
             accepted_queue_timeout=QUEUE_PATIENCE_SECONDS,
         )
-        self.max_request_header_size = config.most_header_bytes
-        self.max_request_body_size = config.most_body_bytes
-        self.keep_alive_conn_limit = config.most_waiting_connections
+        self.max_request_header_size = config.max_header_bytes
+        self.max_request_body_size = config.max_body_bytes
+        self.keep_alive_conn_limit = config.max_waiting_connections
         self.report = report
 
     def process_conn(self, conn: HTTPConnection) -> None:
--- a/packages/operators/src/cowslipshelf_operators/internal/settings.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/settings.py
@@ -27,12 +27,12 @@
     listen_address: str
     """IP:port; port 0 lets the kernel choose one."""
     key_hashes: tuple[OperatorKey, ...]
-    most_body_bytes: int = MOST_BODY_BYTES
-    most_header_bytes: int = MOST_HEADER_BYTES
+    max_body_bytes: int = MOST_BODY_BYTES
+    max_header_bytes: int = MOST_HEADER_BYTES
     request_seconds: float = 10.0
     """Time for a request to arrive whole; a slower client is cut off."""
     threads: int = 8
-    most_waiting_connections: int = 64
+    max_waiting_connections: int = 64
 
 
 class OperatorsClientConfig(NamedTuple):
--- a/tests/common/operators.py
+++ b/tests/common/operators.py
@@ -106,8 +106,8 @@
     config = OperatorsServerConfig(
         LOOPBACK,
         keys,
-        most_body_bytes=20_000,
-        most_header_bytes=4_000,
+        max_body_bytes=20_000,
+        max_header_bytes=4_000,
         request_seconds=request_seconds,
         threads=threads,
     )
--- a/tests/cover/callers/conftest.py
+++ b/tests/cover/callers/conftest.py
@@ -9,7 +9,7 @@
 def shared():
     """Serve with tight limits of size for all tests that leave nothing behind."""
     handler = RecordingHandler()
-    with running_server(handler, most_body_bytes=4096, most_header_bytes=4096) as it:
+    with running_server(handler, max_body_bytes=4096, max_header_bytes=4096) as it:
         yield it, handler
 
 
--- a/tests/cover/callers/test_slow_callers.py
+++ b/tests/cover/callers/test_slow_callers.py
@@ -118,7 +118,7 @@
     elsewhere. The calls that run are not touched.
     """
     handler = WaitingHandler()
-    with running_server(handler, least_threads=1, most_open_calls=3) as server:
+    with running_server(handler, min_threads=1, max_open_calls=3) as server:
         running = [connect(server) for _ in range(3)]
         for connection in running:
             connection.sendall(request_bytes("POST", CHAT, CHAT_BODY))
@@ -137,7 +137,7 @@
 def test_silent_connections_take_no_thread_and_have_a_limit():
     """A balancer opens many connections ahead of need and says nothing on them."""
     handler = RecordingHandler()
-    limits = {"most_idle_connections": 3, "most_open_calls": 2, "least_threads": 1}
+    limits = {"max_idle_connections": 3, "max_open_calls": 2, "min_threads": 1}
     with running_server(handler, **limits) as server:
         silent = [connect(server) for _ in range(3)]
         with connect(server) as above:
