--- a/packages/callers/src/cowslipshelf_callers/internal/call.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/call.py
@@ -28,7 +28,7 @@
     streamed: bool
     prompt_tokens: int
     """Estimated from the prompt's size; zero for a plain service."""
-    most_output_tokens: int
+    max_output_tokens: int
     prefix_hash: int
     """Stable 64-bit hash of the start of the prompt; zero without one."""
     idempotency_key: str | None
--- a/packages/callers/src/cowslipshelf_callers/internal/model_call.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/model_call.py
@@ -64,7 +64,7 @@
     model: ModelName
     streamed: bool
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     prefix_hash: int
 
 
@@ -143,7 +143,7 @@
         model=ModelName(body.model),
         streamed=bool(body.stream),
         prompt_tokens=tokens,
-        most_output_tokens=most * (body.n or 1),
+        max_output_tokens=most * (body.n or 1),
         prefix_hash=prefix_hash,
     )
 
--- a/packages/callers/src/cowslipshelf_callers/internal/routes.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/routes.py
@@ -166,7 +166,7 @@
         body_digest=_digest(line.method, route.service or "", path, body),
         streamed=facts.streamed,
         prompt_tokens=facts.prompt_tokens,
-        most_output_tokens=facts.most_output_tokens,
+        max_output_tokens=facts.max_output_tokens,
         prefix_hash=facts.prefix_hash,
         idempotency_key=idempotency_key_of(line.headers),
         deadline_seconds=deadline_of(line.headers),
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/callers_handler.py
@@ -104,7 +104,7 @@
             streamed=call.streamed,
             deadline_seconds=call.deadline_seconds or service.default_deadline_seconds,
             prompt_tokens=call.prompt_tokens,
-            max_output_tokens=call.most_output_tokens,
+            max_output_tokens=call.max_output_tokens,
             prefix_hash=call.prefix_hash,
             method=call.method,
             path=call.path,
--- a/tests/cover/callers/test_callers_server.py
+++ b/tests/cover/callers/test_callers_server.py
@@ -29,7 +29,7 @@
     call = handler.calls[-1]
     assert reply.headers["x-request-id"] == call.request_id
     assert (call.service, call.model, call.streamed) == ("scribe", "m", True)
-    assert (call.prompt_tokens, call.most_output_tokens) == (2, 256)
+    assert (call.prompt_tokens, call.max_output_tokens) == (2, 256)
     assert call.body == CHAT_BODY
 
 
--- a/tests/cover/callers/test_model_call.py
+++ b/tests/cover/callers/test_model_call.py
@@ -27,7 +27,7 @@
         read_completion(json.dumps(completion).encode()),
     ):
         assert 4 * facts.prompt_tokens - 3 <= size <= 4 * facts.prompt_tokens
-        assert facts.most_output_tokens == most
+        assert facts.max_output_tokens == most
 
 
 @given(st.lists(st.integers(0, 200_000), min_size=1), st.booleans())
