--- a/packages/cli/src/cowslipshelf_cli/internal/failures.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/failures.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_operators.errors import AnsweredError, ClientError
+from cowslipshelf_operators.errors import ClientError, HttpStatusError
 
 NEXT_STEPS = {
     "bad_key": "set COWSLIPSHELF_OPERATOR_KEY or --key-file to an operator's key",
@@ -33,7 +33,7 @@
 
 def failure_of(error: ClientError) -> CommandFailure:
     """Describe an error of the operators' client."""
-    if not isinstance(error, AnsweredError):
+    if not isinstance(error, HttpStatusError):
         next_step = "check --entry, COWSLIPSHELF_ENTRIES and the network, then resend"
         return CommandFailure(ExitCode.UNREACHABLE, str(error), next_step)
     if error.status == HTTPStatus.SERVICE_UNAVAILABLE:
--- a/packages/cli/src/cowslipshelf_cli/internal/reading.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/reading.py
@@ -16,7 +16,7 @@
     StateAnswer,
     UpstreamStatus,
 )
-from cowslipshelf_operators.errors import AnsweredError, ClientError
+from cowslipshelf_operators.errors import ClientError, HttpStatusError
 
 INSTANCE_HEAD = ("instance", "data centre", "role", "version", "in force since", "")
 UPSTREAM_HEAD = ("upstream", "service", "data centre", "state", "running", "memory")
@@ -121,7 +121,7 @@
     for instance in instances:
         try:
             return ask(instance)
-        except AnsweredError as error:
+        except HttpStatusError as error:
             failed.append(error)
             if error.status not in (
                 HTTPStatus.NOT_FOUND,
@@ -145,7 +145,7 @@
 
 def is_not_found(error: ClientError) -> bool:
     """Tell whether an instance answered that it has nothing of that name."""
-    return isinstance(error, AnsweredError) and error.status == HTTPStatus.NOT_FOUND
+    return isinstance(error, HttpStatusError) and error.status == HTTPStatus.NOT_FOUND
 
 
 def time_text(seconds: float) -> str:
--- a/packages/operators/src/cowslipshelf_operators/errors.py
+++ b/packages/operators/src/cowslipshelf_operators/errors.py
@@ -50,7 +50,7 @@
     """Say why the client has no answer: no address answered, or not in our format."""
 
 
-class AnsweredError(ClientError):
+class HttpStatusError(ClientError):
     """Say that the server answered with an error."""
 
     def __init__(
--- a/packages/operators/src/cowslipshelf_operators/internal/client.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/client.py
@@ -11,7 +11,7 @@
 from cowslipshelf_core.configuration import Document
 from cowslipshelf_core.control import ConfirmDocument, PlanDocument
 from cowslipshelf_core.identifiers import ChangeId, PlanId
-from cowslipshelf_operators.errors import AnsweredError, ClientError
+from cowslipshelf_operators.errors import ClientError, HttpStatusError
 from cowslipshelf_operators.internal.documents import (
     AuditAnswer,
     ConfirmedAnswer,
@@ -162,7 +162,7 @@
         return decode(reply, answer_type)
     error = decode(reply, ErrorEnvelope).error
     seconds = reply.retry_after
-    raise AnsweredError(
+    raise HttpStatusError(
         error.step,
         f"{reply.address}, {error.peer}",
         error.message,
--- a/tests/cover/operators/test_server.py
+++ b/tests/cover/operators/test_server.py
@@ -23,7 +23,7 @@
     OutdatedAnswer,
     PlanAnswer,
 )
-from cowslipshelf_operators.errors import AnsweredError, ClientError, HandlerError
+from cowslipshelf_operators.errors import ClientError, HandlerError, HttpStatusError
 
 WAIT_SECONDS = 20.0
 
@@ -151,7 +151,7 @@
 
 def test_only_an_operators_key_opens_the_interface(server: OperatorsServer) -> None:
     for key in (CUSTOMER_KEY, "", OPERATOR_KEY + "x", "\xe9"):
-        with pytest.raises(AnsweredError) as refused:
+        with pytest.raises(HttpStatusError) as refused:
             client_of(server, key=key).state()
         assert refused.value.status == 401
     for path, expected in (("healthz", 200), ("readyz", 503), ("metrics", 200)):
@@ -257,13 +257,13 @@
         handler.failure = HandlerError(
             "propose", "entry-2", "no quorum", retry_after_seconds=3.0
         )
-        with pytest.raises(AnsweredError) as refused:
+        with pytest.raises(HttpStatusError) as refused:
             client_of(server).plan(document)
         assert (refused.value.status, refused.value.step) == (503, "propose")
         assert "entry-2" in refused.value.peer
         assert refused.value.retry_after_seconds == 3.0
         handler.failure = OSError("a disk error that names /some/path")
-        with pytest.raises(AnsweredError) as fault:
+        with pytest.raises(HttpStatusError) as fault:
             client_of(server).plan(document)
         assert (fault.value.status, fault.value.code) == (500, "internal")
         assert "/some/path" not in str(fault.value)
