--- a/benchmarks/real_path_load.py
+++ b/benchmarks/real_path_load.py
@@ -26,16 +26,16 @@
     CustomerShare,
     Ending,
     FiguresConfig,
+    LoadClock,
     LoadShape,
     Outcome,
-    Pace,
     Quantiles,
     Sender,
     SenderConfig,
     UnloadedTime,
     draw_arrivals,
     run_open_loop,
-    sum_up,
+    summarize,
 )
 
 SHORTEST_TOKENS = 1_000
@@ -198,7 +198,7 @@
     )
     killer.start()
     try:
-        return run_open_loop(arrivals, sender.send, MOST_CONCURRENT, Pace())
+        return run_open_loop(arrivals, sender.send, MOST_CONCURRENT, LoadClock())
     finally:
         sender.close()
         killer.join()
@@ -266,7 +266,7 @@
     run: Run, outcomes: Sequence[Outcome], seconds: float, unloaded: UnloadedTime
 ) -> dict[str, Any]:
     """Put a run and its figures into a JSON document."""
-    summed = sum_up(outcomes, FiguresConfig(SHORT_TOKENS, 0.0, unloaded))
+    summed = summarize(outcomes, FiguresConfig(SHORT_TOKENS, 0.0, unloaded))
     served = [each for each in outcomes if fits(each.arrival.prompt_tokens)]
     slowdown = summed.short_slowdown
     return {
--- a/packages/cli/src/cowslipshelf_cli/internal/load/command.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/command.py
@@ -8,7 +8,7 @@
 from cowslipshelf_cli.exit_codes import ExitCode
 from cowslipshelf_cli.internal.commands import Load
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.load.open_loop import Pace, run_open_loop
+from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending
 from cowslipshelf_cli.internal.load.report import figures_document, figures_lines
 from cowslipshelf_cli.internal.load.sending import Sender, SenderConfig
@@ -23,7 +23,7 @@
 from cowslipshelf_cli.internal.load.statistics import (
     FiguresConfig,
     UnloadedTime,
-    sum_up,
+    summarize,
 )
 from cowslipshelf_cli.internal.surroundings import (
     Surroundings,
@@ -56,12 +56,12 @@
     try:
         unloaded = calibrate(command, sender, customers[0].name)
         outcomes = run_open_loop(
-            draw_arrivals(shape), sender.send, config.most_concurrent, Pace()
+            draw_arrivals(shape), sender.send, config.max_concurrent, LoadClock()
         )
     finally:
         sender.close()
     measure = FiguresConfig(command.short_tokens, command.deadline, unloaded)
-    figures = sum_up(outcomes, measure)
+    figures = summarize(outcomes, measure)
     document = figures_document(shape, unloaded, figures)
     if command.output is not None:
         write_figures(command.output, json_text(document))
@@ -145,7 +145,7 @@
         model=command.model,
         output_tokens=command.output_tokens,
         deadline_seconds=command.deadline,
-        most_concurrent=command.most_concurrent,
+        max_concurrent=command.most_concurrent,
         marker=f"load-{command.seed}",
         keys={customer.name: customer.key for customer in customers},
     )
--- a/packages/cli/src/cowslipshelf_cli/internal/load/open_loop.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/open_loop.py
@@ -14,7 +14,7 @@
 """Send one request whose planned time is given on the monotonic clock."""
 
 
-class Pace(NamedTuple):
+class LoadClock(NamedTuple):
     """Be the clock that a load follows."""
 
     now: Callable[[], float] = SYSTEM_CLOCK.monotonic
@@ -22,7 +22,7 @@
 
 
 def run_open_loop(
-    arrivals: Iterable[Arrival], send: Send, most_concurrent: int, pace: Pace
+    arrivals: Iterable[Arrival], send: Send, max_concurrent: int, clock: LoadClock
 ) -> list[Outcome]:
     """Send every arrival at its time, and return all outcomes in their order.
 
@@ -30,16 +30,16 @@
     slow, and hide it. So an arrival that finds too many requests open is given up
     and counted; the ones behind it keep their times.
     """
-    slots = BoundedSemaphore(most_concurrent)
-    begun = pace.now()
+    slots = BoundedSemaphore(max_concurrent)
+    start = clock.now()
     found: list[Future[Outcome] | Outcome] = []
-    with ThreadPoolExecutor(most_concurrent, thread_name_prefix="load") as threads:
+    with ThreadPoolExecutor(max_concurrent, thread_name_prefix="load") as threads:
         for arrival in arrivals:
-            planned = begun + arrival.at_seconds
-            ahead = planned - pace.now()
+            planned = start + arrival.at_seconds
+            ahead = planned - clock.now()
             if ahead > 0:
-                pace.wait(ahead)
-            late = max(0.0, pace.now() - planned)
+                clock.wait(ahead)
+            late = max(0.0, clock.now() - planned)
             if not slots.acquire(blocking=False):
                 found.append(Outcome(arrival, Ending.NOT_SENT, late_seconds=late))
                 continue
--- a/packages/cli/src/cowslipshelf_cli/internal/load/sending.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/sending.py
@@ -29,7 +29,7 @@
     model: str
     output_tokens: int
     deadline_seconds: float
-    most_concurrent: int
+    max_concurrent: int
     marker: str
     """Begins every prompt, so that two loads share no prefix by accident."""
     keys: Mapping[str, str]
@@ -51,7 +51,7 @@
         self.numbers = count()
         self.pool = urllib3.PoolManager(
             num_pools=len(config.addresses),
-            maxsize=config.most_concurrent,
+            maxsize=config.max_concurrent,
             retries=False,
             timeout=urllib3.Timeout(
                 connect=CONNECT_SECONDS, read=config.deadline_seconds + GRACE_SECONDS
--- a/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
@@ -110,7 +110,7 @@
     unloaded: UnloadedTime | None
 
 
-def sum_up(outcomes: Sequence[Outcome], config: FiguresConfig) -> LoadFigures:
+def summarize(outcomes: Sequence[Outcome], config: FiguresConfig) -> LoadFigures:
     """Sum up the outcomes of all planned requests."""
     whole = [each for each in outcomes if each.ending is Ending.WHOLE]
     broken = (Ending.CUT, Ending.UNREACHABLE)
--- a/packages/cli/src/cowslipshelf_cli/load.py
+++ b/packages/cli/src/cowslipshelf_cli/load.py
@@ -1,6 +1,6 @@
 """Offer the load tool to measurements: drawing, sending and summing up."""
 
-from cowslipshelf_cli.internal.load.open_loop import Pace, run_open_loop
+from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
 from cowslipshelf_cli.internal.load.sending import Sender, SenderConfig
 from cowslipshelf_cli.internal.load.shape import (
@@ -16,7 +16,7 @@
     LoadFigures,
     Quantiles,
     UnloadedTime,
-    sum_up,
+    summarize,
 )
 
 __all__ = [
@@ -28,7 +28,7 @@
     "LoadShape",
     "LoadShapeError",
     "Outcome",
-    "Pace",
+    "LoadClock",
     "Quantiles",
     "Sender",
     "SenderConfig",
@@ -36,5 +36,5 @@
     "check_shape",
     "draw_arrivals",
     "run_open_loop",
-    "sum_up",
+    "summarize",
 ]
--- a/tests/cover/cli/test_load_figures.py
+++ b/tests/cover/cli/test_load_figures.py
@@ -16,7 +16,7 @@
     Outcome,
     Quantiles,
     UnloadedTime,
-    sum_up,
+    summarize,
 )
 
 TOKEN = b'data: {"choices": [{"text": "x"}]}\n\n'
@@ -133,7 +133,7 @@
 @STEADY
 @given(OUTCOMES, st.none() | st.just(UnloadedTime(0.1, 1e-5)))
 def test_every_planned_request_is_counted_once(outcomes, unloaded) -> None:
-    figures = sum_up(outcomes, FiguresConfig(10_000, 50.0, unloaded))
+    figures = summarize(outcomes, FiguresConfig(10_000, 50.0, unloaded))
     assert figures.planned == sum(figures.endings.values()) == len(outcomes)
     assert sum(figures.refusals.values()) == figures.endings.get("refused", 0)
     assert sum(each.planned for each in figures.customers.values()) == len(outcomes)
--- a/tests/cover/cli/test_load_sending.py
+++ b/tests/cover/cli/test_load_sending.py
@@ -15,8 +15,8 @@
 from cowslipshelf_cli.load import (
     Arrival,
     Ending,
+    LoadClock,
     Outcome,
-    Pace,
     Sender,
     SenderConfig,
     run_open_loop,
@@ -42,7 +42,7 @@
 
 @STEADY
 @given(st.lists(st.floats(0, 100), max_size=20), st.integers(1, 5))
-def test_slow_answers_never_delay_later_arrivals(times, most_concurrent) -> None:
+def test_slow_answers_never_delay_later_arrivals(times, max_concurrent) -> None:
     """A load test says that all is well while callers wait.
 
     The tool sends its next request only after an answer; while the fleet is slow it
@@ -61,12 +61,12 @@
         return Outcome(arrival, Ending.WHOLE)
 
     outcomes = run_open_loop(
-        all_planned(), send, most_concurrent, Pace(clock.now, clock.wait)
+        all_planned(), send, max_concurrent, LoadClock(clock.now, clock.wait)
     )
     assert [each.arrival for each in outcomes] == arrivals
     assert all(each.late_seconds < 1e-9 for each in outcomes)
     endings = [each.ending for each in outcomes]
-    sent = min(most_concurrent, len(arrivals))
+    sent = min(max_concurrent, len(arrivals))
     assert endings == [Ending.WHOLE] * sent + [Ending.NOT_SENT] * (len(times) - sent)
 
 
