--- a/packages/cli/src/cowslipshelf_cli/internal/checking.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/check_command.py
@@ -5,7 +5,7 @@
 from result import Err, Ok
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.writing import Writer
+from cowslipshelf_cli.internal.output import Writer
 from cowslipshelf_host.settings import (
     LoadedSettings,
     SettingsProblem,
--- a/packages/cli/src/cowslipshelf_cli/internal/surroundings.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/command_context.py
@@ -56,7 +56,7 @@
         """Let a request go that is held back."""
 
 
-class Surroundings(NamedTuple):
+class CommandContext(NamedTuple):
     """Be the environment, the streams and the way to the fleet."""
 
     environment: Mapping[str, str]
@@ -66,7 +66,7 @@
     connect: Callable[[OperatorsClientConfig], OperatorsApi]
 
     @classmethod
-    def from_process(cls) -> "Surroundings":
+    def from_process(cls) -> "CommandContext":
         """Take those of this process."""
         return cls(
             os.environ,
@@ -77,28 +77,27 @@
         )
 
 
-class Fleet(NamedTuple):
+class FleetClients(NamedTuple):
     """Be the way to a fleet: through any instance, and to each alone."""
 
     any_instance: OperatorsApi
     each_instance: tuple[OperatorsApi, ...]
 
 
-def connect(program: Program, surroundings: Surroundings) -> Fleet:
+def connect(program: Program, context: CommandContext) -> FleetClients:
     """Find out which instances to ask with which key."""
-    addresses = entry_addresses(program, surroundings)
-    key = operator_key(program, surroundings)
+    addresses = entry_addresses(program, context)
+    key = operator_key(program, context)
     config = OperatorsClientConfig(addresses, key)
     each = tuple(
-        surroundings.connect(config._replace(addresses=(address,)))
-        for address in addresses
+        context.connect(config._replace(addresses=(address,))) for address in addresses
     )
-    return Fleet(surroundings.connect(config), each)
+    return FleetClients(context.connect(config), each)
 
 
-def entry_addresses(program: Program, surroundings: Surroundings) -> tuple[str, ...]:
+def entry_addresses(program: Program, context: CommandContext) -> tuple[str, ...]:
     """Read the addresses of entry instances from the options or the environment."""
-    from_environment = surroundings.environment.get(ENTRIES_VARIABLE, "")
+    from_environment = context.environment.get(ENTRIES_VARIABLE, "")
     given = program.entry or from_environment.replace(",", " ").split()
     if not given:
         raise CommandFailedError(
@@ -121,15 +120,15 @@
         ) from error
 
 
-def operator_key(program: Program, surroundings: Surroundings) -> str:
+def operator_key(program: Program, context: CommandContext) -> str:
     """Read the operator's key from a file or the environment.
 
     It is no option, as every user of a machine can read the options of processes.
     """
     if program.key_file is not None:
-        key = read_text(program.key_file, surroundings).strip()
+        key = read_text(program.key_file, context).strip()
     else:
-        key = surroundings.environment.get(KEY_VARIABLE, "")
+        key = context.environment.get(KEY_VARIABLE, "")
     if key and key.isascii() and key.isprintable() and " " not in key:
         return key
     found = "something that is no key" if key else "no operator's key"
@@ -138,11 +137,11 @@
     )
 
 
-def read_text(file: str, surroundings: Surroundings) -> str:
+def read_text(file: str, context: CommandContext) -> str:
     """Read a file, or standard input where it is named '-'."""
     try:
         if file == "-":
-            return surroundings.input.read()
+            return context.input.read()
         return Path(file).read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
         raise CommandFailedError(
--- a/packages/cli/src/cowslipshelf_cli/internal/load/command.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/command.py
@@ -6,12 +6,17 @@
 import msgspec
 
 from cowslipshelf_cli.exit_codes import ExitCode
+from cowslipshelf_cli.internal.command_context import (
+    CommandContext,
+    check_address,
+    read_text,
+)
 from cowslipshelf_cli.internal.commands import Load
 from cowslipshelf_cli.internal.failures import CommandFailedError
 from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending
 from cowslipshelf_cli.internal.load.report import figures_document, figures_lines
-from cowslipshelf_cli.internal.load.sending import Sender, SenderConfig
+from cowslipshelf_cli.internal.load.sender import Sender, SenderConfig
 from cowslipshelf_cli.internal.load.shape import (
     Arrival,
     CustomerShare,
@@ -25,12 +30,7 @@
     UnloadedTime,
     summarize,
 )
-from cowslipshelf_cli.internal.surroundings import (
-    Surroundings,
-    check_address,
-    read_text,
-)
-from cowslipshelf_cli.internal.writing import Writer, json_text
+from cowslipshelf_cli.internal.output import Writer, json_text
 
 BROKEN_ENDINGS = frozenset({Ending.CUT, Ending.UNREACHABLE})
 
@@ -47,9 +47,9 @@
         return f"LoadCustomer(name={self.name!r})"
 
 
-def run_load(command: Load, surroundings: Surroundings, writer: Writer) -> ExitCode:
+def run_load(command: Load, context: CommandContext, writer: Writer) -> ExitCode:
     """Send a load, sum it up and show the figures."""
-    customers = read_customers(command, surroundings)
+    customers = read_customers(command, context)
     shape = shape_of(command, customers)
     config = sender_config(command, customers)
     sender = Sender(config)
@@ -78,11 +78,9 @@
     return ExitCode.DONE
 
 
-def read_customers(
-    command: Load, surroundings: Surroundings
-) -> tuple[LoadCustomer, ...]:
+def read_customers(command: Load, context: CommandContext) -> tuple[LoadCustomer, ...]:
     """Read the customers and their keys."""
-    text = read_text(command.customers, surroundings)
+    text = read_text(command.customers, context)
     try:
         customers = msgspec.json.decode(text, type=tuple[LoadCustomer, ...])
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
--- a/packages/cli/src/cowslipshelf_cli/internal/load/prompt.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/completion_body.py
@@ -10,7 +10,7 @@
 FILLING = b"x " * (PIECE_BYTES // 2)
 
 
-class CompletionPrompt(NamedTuple):
+class CompletionBody(NamedTuple):
     """Be what a body is built from; its marker makes its prefix one of its own."""
 
     model: str
--- a/packages/cli/src/cowslipshelf_cli/internal/load/report.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/report.py
@@ -10,7 +10,7 @@
     Quantiles,
     UnloadedTime,
 )
-from cowslipshelf_cli.internal.writing import table
+from cowslipshelf_cli.internal.output import table
 
 HEAD = ("", "answers", "p50", "p95", "p99", "most")
 CUSTOMER_HEAD = ("customer", "planned", "whole", "refused")
--- a/packages/cli/src/cowslipshelf_cli/internal/load/sending.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/sender.py
@@ -8,8 +8,8 @@
 from urllib3.exceptions import HTTPError
 
 from cowslipshelf_cli.internal.load.answer_reader import AnswerReader
+from cowslipshelf_cli.internal.load.completion_body import CompletionBody
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
-from cowslipshelf_cli.internal.load.prompt import CompletionPrompt
 from cowslipshelf_cli.internal.load.shape import Arrival
 from cowslipshelf_host.clock import SYSTEM_CLOCK
 
@@ -73,7 +73,7 @@
     ) -> urllib3.BaseHTTPResponse:
         """Send the request and wait for the head of its answer."""
         config = self.config
-        prompt = CompletionPrompt(
+        prompt = CompletionBody(
             config.model,
             f"{config.marker}-{number}-",
             arrival.prompt_tokens,
--- a/packages/cli/src/cowslipshelf_cli/internal/log_story.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_history.py
@@ -6,7 +6,7 @@
 from cowslipshelf_cli.exit_codes import ExitCode
 from cowslipshelf_cli.internal.commands import Explain
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.writing import Writer
+from cowslipshelf_cli.internal.output import Writer
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
 AROUND = timedelta(seconds=5)
@@ -17,7 +17,7 @@
 )
 
 
-class Story(NamedTuple):
+class RequestHistory(NamedTuple):
     """Be what the logs tell of one request."""
 
     request: str
@@ -37,7 +37,7 @@
 def explain_from_logs(command: Explain, writer: Writer) -> ExitCode:
     """Tell a request's story from log files."""
     entries = list(read_entries(command.log))
-    story = story_of(command.name, entries)
+    story = request_history(command.name, entries)
     if story is None:
         raise CommandFailedError(
             ExitCode.REFUSED,
@@ -48,7 +48,7 @@
     return ExitCode.DONE
 
 
-def story_of(request: str, entries: list[LogEntry]) -> Story | None:
+def request_history(request: str, entries: list[LogEntry]) -> RequestHistory | None:
     """Pick what belongs to a request, in order, and say what it came to."""
     own = [entry for entry in entries if entry.fields.get("request") == request]
     if not own:
@@ -65,7 +65,7 @@
         and belongs(entry, sources, upstreams)
     ]
     ordered = sorted([*own, *around], key=lambda entry: entry.at)
-    return Story(request, cause_of(ordered, own), tuple(ordered))
+    return RequestHistory(request, cause_of(ordered, own), tuple(ordered))
 
 
 def belongs(entry: LogEntry, sources: set[str], upstreams: set[str]) -> bool:
--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -7,7 +7,7 @@
 from cowslipshelf_cli.exit_codes import ExitCode
 from cowslipshelf_cli.internal.commands import Losses
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.writing import Writer
+from cowslipshelf_cli.internal.output import Writer
 from cowslipshelf_core.gateway import PromptSize, answer_value
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
--- a/packages/cli/src/cowslipshelf_cli/internal/changing.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/plan_commands.py
@@ -7,10 +7,14 @@
 import msgspec
 
 from cowslipshelf_cli.exit_codes import ExitCode
+from cowslipshelf_cli.internal.command_context import (
+    CommandContext,
+    FleetClients,
+    read_text,
+)
 from cowslipshelf_cli.internal.commands import AskPlan, Confirm, Drain
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.surroundings import Fleet, Surroundings, read_text
-from cowslipshelf_cli.internal.writing import Writer, table
+from cowslipshelf_cli.internal.output import Writer, table
 from cowslipshelf_core.control import ChangeDocument, FieldChange, Plan, PlanDocument
 from cowslipshelf_core.identifiers import ChangeId, PlanId, UpstreamId
 from cowslipshelf_operators import (
@@ -25,18 +29,18 @@
 
 
 def ask_plan(
-    command: AskPlan, fleet: Fleet, surroundings: Surroundings, writer: Writer
+    command: AskPlan, fleet: FleetClients, context: CommandContext, writer: Writer
 ) -> ExitCode:
     """Ask for a plan and show it."""
-    document = read_plan_document(command, surroundings)
+    document = read_plan_document(command, context)
     return show_plan_answer(fleet.any_instance.plan(document), writer)
 
 
-def read_plan_document(command: AskPlan, surroundings: Surroundings) -> PlanDocument:
+def read_plan_document(command: AskPlan, context: CommandContext) -> PlanDocument:
     """Read a change from its file; options replace what the file says."""
     next_step = "mend the file; `cowslipshelf plan --help` says what it holds"
     try:
-        written = json.loads(read_text(command.file, surroundings))
+        written = json.loads(read_text(command.file, context))
         if not isinstance(written, dict):
             raise ValueError("an object is needed")
         if command.change_id is not None:
@@ -49,14 +53,14 @@
         raise CommandFailedError(ExitCode.USAGE, message, next_step) from error
 
 
-def confirm(command: Confirm, fleet: Fleet, writer: Writer) -> ExitCode:
+def confirm(command: Confirm, fleet: FleetClients, writer: Writer) -> ExitCode:
     """Put a plan in force."""
     change_id = None if command.change_id is None else ChangeId(command.change_id)
     answer = fleet.any_instance.confirm(PlanId(command.plan), change_id)
     return show_confirmation(answer, writer)
 
 
-def drain(command: Drain, fleet: Fleet, writer: Writer) -> ExitCode:
+def drain(command: Drain, fleet: FleetClients, writer: Writer) -> ExitCode:
     """Plan to drain an upstream, and confirm that where it was asked for."""
     upstream = (UpstreamId(command.upstream),)
     state = fleet.any_instance.state()
--- a/packages/cli/src/cowslipshelf_cli/internal/reading.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/query_commands.py
@@ -5,10 +5,10 @@
 from http import HTTPStatus
 
 from cowslipshelf_cli.exit_codes import ExitCode
+from cowslipshelf_cli.internal.command_context import FleetClients, OperatorsApi
 from cowslipshelf_cli.internal.commands import Audit, Explain
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.surroundings import Fleet, OperatorsApi
-from cowslipshelf_cli.internal.writing import Writer, table
+from cowslipshelf_cli.internal.output import Writer, table
 from cowslipshelf_operators import (
     AuditAnswer,
     ExplainAnswer,
@@ -23,7 +23,7 @@
 AUDIT_HEAD = ("index", "at", "operator", "action", "change", "versions", "detail")
 
 
-def show_status(fleet: Fleet, writer: Writer) -> ExitCode:
+def show_status(fleet: FleetClients, writer: Writer) -> ExitCode:
     """Show the fleet."""
     state = fleet.any_instance.state()
     writer.show(state, status_lines(state))
@@ -72,7 +72,7 @@
     )
 
 
-def show_audit(command: Audit, fleet: Fleet, writer: Writer) -> ExitCode:
+def show_audit(command: Audit, fleet: FleetClients, writer: Writer) -> ExitCode:
     """Show the audit trail; an instance without a replica has none."""
     answer = first_found(
         fleet.each_instance, lambda one: one.audit(command.since, command.limit)
@@ -102,7 +102,7 @@
         yield f"for more: cowslipshelf audit --since {answer.records[-1].index}"
 
 
-def explain(command: Explain, fleet: Fleet, writer: Writer) -> ExitCode:
+def explain(command: Explain, fleet: FleetClients, writer: Writer) -> ExitCode:
     """Tell what happened to something."""
     answer = first_found(
         fleet.each_instance, lambda one: one.explain(command.kind, command.name)
--- a/packages/cli/src/cowslipshelf_cli/internal/suspects.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/suspect_commands.py
@@ -3,21 +3,21 @@
 from collections.abc import Iterator
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.surroundings import Fleet
-from cowslipshelf_cli.internal.writing import Writer, table
+from cowslipshelf_cli.internal.command_context import FleetClients
+from cowslipshelf_cli.internal.output import Writer, table
 from cowslipshelf_operators import SuspectsAnswer, SuspectStatus
 
 HEAD = ("digest", "state", "probe in", "last end", "upstreams that ended")
 
 
-def show_suspects(fleet: Fleet, writer: Writer) -> ExitCode:
+def show_suspects(fleet: FleetClients, writer: Writer) -> ExitCode:
     """List the requests under which upstreams ended."""
     answer = fleet.any_instance.suspects()
     writer.show(answer, suspect_lines(answer))
     return ExitCode.DONE
 
 
-def release(digest: str, fleet: Fleet, writer: Writer) -> ExitCode:
+def release(digest: str, fleet: FleetClients, writer: Writer) -> ExitCode:
     """Let a request go, and show which are left."""
     answer = fleet.any_instance.release(digest)
     writer.show(answer, [f"released {digest}", *suspect_lines(answer)])
--- a/packages/cli/src/cowslipshelf_cli/load.py
+++ b/packages/cli/src/cowslipshelf_cli/load.py
@@ -2,7 +2,7 @@
 
 from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
-from cowslipshelf_cli.internal.load.sending import Sender, SenderConfig
+from cowslipshelf_cli.internal.load.sender import Sender, SenderConfig
 from cowslipshelf_cli.internal.load.shape import (
     Arrival,
     CustomerShare,
--- a/packages/cli/src/cowslipshelf_cli/program.py
+++ b/packages/cli/src/cowslipshelf_cli/program.py
@@ -7,8 +7,8 @@
 import cappa
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.changing import ask_plan, confirm, drain
-from cowslipshelf_cli.internal.checking import check
+from cowslipshelf_cli.internal.check_command import check
+from cowslipshelf_cli.internal.command_context import CommandContext, connect
 from cowslipshelf_cli.internal.commands import (
     AskPlan,
     Audit,
@@ -25,19 +25,19 @@
 )
 from cowslipshelf_cli.internal.failures import CommandFailedError, failure_of
 from cowslipshelf_cli.internal.load.command import run_load
+from cowslipshelf_cli.internal.log_history import explain_from_logs
 from cowslipshelf_cli.internal.log_losses import losses_from_logs
-from cowslipshelf_cli.internal.log_story import explain_from_logs
-from cowslipshelf_cli.internal.reading import explain, show_audit, show_status
-from cowslipshelf_cli.internal.surroundings import Surroundings, connect
-from cowslipshelf_cli.internal.suspects import release, show_suspects
-from cowslipshelf_cli.internal.writing import Writer
+from cowslipshelf_cli.internal.output import Writer
+from cowslipshelf_cli.internal.plan_commands import ask_plan, confirm, drain
+from cowslipshelf_cli.internal.query_commands import explain, show_audit, show_status
+from cowslipshelf_cli.internal.suspect_commands import release, show_suspects
 from cowslipshelf_operators.errors import ClientError
 
 
 def main() -> None:
     """Run the command line of this process and exit."""
     try:
-        code = run(sys.argv[1:], Surroundings.from_process())
+        code = run(sys.argv[1:], CommandContext.from_process())
         sys.stdout.flush()
     except KeyboardInterrupt:
         code = ExitCode.INTERRUPTED
@@ -49,12 +49,12 @@
     sys.exit(code)
 
 
-def run(arguments: Sequence[str], surroundings: Surroundings) -> ExitCode:
+def run(arguments: Sequence[str], context: CommandContext) -> ExitCode:
     """Run one command line; usage errors and help exit by themselves."""
     program = cappa.parse(Program, argv=list(arguments), completion=False)
-    writer = Writer(surroundings.output, surroundings.errors, program.json)
+    writer = Writer(context.output, context.errors, program.json)
     try:
-        return run_command(program, surroundings, writer)
+        return run_command(program, context, writer)
     except CommandFailedError as error:
         failure = error.failure
     except ClientError as error:
@@ -63,23 +63,21 @@
     return failure.exit_code
 
 
-def run_command(
-    program: Program, surroundings: Surroundings, writer: Writer
-) -> ExitCode:
+def run_command(program: Program, context: CommandContext, writer: Writer) -> ExitCode:
     """Run a parsed command."""
     match program.command:
         case Check(settings=files):
             return check(files, writer)
         case Load() as command:
-            return run_load(command, surroundings, writer)
+            return run_load(command, context, writer)
         case Explain(kind="request", log=[_, *_]) as command:
             return explain_from_logs(command, writer)
         case Losses() as command:
             return losses_from_logs(command, writer)
-    fleet = connect(program, surroundings)
+    fleet = connect(program, context)
     match program.command:
         case AskPlan() as command:
-            return ask_plan(command, fleet, surroundings, writer)
+            return ask_plan(command, fleet, context, writer)
         case Confirm() as command:
             return confirm(command, fleet, writer)
         case Drain() as command:
--- a/tests/cover/cli/test_commands.py
+++ b/tests/cover/cli/test_commands.py
@@ -19,8 +19,8 @@
 from common.settings import CLUSTER_KEY, entry_document, sidecar_document
 from common.steady import STEADY
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.surroundings import Surroundings
-from cowslipshelf_cli.internal.writing import one_line
+from cowslipshelf_cli.internal.command_context import CommandContext
+from cowslipshelf_cli.internal.output import one_line
 from cowslipshelf_cli.program import run
 from cowslipshelf_operators import OperatorsClient, StateAnswer, UpstreamStatus
 from cowslipshelf_operators.errors import HandlerError
@@ -62,14 +62,14 @@
         "COWSLIPSHELF_ENTRIES": ",".join(entries),
         "COWSLIPSHELF_OPERATOR_KEY": key,
     }
-    surroundings = Surroundings(
+    context = CommandContext(
         environment,
         io.StringIO(json.dumps(given_input)),
         output,
         errors,
         OperatorsClient.from_config,
     )
-    code = run(arguments, surroundings)
+    code = run(arguments, context)
     ran = Ran(code, output.getvalue(), errors.getvalue())
     for secret in (OPERATOR_KEY, CUSTOMER_KEY, CLUSTER_KEY):
         assert secret not in ran.output + ran.errors
--- a/tests/cover/cli/test_load_drawing.py
+++ b/tests/cover/cli/test_load_drawing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from common.steady import STEADY
-from cowslipshelf_cli.internal.load.prompt import PIECE_BYTES, CompletionPrompt
+from cowslipshelf_cli.internal.load.completion_body import PIECE_BYTES, CompletionBody
 from cowslipshelf_cli.load import (
     CustomerShare,
     LoadShape,
@@ -91,7 +91,7 @@
 @given(st.integers(1, 60_000), st.text(), st.integers(1, 9))
 @example(1_000_000, "ledger-1", 1)
 def test_a_body_is_json_of_the_promised_length(tokens, model, output) -> None:
-    prompt = CompletionPrompt(model, "load-1-17-", tokens, output)
+    prompt = CompletionBody(model, "load-1-17-", tokens, output)
     body = b"".join(prompt.pieces())
     document = json.loads(body)
     assert len(body) == prompt.length()
--- a/tests/cover/cli/test_log_story.py
+++ b/tests/cover/cli/test_log_history.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.surroundings import Surroundings
+from cowslipshelf_cli.internal.command_context import CommandContext
 from cowslipshelf_cli.program import run
 from cowslipshelf_operators import OperatorsClient
 
@@ -119,11 +119,11 @@
     lines = [line for _, lines in LOGS.values() for line in lines]
     log.write_text("\n".join(["not an entry", *lines, "{half"]))
     output = io.StringIO()
-    surroundings = Surroundings(
+    context = CommandContext(
         {}, io.StringIO(), output, io.StringIO(), OperatorsClient.from_config
     )
     arguments = ("explain", "request", request, "--log", str(log), *more)
-    return run(arguments, surroundings), output.getvalue()
+    return run(arguments, context), output.getvalue()
 
 
 @pytest.mark.parametrize("request_id", LOGS)
--- a/tests/cover/cli/test_log_losses.py
+++ b/tests/cover/cli/test_log_losses.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.surroundings import Surroundings
+from cowslipshelf_cli.internal.command_context import CommandContext
 from cowslipshelf_cli.program import run
 from cowslipshelf_operators import OperatorsClient
 
@@ -82,10 +82,10 @@
     ]
     log.write_text("\n".join(["no entry", *lines]))
     output = io.StringIO()
-    surroundings = Surroundings(
+    context = CommandContext(
         {}, io.StringIO(), output, io.StringIO(), OperatorsClient.from_config
     )
-    code = run(("losses", "--log", str(log), *more), surroundings)
+    code = run(("losses", "--log", str(log), *more), context)
     return code, output.getvalue()
 
 
--- a/tests/cover/cli/test_recorded_failures.py
+++ b/tests/cover/cli/test_recorded_failures.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cowslipshelf_cli.internal.log_story import story_of
+from cowslipshelf_cli.internal.log_history import request_history
 from cowslipshelf_host.log_entries import read_entries
 
 LOG = Path(__file__).parent / "recorded" / "failed_requests.log"
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("request_id", CAUSES)
 def test_the_cause_is_found_from_the_logs_alone(request_id):
-    story = story_of(request_id, list(read_entries([LOG])))
+    story = request_history(request_id, list(read_entries([LOG])))
     assert story is not None
     assert story.cause == CAUSES[request_id]
 
@@ -47,7 +47,7 @@
 def test_every_recorded_request_has_a_cause_without_other_requests_lines():
     entries = list(read_entries([LOG]))
     for request_id in {entry.fields.get("request") for entry in entries} - {None}:
-        story = story_of(request_id, entries)
+        story = request_history(request_id, entries)
         assert re.search(r"\w", story.cause)
         named = {entry.fields.get("request") for entry in story.entries} - {None}
         assert named == {request_id}
