--- a/packages/emulator/src/cowslipshelf_emulator/__init__.py
+++ b/packages/emulator/src/cowslipshelf_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Play loads on emulated engines, to measure how prompts are placed."""
+"""Simulate loads on emulated engines, to measure the placement of prompts."""
--- a/packages/emulator/src/cowslipshelf_emulator/internal/__init__.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what is not meant for other packages."""
+"""Contain the modules that other packages must not import."""
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -1,4 +1,4 @@
-"""Switch off one mechanism of placing at a time, to see what it is worth."""
+"""Disable one mechanism of prompt placement at a time and measure the loss."""
 
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
@@ -8,91 +8,101 @@
 from unittest.mock import patch
 
 from cowslipshelf_emulator.internal.fleet import Delays, build
-from cowslipshelf_emulator.internal.load import FLEETS, Fleet, draw
-from cowslipshelf_emulator.internal.measures import Figures, figures
+from cowslipshelf_emulator.internal.load import FLEETS, Fleet, draw_arrivals
 from cowslipshelf_emulator.internal.policies import LeastHarm
+from cowslipshelf_emulator.internal.statistics import Figures, summarize
 
-PRODUCT = "cowslipshelf_core.internal.gateway"
+GATEWAY_PACKAGE = "cowslipshelf_core.internal.gateway"
+"""Package whose code is patched."""
 NEVER_SECONDS = 1e6
-"""Beyond any play: word that takes so long is never heard."""
+"""Longer than any simulation, so that gossip never arrives."""
 
 
-class Switch(NamedTuple):
-    """Be values of the product's code that leave a mechanism without effect."""
+class Ablation(NamedTuple):
+    """Describe how to disable a mechanism of the gateways' placement code."""
 
-    replaced: tuple[tuple[str, Any], ...] = ()
-    """Names within the product's folder for placing, with what stands for them."""
+    replacements: tuple[tuple[str, Any], ...] = ()
+    """Names within `GATEWAY_PACKAGE` and the values that replace them."""
     delays: Delays = Delays()
 
 
-def nothing(*_args: Any) -> float:
-    """Stand for a cost that is not charged."""
+def zero_cost(*_args: Any) -> float:
+    """Replace a cost function by one that charges nothing."""
     return 0.0
 
 
 ALL_ON = "nothing is off"
-SWITCHES = {
-    ALL_ON: Switch(),
-    "several engines for one prompt": Switch((("prompt_placement.PART_COUNTS", (1,)),)),
-    "harm to those who write": Switch((("placement_cost.harm_to_decoding", nothing),)),
-    "harm to those who wait": Switch((("placement_cost.harm_to_queued", nothing),)),
-    "cost of sharing an engine": Switch((("placement_cost.sharing_cost", nothing),)),
-    "charge for an empty engine": Switch((("placement_cost.EMPTY_ENGINE_COST", 0.0),)),
-    "charge for a further engine": Switch(
+ABLATIONS = {
+    ALL_ON: Ablation(),
+    "several engines for one prompt": Ablation(
+        (("prompt_placement.PART_COUNTS", (1,)),)
+    ),
+    "harm to those who write": Ablation(
+        (("placement_cost.harm_to_decoding", zero_cost),)
+    ),
+    "harm to those who wait": Ablation((("placement_cost.harm_to_queued", zero_cost),)),
+    "cost of sharing an engine": Ablation(
+        (("placement_cost.sharing_cost", zero_cost),)
+    ),
+    "charge for an empty engine": Ablation(
+        (("placement_cost.EMPTY_ENGINE_COST", 0.0),)
+    ),
+    "charge for a further engine": Ablation(
         (("prompt_placement.EXTRA_ENGINE_COST", 0.0),)
     ),
-    "draw of engines to weigh": Switch(
+    "draw of engines to weigh": Ablation(
         (
             ("prompt_placement.MAX_ENGINES_WEIGHED", 10_000),
             ("prompt_placement.MAX_ENGINES_WEIGHED_FOR_SHORT", 10_000),
         )
     ),
-    "late writers count less": Switch(
-        (("engine_simulation.EngineSimulation.mark_late", nothing),)
+    "late writers count less": Ablation(
+        (("engine_simulation.EngineSimulation.mark_late", zero_cost),)
     ),
-    "word of work between gateways": Switch(delays=Delays(word=NEVER_SECONDS)),
+    "word of work between gateways": Ablation(delays=Delays(gossip=NEVER_SECONDS)),
 }
 
 
-class Ablated(NamedTuple):
-    """Be what callers got with a mechanism off, one figure a seed."""
+class AblationResult(NamedTuple):
+    """Hold the results with one mechanism disabled."""
 
     off: str
-    worths: tuple[float, ...]
+    values: tuple[float, ...]
+    """Share of the possible value that was earned, for each seed."""
     short_in_time: float
-    """Mean share of the first kind's requests that were in time."""
+    """Share of requests of the first kind that were in time, averaged over seeds."""
 
     @property
-    def worth(self) -> float:
-        """Return the mean worth over the seeds."""
-        return mean(self.worths)
+    def value(self) -> float:
+        """Return the mean value over the seeds."""
+        return mean(self.values)
 
 
 @contextmanager
-def switched_off(switch: Switch) -> Iterator[None]:
-    """Leave a mechanism without effect meanwhile."""
+def mechanism_disabled(ablation: Ablation) -> Iterator[None]:
+    """Disable a mechanism within the context."""
     with ExitStack() as stack:
-        for name, value in switch.replaced:
-            stack.enter_context(patch(f"{PRODUCT}.{name}", value))
+        for name, value in ablation.replacements:
+            stack.enter_context(patch(f"{GATEWAY_PACKAGE}.{name}", value))
         yield
 
 
 def play_without(
     fleet: Fleet, off: str, seconds: float, load: float, seed: int
 ) -> Figures:
-    """Play one load with a mechanism off."""
-    switch = SWITCHES[off]
-    arrivals = draw(fleet, seconds, load, seed)
-    with switched_off(switch):
+    """Simulate one load with a mechanism disabled."""
+    ablation = ABLATIONS[off]
+    arrivals = draw_arrivals(fleet, seconds, load, seed)
+    with mechanism_disabled(ablation):
         emulated = build(fleet, LeastHarm, seed)
-        emulated.delays = switch.delays
-        return figures(emulated.play(arrivals))
+        emulated.delays = ablation.delays
+        return summarize(emulated.run(arrivals))
 
 
 def ablate(
     fleet: str, seconds: float, load: float, seeds: list[int], processes: int
-) -> Iterator[Ablated]:
-    """Play a fleet's load with each mechanism off, on the same arrivals."""
+) -> Iterator[AblationResult]:
+    """Simulate a fleet's load with each mechanism disabled, on the same arrivals."""
     first_kind = FLEETS[fleet].kinds[0].name
     with ProcessPoolExecutor(processes) as pool:
         plays = {
@@ -100,12 +110,12 @@
                 pool.submit(play_without, FLEETS[fleet], off, seconds, load, seed)
                 for seed in seeds
             ]
-            for off in SWITCHES
+            for off in ABLATIONS
         }
         for off, submitted in plays.items():
             played = [each.result() for each in submitted]
-            yield Ablated(
+            yield AblationResult(
                 off,
-                tuple(each.worth for each in played),
+                tuple(each.value for each in played),
                 mean(each.kinds[first_kind].in_time for each in played),
             )
--- a/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
@@ -1,4 +1,4 @@
-"""Play arrivals on emulated engines behind gateways that tell each other their work."""
+"""Simulate requests on emulated engines behind gateways that share their work."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,70 +14,72 @@
     admission_priority,
 )
 from cowslipshelf_core.identifiers import AttemptId, UpstreamId
-from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
+from cowslipshelf_emulator.internal.engine import EmulatedEngine, PrefillTask
+from cowslipshelf_emulator.internal.event_scheduler import EventScheduler
 from cowslipshelf_emulator.internal.load import Arrival, Fleet
 from cowslipshelf_emulator.internal.policies import Policy
-from cowslipshelf_emulator.internal.timeline import Timeline
 
-CLOCK_ERROR_SECONDS = 1e-6
-"""Sums of times differ by rounding; a caller that is looked at a moment too early
-would be looked at again at the same time for ever."""
+CLOCK_ROUNDING_SECONDS = 1e-6
+"""Tolerance for rounding in sums of times. Without it, a check that runs slightly
+before a caller's limit would schedule itself again at the same time for ever."""
 
 
 class Delays(NamedTuple):
-    """Be the times on the way, in seconds."""
+    """Hold network delays in seconds."""
 
     caller: float = 0.003
+    """Between a caller and its gateway."""
     hop: float = 0.0009
-    word: float = 0.007
-    """From a gateway's act to what the others know: 5 ms of gathering and a hop."""
+    """Between a gateway and an engine."""
+    gossip: float = 0.007
+    """Until the other gateways know of a change: 5 ms of batching and a hop."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Say what came of a request, as its caller saw it."""
+    """Record the result of a request as its caller saw it."""
 
     arrival: Arrival
     engines: int = 0
     predicted: float | None = None
-    first: float | None = None
-    """Seconds to the first event."""
-    longest_pause: float = 0.0
+    first_event_seconds: float | None = None
+    """Time from the request to its first event."""
+    max_pause_seconds: float = 0.0
     last_event_at: float | None = None
     end: str = ""
     """`answered`, `refused` or `left`."""
 
     @property
     def in_time(self) -> bool:
-        """Tell whether the answer came whole and in time throughout."""
+        """Return whether the answer was complete and met both time limits."""
         kind = self.arrival.kind
         return (
             self.end == "answered"
-            and self.first <= kind.objective_seconds
-            and self.longest_pause <= kind.pause_seconds
+            and self.first_event_seconds <= kind.objective_seconds
+            and self.max_pause_seconds <= kind.pause_seconds
         )
 
 
 @dataclass(slots=True)
-class Running:
-    """Be a request on its engines."""
+class RunningRequest:
+    """Hold a request that its engines process."""
 
     outcome: Outcome
     work: EngineWork
     gateway: int
-    unread: int
-    """Parts that are still to be read."""
+    remaining_parts: int
+    """Parts that are not prefilled yet."""
 
 
 @dataclass
 class EmulatedFleet:
-    """Own the engines, the gateways' beliefs and the time."""
+    """Hold the engines, what each gateway knows, and the simulated time."""
 
     fleet: Fleet
     policies: list[Policy]
     delays: Delays = Delays()
-    timeline: Timeline = field(default_factory=Timeline)
-    running: dict[str, Running] = field(default_factory=dict)
+    scheduler: EventScheduler = field(default_factory=EventScheduler)
+    running: dict[str, RunningRequest] = field(default_factory=dict)
     outcomes: list[Outcome] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -86,169 +88,171 @@
             for name in engine_names(self.fleet)
         }
 
-    def play(self, arrivals: list[Arrival]) -> list[Outcome]:
-        """Play the arrivals to the last answer."""
+    def run(self, arrivals: list[Arrival]) -> list[Outcome]:
+        """Simulate the arrivals until the last request has ended."""
         for arrival in arrivals:
             delay = arrival.at + self.delays.caller
-            self.timeline.after(delay, partial(self.arrive, arrival))
-        self.timeline.run()
+            self.scheduler.call_later(delay, partial(self.arrive, arrival))
+        self.scheduler.run()
         return self.outcomes
 
     def arrive(self, arrival: Arrival) -> None:
-        """Place a request that has come to its gateway."""
+        """Place a request that has reached its gateway."""
         outcome = Outcome(arrival)
         self.outcomes.append(outcome)
         kind = arrival.kind
-        asked = PromptToPlace(
+        prompt = PromptToPlace(
             AttemptId(arrival.request),
             arrival.size,
             kind.objective_seconds,
             kind.pause_seconds,
             kind.deadline_seconds,
         )
-        chosen = self.policies[arrival.gateway].place(asked, self.timeline.now)
+        chosen = self.policies[arrival.gateway].place(prompt, self.scheduler.now)
         match chosen:
             case NoEngine():
                 outcome.end = "refused"
             case EnginesChosen():
-                self.send(outcome, chosen)
+                self.dispatch(outcome, chosen)
 
-    def send(self, outcome: Outcome, chosen: EnginesChosen) -> None:
-        """Send a placed request to its engines, and tell the other gateways."""
+    def dispatch(self, outcome: Outcome, chosen: EnginesChosen) -> None:
+        """Send a placed request to its engines and inform the other gateways."""
         arrival = outcome.arrival
         work = chosen.work
         outcome.engines = len(work.parts)
         outcome.predicted = chosen.first_token_seconds
-        self.running[arrival.request] = Running(
+        self.running[arrival.request] = RunningRequest(
             outcome, work, arrival.gateway, len(work.parts)
         )
         owner = f"gateway-{arrival.gateway}"
-        now = self.timeline.now
-        self.tell(arrival.gateway, lambda policy: policy.begin(work, owner, now))
-        self.timeline.after(self.delays.hop, partial(self.begin, arrival, work))
-        self.watch(outcome, arrival.at)
+        now = self.scheduler.now
+        self.broadcast(arrival.gateway, lambda policy: policy.begin(work, owner, now))
+        self.scheduler.call_later(
+            self.delays.hop, partial(self.start_prefills, arrival, work)
+        )
+        self.schedule_caller_check(outcome, arrival.at)
 
-    def begin(self, arrival: Arrival, work: EngineWork) -> None:
-        """Let the engines take a request's parts."""
+    def start_prefills(self, arrival: Arrival, work: EngineWork) -> None:
+        """Give the parts of a request to the engines."""
         tokens = arrival.size.prompt_tokens
         for number, part in enumerate(work.parts):
             engine = self.engines[part.upstream_id]
-            reading = Reading(
+            task = PrefillTask(
                 arrival.request, tokens, arrival.output_tokens, len(work.parts)
             )
             if number == 0:
-                engine.admit(reading, admission_priority(arrival.size))
-            elif not engine.help(reading):
-                self.end(self.running[arrival.request], "refused")
+                engine.enqueue(task, admission_priority(arrival.size))
+            elif not engine.add_helper_prefill(task):
+                self.finish(self.running[arrival.request], "refused")
                 return
-            self.go_on(engine)
+            self.start_next_pass(engine)
 
-    def go_on(self, engine: EmulatedEngine) -> None:
-        """Let an engine begin its next pass."""
+    def start_next_pass(self, engine: EmulatedEngine) -> None:
+        """Start the next pass of an idle engine that has work."""
         if engine.in_pass:
             return
         seconds = engine.begin_pass()
         if seconds is not None:
-            self.timeline.after(seconds, partial(self.end_pass, engine))
+            self.scheduler.call_later(seconds, partial(self.end_pass, engine))
 
     def end_pass(self, engine: EmulatedEngine) -> None:
-        """Take in what a pass brought, and begin the next."""
+        """Apply the results of a pass and start the next one."""
         result = engine.end_pass()
-        for request in result.read:
-            self.part_read(request)
+        for request in result.prefilled:
+            self.finish_part(request)
         for request in result.events:
-            self.take_event(request)
+            self.deliver_event(request)
         for request in result.finished:
             if request in self.running:
-                self.end(self.running[request], "answered")
-        self.go_on(engine)
+                self.finish(self.running[request], "answered")
+        self.start_next_pass(engine)
 
-    def part_read(self, request: str) -> None:
-        """Let the answer begin once the last part has been read."""
+    def finish_part(self, request: str) -> None:
+        """Start to decode the answer once the last of several parts is prefilled."""
         running = self.running.get(request)
         if running is None:
             return
-        running.unread -= 1
-        if running.unread or len(running.work.parts) == 1:
+        running.remaining_parts -= 1
+        if running.remaining_parts or len(running.work.parts) == 1:
             return
         arrival = running.outcome.arrival
-        writer = self.engines[running.work.parts[0].upstream_id]
-        # An engine that holds a part of the memory has a part of the context.
+        decoder = self.engines[running.work.parts[0].upstream_id]
+        # An engine that holds part of the KV cache has only that part as its context.
         held = [part.memory_tokens for part in running.work.parts if part.memory_tokens]
         context = max(held, default=arrival.size.prompt_tokens)
-        writer.write(request, context, arrival.output_tokens)
-        self.go_on(writer)
+        decoder.start_decode(request, context, arrival.output_tokens)
+        self.start_next_pass(decoder)
 
-    def take_event(self, request: str) -> None:
-        """Let an event reach the caller."""
+    def deliver_event(self, request: str) -> None:
+        """Record an event that reaches the caller."""
         running = self.running.get(request)
         if running is None:
             return
         outcome = running.outcome
-        now = self.timeline.now + self.delays.hop + self.delays.caller
-        if outcome.first is None:
-            outcome.first = now - outcome.arrival.at
+        now = self.scheduler.now + self.delays.hop + self.delays.caller
+        if outcome.first_event_seconds is None:
+            outcome.first_event_seconds = now - outcome.arrival.at
             attempt_id = running.work.attempt_id
-            self.tell(
+            self.broadcast(
                 running.gateway,
-                lambda policy: policy.first_token(attempt_id, self.timeline.now),
+                lambda policy: policy.first_token(attempt_id, self.scheduler.now),
             )
         else:
             pause = now - outcome.last_event_at
-            outcome.longest_pause = max(outcome.longest_pause, pause)
+            outcome.max_pause_seconds = max(outcome.max_pause_seconds, pause)
         outcome.last_event_at = now
 
-    def watch(self, outcome: Outcome, since: float) -> None:
-        """Let a caller leave that hears nothing for too long, or at its deadline."""
+    def schedule_caller_check(self, outcome: Outcome, since: float) -> None:
+        """Schedule a check at a caller's silence limit or its deadline."""
         kind = outcome.arrival.kind
         deadline = outcome.arrival.at + kind.deadline_seconds
-        at = min(since + kind.leave_seconds, deadline)
-        wait = max(0.0, at - self.timeline.now)
-        self.timeline.after(wait, partial(self.look_at_caller, outcome, deadline))
+        at = min(since + kind.abandon_seconds, deadline)
+        wait = max(0.0, at - self.scheduler.now)
+        self.scheduler.call_later(wait, partial(self.check_caller, outcome, deadline))
 
-    def look_at_caller(self, outcome: Outcome, deadline: float) -> None:
-        """See whether a caller has heard something since it was last looked at."""
+    def check_caller(self, outcome: Outcome, deadline: float) -> None:
+        """End a request whose caller has reached its limit; else check again later."""
         running = self.running.get(outcome.arrival.request)
         if running is None:
             return
-        heard = outcome.last_event_at or outcome.arrival.at
-        leave_at = heard + outcome.arrival.kind.leave_seconds
-        if self.timeline.now + CLOCK_ERROR_SECONDS >= min(leave_at, deadline):
-            self.end(running, "left")
+        last_heard = outcome.last_event_at or outcome.arrival.at
+        abandon_at = last_heard + outcome.arrival.kind.abandon_seconds
+        if self.scheduler.now + CLOCK_ROUNDING_SECONDS >= min(abandon_at, deadline):
+            self.finish(running, "left")
         else:
-            self.watch(outcome, heard)
+            self.schedule_caller_check(outcome, last_heard)
 
-    def end(self, running: Running, how: str) -> None:
-        """End a request and free its engines."""
+    def finish(self, running: RunningRequest, end: str) -> None:
+        """End a request and release its engines."""
         outcome = running.outcome
-        outcome.end = how
+        outcome.end = end
         del self.running[outcome.arrival.request]
         for part in running.work.parts:
             self.engines[part.upstream_id].drop(outcome.arrival.request)
         attempt_id = running.work.attempt_id
-        self.tell(
-            running.gateway, lambda policy: policy.end(attempt_id, self.timeline.now)
+        self.broadcast(
+            running.gateway, lambda policy: policy.end(attempt_id, self.scheduler.now)
         )
 
-    def tell(self, gateway: int, act: Callable[[Policy], None]) -> None:
-        """Let a gateway know at once, and all others a word's delay later."""
-        act(self.policies[gateway])
+    def broadcast(self, gateway: int, update: Callable[[Policy], None]) -> None:
+        """Update a gateway at once and all others after the gossip delay."""
+        update(self.policies[gateway])
         others = [each for n, each in enumerate(self.policies) if n != gateway]
 
-        def tell_others() -> None:
+        def apply_to_others() -> None:
             for policy in others:
-                act(policy)
+                update(policy)
 
-        self.timeline.after(self.delays.word, tell_others)
+        self.scheduler.call_later(self.delays.gossip, apply_to_others)
 
 
 def engine_names(fleet: Fleet) -> tuple[UpstreamId, ...]:
-    """Name a fleet's engines."""
+    """Return the names of a fleet's engines."""
     return tuple(UpstreamId(f"{fleet.name}-{n}") for n in range(fleet.engines))
 
 
 def build(fleet: Fleet, policy: type[Policy], seed: int) -> EmulatedFleet:
-    """Put a fleet together whose gateways decide by a policy."""
+    """Build a fleet whose gateways place prompts by a policy."""
     engines = engine_names(fleet)
     policies = [
         policy(engines, fleet.model, Random(f"{seed}:{number}"))
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -1,4 +1,4 @@
-"""Draw the requests of a fleet's users, whose demand swings between long and short."""
+"""Draw the arrivals of a fleet, whose load alternates between prompt lengths."""
 
 import math
 from random import Random
@@ -7,69 +7,75 @@
 from cowslipshelf_core.gateway import EngineModel, PromptSize, abandon_seconds
 
 
-class Lengths(NamedTuple):
-    """Be lengths whose logarithms are normal, in tokens."""
+class LengthDistribution(NamedTuple):
+    """Describe a log-normal distribution of lengths, in tokens or events."""
 
     mean: float
     spread: float
     """Standard deviation of the logarithm."""
-    most: float
+    max_length: float
+    """Longer draws are cut to this."""
 
     def draw(self, random: Random) -> float:
         """Draw one length."""
-        middle = math.log(self.mean) - self.spread**2 / 2
-        return min(self.most, random.lognormvariate(middle, self.spread))
+        log_mean = math.log(self.mean) - self.spread**2 / 2
+        return min(self.max_length, random.lognormvariate(log_mean, self.spread))
 
 
-class Kind(NamedTuple):
-    """Be a kind of request."""
+class RequestKind(NamedTuple):
+    """Describe one kind of request: its lengths, time limits, value and rate."""
 
     name: str
-    prompt: Lengths
-    events: Lengths
+    prompt: LengthDistribution
+    events: LengthDistribution
     """Events of the answer; each has as many tokens as a pass has steps."""
     objective_seconds: float
+    """Time within which the first event is due."""
     pause_seconds: float
+    """Longest pause between two events that is still in time."""
     deadline_seconds: float
-    worth: float
-    late_worth: float
+    value: float
+    """Of an answer in time."""
+    late_value: float
+    """Of a complete answer that was late."""
     per_second: float
+    """Arrivals per second at the usual rate."""
 
     @property
-    def leave_seconds(self) -> float:
-        """Return the silence after which a caller leaves."""
+    def abandon_seconds(self) -> float:
+        """Return the silence after which a caller abandons its request."""
         return abandon_seconds(self.objective_seconds, self.pause_seconds)
 
 
 class Fleet(NamedTuple):
-    """Be a user's engines and what they are asked."""
+    """Describe a fleet of engines and the load on it."""
 
     name: str
     engines: int
     gateways: int
     model: EngineModel
-    kinds: tuple[Kind, ...]
-    swings: tuple[tuple[float, ...], ...]
-    """Factors of the kinds' rates; each holds for a stretch, then the next, and
-    around again."""
-    stretch_seconds: float = 10.0
+    kinds: tuple[RequestKind, ...]
+    rate_factors: tuple[tuple[float, ...], ...]
+    """For each phase, a factor on the rate of each kind; the phases repeat in turn."""
+    phase_seconds: float = 10.0
 
 
 class Arrival(NamedTuple):
-    """Be a request that comes to a gateway."""
+    """Hold a request that arrives at a gateway."""
 
     request: str
     at: float
-    kind: Kind
+    """Time since the start of the load, in seconds."""
+    kind: RequestKind
     size: PromptSize
     output_tokens: int
-    """What the answer really takes; the size gives the most it may take."""
+    """Actual length of the answer; `size` holds the longest allowed."""
     gateway: int
 
 
-SHORT_SWING = (2.4, 0.5, 0.05)
-LONG_SWING = (0.38, 1.3, 2.8)
-"""Factors of short, middle and long prompts, as the users' demand swings."""
+SHORT_PEAK = (2.4, 0.5, 0.05)
+LONG_PEAK = (0.38, 1.3, 2.8)
+"""Rate factors of short, middle and long prompts while demand peaks."""
 
 ENGINE = EngineModel(
     slots=8,
@@ -84,10 +90,10 @@
 )
 GROWN_ENGINE = ENGINE._replace(slots=6, memory_tokens=344_250, steps_per_pass=38)
 
-SHORT = Kind(
+SHORT = RequestKind(
     "short",
-    Lengths(4_960, 0.9, 23_800),
-    Lengths(38.5, 0.7, 96.2),
+    LengthDistribution(4_960, 0.9, 23_800),
+    LengthDistribution(38.5, 0.7, 96.2),
     0.3,
     0.25,
     10.0,
@@ -95,10 +101,10 @@
     0.33,
     14.0,
 )
-MIDDLE = Kind(
+MIDDLE = RequestKind(
     "middle",
-    Lengths(45_000, 0.5, 110_000),
-    Lengths(23.1, 0.6, 57.7),
+    LengthDistribution(45_000, 0.5, 110_000),
+    LengthDistribution(23.1, 0.6, 57.7),
     1.5,
     0.6,
     10.0,
@@ -106,10 +112,10 @@
     0.97,
     0.785,
 )
-LONG = Kind(
+LONG = RequestKind(
     "long",
-    Lengths(182_000, 0.55, 900_000),
-    Lengths(19.2, 0.5, 48.1),
+    LengthDistribution(182_000, 0.55, 900_000),
+    LengthDistribution(19.2, 0.5, 48.1),
     4.0,
     1.0,
     15.0,
@@ -119,10 +125,10 @@
 )
 
 NILEGATE = Fleet(
-    "nilegate", 14, 7, ENGINE, (SHORT, MIDDLE, LONG), (LONG_SWING, SHORT_SWING)
+    "nilegate", 14, 7, ENGINE, (SHORT, MIDDLE, LONG), (LONG_PEAK, SHORT_PEAK)
 )
 CODELIJN = NILEGATE._replace(name="codelijn", gateways=8)
-"""Asks the same of its engines, by one gateway more."""
+"""Has the load and engines of Nilegate, with one more gateway."""
 COOPERATIVE = Fleet(
     "cooperative",
     23,
@@ -133,19 +139,21 @@
         MIDDLE._replace(per_second=1.28),
         LONG._replace(per_second=0.595, objective_seconds=3.0),
     ),
-    (LONG_SWING, SHORT_SWING),
+    (LONG_PEAK, SHORT_PEAK),
 )
 
 GROWN_LONG = LONG._replace(
-    prompt=Lengths(260_000, 0.55, 900_000),
-    events=Lengths(17.8, 0.5, 44.6),
-    worth=34.0,
-    late_worth=8.6,
+    prompt=LengthDistribution(260_000, 0.55, 900_000),
+    events=LengthDistribution(17.8, 0.5, 44.6),
+    value=34.0,
+    late_value=8.6,
 )
 GROWN_MIDDLE = MIDDLE._replace(
-    events=Lengths(21.4, 0.6, 53.5), worth=3.3, late_worth=0.82
+    events=LengthDistribution(21.4, 0.6, 53.5), value=3.3, late_value=0.82
+)
+GROWN_SHORT = SHORT._replace(
+    events=LengthDistribution(35.7, 0.7, 89.2), late_value=0.34
 )
-GROWN_SHORT = SHORT._replace(events=Lengths(35.7, 0.7, 89.2), late_worth=0.34)
 NILEGATE_GROWN = Fleet(
     "nilegate-grown",
     45,
@@ -156,7 +164,7 @@
         GROWN_MIDDLE._replace(per_second=2.5),
         GROWN_LONG._replace(per_second=0.81),
     ),
-    (LONG_SWING, SHORT_SWING),
+    (LONG_PEAK, SHORT_PEAK),
 )
 COOPERATIVE_GROWN = Fleet(
     "cooperative-grown",
@@ -168,7 +176,7 @@
         GROWN_MIDDLE._replace(per_second=4.34),
         GROWN_LONG._replace(per_second=1.41),
     ),
-    (LONG_SWING, SHORT_SWING),
+    (LONG_PEAK, SHORT_PEAK),
 )
 LARGE_ENGINE = ENGINE._replace(slots=5, steps_per_pass=53)
 NILEGATE_LARGE = Fleet(
@@ -178,30 +186,30 @@
     LARGE_ENGINE,
     (
         SHORT._replace(
-            events=Lengths(25.9, 0.7, 64.8),
+            events=LengthDistribution(25.9, 0.7, 64.8),
             objective_seconds=0.421,
             pause_seconds=0.3,
-            late_worth=0.34,
+            late_value=0.34,
             per_second=76.0,
         ),
         MIDDLE._replace(
-            events=Lengths(15.6, 0.6, 39.0),
+            events=LengthDistribution(15.6, 0.6, 39.0),
             objective_seconds=1.533,
             pause_seconds=0.8,
-            worth=2.9,
-            late_worth=0.72,
+            value=2.9,
+            late_value=0.72,
             per_second=6.2,
         ),
         GROWN_LONG._replace(
-            events=Lengths(13.0, 0.5, 32.5),
+            events=LengthDistribution(13.0, 0.5, 32.5),
             objective_seconds=4.057,
             pause_seconds=1.2,
-            worth=30.0,
-            late_worth=7.6,
+            value=30.0,
+            late_value=7.6,
             per_second=1.56,
         ),
     ),
-    (LONG_SWING, SHORT_SWING),
+    (LONG_PEAK, SHORT_PEAK),
 )
 FLEETS = {
     fleet.name: fleet
@@ -216,8 +224,10 @@
 }
 
 
-def draw(fleet: Fleet, seconds: float, load: float, seed: int) -> list[Arrival]:
-    """Draw the arrivals of a stretch of time, at `load` times the usual rates."""
+def draw_arrivals(
+    fleet: Fleet, seconds: float, load: float, seed: int
+) -> list[Arrival]:
+    """Draw the arrivals of a period, at `load` times the usual rates."""
     random = Random(f"{fleet.name}:{seed}")
     arrivals = []
     for number, kind in enumerate(fleet.kinds):
@@ -226,26 +236,31 @@
 
 
 def draw_kind(
-    fleet: Fleet, kind: Kind, number: int, seconds: float, load: float, random: Random
+    fleet: Fleet,
+    kind: RequestKind,
+    number: int,
+    seconds: float,
+    load: float,
+    random: Random,
 ) -> list[Arrival]:
-    """Draw one kind's arrivals, whose rate changes with each stretch."""
-    most = max(swing[number] for swing in fleet.swings)
+    """Draw one kind's arrivals, whose rate changes with each phase."""
+    max_factor = max(factors[number] for factors in fleet.rate_factors)
     arrivals = []
-    now = random.expovariate(kind.per_second * load * most)
+    now = random.expovariate(kind.per_second * load * max_factor)
     while now < seconds:
-        stretch = int(now / fleet.stretch_seconds) % len(fleet.swings)
-        if random.random() < fleet.swings[stretch][number] / most:
+        phase = int(now / fleet.phase_seconds) % len(fleet.rate_factors)
+        if random.random() < fleet.rate_factors[phase][number] / max_factor:
             arrivals.append(
                 draw_one(fleet, kind, f"{kind.name}-{len(arrivals)}", now, random)
             )
-        now += random.expovariate(kind.per_second * load * most)
+        now += random.expovariate(kind.per_second * load * max_factor)
     return arrivals
 
 
 def draw_one(
-    fleet: Fleet, kind: Kind, request: str, now: float, random: Random
+    fleet: Fleet, kind: RequestKind, request: str, now: float, random: Random
 ) -> Arrival:
-    """Draw one request's lengths and its gateway."""
+    """Draw one request: its lengths and its gateway."""
     prompt = max(1, round(kind.prompt.draw(random)))
     events = max(1, round(kind.events.draw(random)))
     output = events * fleet.model.steps_per_pass
--- a/packages/emulator/src/cowslipshelf_emulator/internal/comparing.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/log_comparison.py
@@ -1,6 +1,7 @@
-"""Play logged attempts on emulated engines, where they really ran, and compare.
+"""Replay logged attempts on emulated engines and compare their times.
 
-Only the engines are compared: which engines read each prompt is taken from the log.
+Only the engine model is compared: each prompt is prefilled by the engines that the log
+names.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,33 +15,38 @@
 from cowslipshelf_core.identifiers import UpstreamId
 from cowslipshelf_emulator.internal.engine import EmulatedEngine
 from cowslipshelf_emulator.internal.fleet import Delays, EmulatedFleet, Outcome
-from cowslipshelf_emulator.internal.load import Arrival, Fleet, Kind, Lengths
+from cowslipshelf_emulator.internal.load import (
+    Arrival,
+    Fleet,
+    LengthDistribution,
+    RequestKind,
+)
 from cowslipshelf_emulator.internal.policies import LeastOutstanding
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
-BEGINS = "request: Attempt begins."
-ENDED = "request: Attempt ended."
-BOUNDS = (("short", 24_000), ("middle", 110_001), ("long", 10_000_000))
-"""Kinds by prompt tokens below a bound."""
-ANY_LENGTHS = Lengths(1.0, 0.0, 1.0)
+ATTEMPT_BEGINS = "request: Attempt begins."
+ATTEMPT_ENDED = "request: Attempt ended."
+KIND_BOUNDS = (("short", 24_000), ("middle", 110_001), ("long", 10_000_000))
+"""Kinds, each with the prompt tokens that it stays below."""
+ANY_LENGTHS = LengthDistribution(1.0, 0.0, 1.0)
 NEVER_SECONDS = 1e6
 
 
 class LoggedAttempt(NamedTuple):
-    """Be one attempt on engines, as its gateway logged it."""
+    """Hold one attempt on engines, as its gateway logged it."""
 
-    name: str
+    request: str
     at: float
     """Seconds since 1970."""
     tokens: int
     engines: tuple[UpstreamId, ...]
-    first: float
-    pause: float
-    seconds: float
+    first_event_seconds: float
+    max_pause_seconds: float
+    total_seconds: float
 
 
-class Compared(TypedDict):
-    """Be one kind's times in ms, measured and emulated."""
+class KindComparison(TypedDict):
+    """Hold the times of one kind in ms, each as a pair of measured and emulated."""
 
     attempts: int
     first_p50: tuple[float, float]
@@ -50,20 +56,20 @@
 
 
 def read_attempts(paths: Iterable[Path]) -> Iterator[LoggedAttempt]:
-    """Read the whole answers that engines gave; other lines are passed over."""
+    """Read the attempts that engines answered in full; skip other lines."""
     begun: dict[str, LogEntry] = {}
     for entry in read_entries(paths):
         fields = entry.fields
-        if entry.event == BEGINS and fields.get("tokens"):
+        if entry.event == ATTEMPT_BEGINS and fields.get("tokens"):
             begun[fields["request"]] = entry
-        elif entry.event == ENDED:
+        elif entry.event == ATTEMPT_ENDED:
             first = begun.pop(fields["request"], None)
             if first is not None and fields.get("outcome") == "Answered":
-                yield logged(first, fields)
+                yield join_entries(first, fields)
 
 
-def logged(begins: LogEntry, ended: dict) -> LoggedAttempt:
-    """Join an attempt's two lines."""
+def join_entries(begins: LogEntry, ended: dict) -> LoggedAttempt:
+    """Build an attempt from its first and last log entry."""
     fields = begins.fields
     return LoggedAttempt(
         fields["request"],
@@ -77,16 +83,16 @@
 
 
 @dataclass
-class Replay(EmulatedFleet):
-    """Be a fleet whose placements are given."""
+class ReplayedFleet(EmulatedFleet):
+    """Emulate a fleet in which the log decides the placement of prompts."""
 
-    logged: dict[str, LoggedAttempt] = field(default_factory=dict)
+    attempts: dict[str, LoggedAttempt] = field(default_factory=dict)
 
     def arrive(self, arrival: Arrival) -> None:
-        """Send a request where it was sent."""
+        """Send a request to the engines of its logged attempt."""
         outcome = Outcome(arrival)
         self.outcomes.append(outcome)
-        attempt = self.logged[arrival.request]
+        attempt = self.attempts[arrival.request]
         for name in attempt.engines:
             self.engines.setdefault(name, EmulatedEngine(name, self.fleet.model))
         parts = tuple(
@@ -94,36 +100,36 @@
             for number, name in enumerate(attempt.engines)
         )
         work = EngineWork(arrival.request, parts, 1.0, 1.0, 1.0)
-        self.send(outcome, EnginesChosen(work, 0.0, 0.0))
+        self.dispatch(outcome, EnginesChosen(work, 0.0, 0.0))
 
 
-def compare(fleet: Fleet, attempts: list[LoggedAttempt]) -> dict[str, Compared]:
-    """Play the attempts and put the times beside those measured."""
+def compare(fleet: Fleet, attempts: list[LoggedAttempt]) -> dict[str, KindComparison]:
+    """Replay attempts and return their measured and emulated times by kind."""
     attempts = sorted(attempts, key=lambda attempt: attempt.at)
     arrivals = [arrival_of(fleet, one, attempts[0].at) for one in attempts]
-    replay = Replay(
+    replay = ReplayedFleet(
         fleet,
         [LeastOutstanding((), fleet.model, None)],
         Delays(caller=0.0),
-        logged={one.name: one for one in attempts},
+        attempts={one.request: one for one in attempts},
     )
-    played = {one.arrival.request: one for one in replay.play(arrivals)}
+    emulated = {one.arrival.request: one for one in replay.run(arrivals)}
     compared = {}
-    for kind, _ in BOUNDS:
+    for kind, _ in KIND_BOUNDS:
         own = [one for one in attempts if kind_of(one.tokens) == kind]
         if own:
-            compared[kind] = compare_kind(own, [played[one.name] for one in own])
+            compared[kind] = compare_kind(own, [emulated[one.request] for one in own])
     return compared
 
 
 def kind_of(tokens: int) -> str:
-    """Name the kind of a prompt by its length."""
-    return next(name for name, bound in BOUNDS if tokens < bound)
+    """Return the kind of a prompt by its length."""
+    return next(name for name, bound in KIND_BOUNDS if tokens < bound)
 
 
 def arrival_of(fleet: Fleet, attempt: LoggedAttempt, start: float) -> Arrival:
-    """Make a request of an attempt; its answer's length is guessed from its time."""
-    kind = Kind(
+    """Build the request of an attempt, with its output estimated from its duration."""
+    kind = RequestKind(
         kind_of(attempt.tokens),
         ANY_LENGTHS,
         ANY_LENGTHS,
@@ -136,33 +142,43 @@
     )
     steps = fleet.model.steps_per_pass
     pass_seconds = fleet.model.step_seconds * steps
-    events = max(1, round((attempt.seconds - attempt.first) / pass_seconds) + 1)
+    events = max(
+        1,
+        round((attempt.total_seconds - attempt.first_event_seconds) / pass_seconds) + 1,
+    )
     size = PromptSize(attempt.tokens, events * steps)
     at = attempt.at - start
-    return Arrival(attempt.name, at, kind, size, events * steps, 0)
+    return Arrival(attempt.request, at, kind, size, events * steps, 0)
 
 
-def compare_kind(measured: list[LoggedAttempt], played: list[Outcome]) -> Compared:
-    """Put the times of one kind side by side."""
+def compare_kind(
+    measured: list[LoggedAttempt], emulated: list[Outcome]
+) -> KindComparison:
+    """Compare the times of one kind."""
     first = [
-        histogram(one.first for one in measured),
-        histogram(o.first for o in played),
+        histogram(one.first_event_seconds for one in measured),
+        histogram(o.first_event_seconds for o in emulated),
     ]
-    pauses = (one.pause for one in measured), (one.longest_pause for one in played)
+    pauses = (
+        (one.max_pause_seconds for one in measured),
+        (one.max_pause_seconds for one in emulated),
+    )
     pause = [histogram(values) for values in pauses]
-    return Compared(
+    return KindComparison(
         attempts=len(measured),
-        first_p50=both(first, 50),
-        first_p95=both(first, 95),
-        pause_p50=both(pause, 50),
-        pause_p95=both(pause, 95),
+        first_p50=percentile_pair(first, 50),
+        first_p95=percentile_pair(first, 95),
+        pause_p50=percentile_pair(pause, 50),
+        pause_p95=percentile_pair(pause, 95),
     )
 
 
-def both(histograms: list[HdrHistogram], percentile: float) -> tuple[float, float]:
-    """Return a percentile of both, measured first."""
-    measured, played = (one.get_value_at_percentile(percentile) for one in histograms)
-    return measured, played
+def percentile_pair(
+    histograms: list[HdrHistogram], percentile: float
+) -> tuple[float, float]:
+    """Return a percentile of both histograms, measured first."""
+    measured, emulated = (one.get_value_at_percentile(percentile) for one in histograms)
+    return measured, emulated
 
 
 def histogram(seconds: Iterator[float]) -> HdrHistogram:
--- a/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/policies.py
@@ -1,4 +1,4 @@
-"""Choose the engines of a prompt: as the product does, or as simple routers do."""
+"""Place prompts on engines, as the gateways do or as simple routers do."""
 
 from abc import ABC, abstractmethod
 from collections import Counter
@@ -21,59 +21,61 @@
 
 @dataclass
 class Policy(ABC):
-    """Be what one gateway knows and decides; a gateway tells the others its work."""
+    """Hold what one gateway knows of all gateways' work, and place its prompts."""
 
     engines: tuple[UpstreamId, ...]
     model: EngineModel
     random: Random
-    board: EngineTracker = field(default_factory=EngineTracker)
+    tracker: EngineTracker = field(default_factory=EngineTracker)
 
     @abstractmethod
-    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
+    def place(self, prompt: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
         """Choose engines for a prompt."""
 
     def begin(self, work: EngineWork, owner: str, now: float) -> None:
-        """Note work, of this gateway or another."""
-        self.board.begin(work, InstanceId(owner), now)
+        """Record the start of work, of this gateway or another."""
+        self.tracker.begin(work, InstanceId(owner), now)
 
     def first_token(self, attempt_id: AttemptId, now: float) -> None:
-        """Note a first token."""
-        self.board.first_token(attempt_id, now)
+        """Record a first token."""
+        self.tracker.first_token(attempt_id, now)
 
     def end(self, attempt_id: AttemptId, now: float) -> None:
-        """Note the end of work."""
-        self.board.end(attempt_id, now)
+        """Record the end of work."""
+        self.tracker.end(attempt_id, now)
 
 
 class LeastHarm(Policy):
-    """Decide as the product's gateways do."""
+    """Place prompts as the gateways do."""
 
-    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
-        """Weigh the prompt's lateness against the harm to all others."""
+    def place(self, prompt: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
+        """Weigh the lateness of the prompt against the harm to other requests."""
         candidates = [EngineCandidate(engine) for engine in self.engines]
-        return place_prompt(asked, candidates, self.model, self.board, now, self.random)
+        return place_prompt(
+            prompt, candidates, self.model, self.tracker, now, self.random
+        )
 
 
 class SingleEngine(Policy):
-    """Read each prompt on one engine, chosen without weighing anything."""
+    """Place each prompt on one engine, without estimating costs."""
 
     @abstractmethod
     def pick(self) -> UpstreamId:
         """Choose the engine."""
 
-    def place(self, asked: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
-        """Choose one engine; what it can't hold is refused."""
+    def place(self, prompt: PromptToPlace, now: float) -> EnginesChosen | NoEngine:
+        """Choose one engine; refuse a prompt that exceeds its memory."""
         del now
-        tokens = asked.size.prompt_tokens + asked.size.max_output_tokens
+        tokens = prompt.size.prompt_tokens + prompt.size.max_output_tokens
         if tokens > self.model.memory_tokens:
             return NoEngine("too large for one engine", 1.0)
         part = EnginePart(self.pick(), 0.0, 1, True, tokens)
-        work = EngineWork(asked.attempt_id, (part,), 1.0, 1.0, 1.0)
+        work = EngineWork(prompt.attempt_id, (part,), 1.0, 1.0, 1.0)
         return EnginesChosen(work, 0.0, 0.0)
 
 
 class RoundRobin(SingleEngine):
-    """Take the engines in turn, each gateway for itself."""
+    """Take the engines in turn; each gateway keeps its own turn."""
 
     turn = -1
 
@@ -86,13 +88,13 @@
 
 
 class LeastOutstanding(SingleEngine):
-    """Take the engine with the fewest requests of all gateways."""
+    """Take the engine with the fewest running requests of all gateways."""
 
     def pick(self) -> UpstreamId:
-        """Choose the least loaded engine; ties are drawn."""
+        """Choose the least loaded engine; break ties at random."""
         running = Counter(
             part.upstream_id
-            for placed in self.board.placed.values()
+            for placed in self.tracker.placed.values()
             for part in placed.work.parts
         )
         return min(
--- a/packages/emulator/src/cowslipshelf_emulator/loads.py
+++ b/packages/emulator/src/cowslipshelf_emulator/loads.py
@@ -1,4 +1,4 @@
-"""Offer the users' fleets, their engines and what they are asked."""
+"""Export the users' fleets, their engines and their loads."""
 
 from cowslipshelf_emulator.internal.load import (
     COOPERATIVE,
@@ -10,8 +10,8 @@
     NILEGATE_LARGE,
     Arrival,
     Fleet,
-    Kind,
-    draw,
+    RequestKind,
+    draw_arrivals,
 )
 
 __all__ = [
@@ -24,6 +24,6 @@
     "NILEGATE_LARGE",
     "Arrival",
     "Fleet",
-    "Kind",
-    "draw",
+    "RequestKind",
+    "draw_arrivals",
 ]
--- a/packages/emulator/src/cowslipshelf_emulator/program.py
+++ b/packages/emulator/src/cowslipshelf_emulator/program.py
@@ -1,4 +1,4 @@
-"""Play loads on emulated engines, and print what callers got."""
+"""Define the commands of the emulator."""
 
 import json
 import sys
@@ -9,11 +9,11 @@
 import cappa
 
 from cowslipshelf_emulator.internal.ablation import ablate
-from cowslipshelf_emulator.internal.comparing import compare, read_attempts
 from cowslipshelf_emulator.internal.fleet import build
-from cowslipshelf_emulator.internal.load import FLEETS, draw
-from cowslipshelf_emulator.internal.measures import Figures, figures
+from cowslipshelf_emulator.internal.load import FLEETS, draw_arrivals
+from cowslipshelf_emulator.internal.log_comparison import compare, read_attempts
 from cowslipshelf_emulator.internal.policies import POLICIES
+from cowslipshelf_emulator.internal.statistics import Figures, summarize
 
 HEADER = "kind     asked  in time  late  refused  left  first p50  p95  pause p95 (ms)"
 
@@ -35,9 +35,9 @@
         """Print a table for each policy."""
         fleet = FLEETS[self.fleet]
         for policy in self.policies or list(POLICIES):
-            arrivals = draw(fleet, self.seconds, self.load, self.seed)
-            outcomes = build(fleet, POLICIES[policy], self.seed).play(arrivals)
-            print_figures(f"{fleet.name}, {policy}", figures(outcomes))
+            arrivals = draw_arrivals(fleet, self.seconds, self.load, self.seed)
+            outcomes = build(fleet, POLICIES[policy], self.seed).run(arrivals)
+            print_figures(f"{fleet.name}, {policy}", summarize(outcomes))
 
 
 @cappa.command(name="check")
@@ -49,7 +49,7 @@
     fleet: Annotated[str, cappa.Arg(long=True, help="whose engines ran")] = "nilegate"
 
     def __call__(self) -> None:
-        """Print the measured and the emulated times."""
+        """Print the measured and the emulated times as JSON."""
         attempts = list(read_attempts(self.logs))
         json.dump(compare(FLEETS[self.fleet], attempts), sys.stdout, indent=2)
         print()
@@ -69,14 +69,14 @@
     processes: Annotated[int, cappa.Arg(long=True)] = 4
 
     def __call__(self) -> None:
-        """Print a row for each mechanism."""
+        """Print a row for each disabled mechanism."""
         print("worth  short in time  by seed  off")
         for row in ablate(
             self.fleet, self.seconds, self.load, self.seeds, self.processes
         ):
-            by_seed = " ".join(f"{worth:.3f}" for worth in row.worths)
+            by_seed = " ".join(f"{value:.3f}" for value in row.values)
             print(
-                f"{row.worth:.3f}  {row.short_in_time:.3f}  {by_seed}  {row.off}",
+                f"{row.value:.3f}  {row.short_in_time:.3f}  {by_seed}  {row.off}",
                 flush=True,
             )
 
@@ -88,11 +88,11 @@
     command: cappa.Subcommands[Play | Check | Ablate]
 
 
-def print_figures(title: str, played: Figures) -> None:
-    """Print the figures of one play."""
-    print(f"{title}: worth {played.worth:.3f}")
+def print_figures(title: str, result: Figures) -> None:
+    """Print the figures of one simulated load."""
+    print(f"{title}: worth {result.value:.3f}")
     print(HEADER)
-    for name, kind in sorted(played.kinds.items()):
+    for name, kind in sorted(result.kinds.items()):
         print(
             f"{name:8} {kind.requests:5}  {kind.in_time:7.3f} {kind.late:5.3f}"
             f"  {kind.refused:7.3f} {kind.left:5.3f}  {kind.first_p50:9.0f}"
--- a/tests/cover/emulator/test_ablation.py
+++ b/tests/cover/emulator/test_ablation.py
@@ -3,27 +3,27 @@
 import pytest
 
 from cowslipshelf_emulator.internal.ablation import (
+    ABLATIONS,
     ALL_ON,
-    SWITCHES,
+    mechanism_disabled,
     play_without,
-    switched_off,
 )
 from cowslipshelf_emulator.internal.fleet import build
-from cowslipshelf_emulator.internal.load import CODELIJN, draw
-from cowslipshelf_emulator.internal.measures import figures
+from cowslipshelf_emulator.internal.load import CODELIJN, draw_arrivals
 from cowslipshelf_emulator.internal.policies import LeastHarm
+from cowslipshelf_emulator.internal.statistics import summarize
 
 SECONDS, LOAD, SEED = 20.0, 1.2, 1
 
 
 def usual():
-    arrivals = draw(CODELIJN, SECONDS, LOAD, SEED)
-    return figures(build(CODELIJN, LeastHarm, SEED).play(arrivals))
+    arrivals = draw_arrivals(CODELIJN, SECONDS, LOAD, SEED)
+    return summarize(build(CODELIJN, LeastHarm, SEED).run(arrivals))
 
 
-@pytest.mark.parametrize("off", SWITCHES)
+@pytest.mark.parametrize("off", ABLATIONS)
 def test_every_switch_can_be_thrown_and_leaves_nothing_behind(off):
-    with switched_off(SWITCHES[off]):
+    with mechanism_disabled(ABLATIONS[off]):
         pass
     assert play_without(CODELIJN, ALL_ON, SECONDS, LOAD, SEED) == usual()
 
@@ -45,4 +45,4 @@
     0.582 where gateways don't tell each other.
     """
     without = play_without(CODELIJN, off, SECONDS, LOAD, SEED)
-    assert without.worth < usual().worth
+    assert without.value < usual().value
--- a/tests/cover/emulator/test_engine.py
+++ b/tests/cover/emulator/test_engine.py
@@ -4,7 +4,7 @@
 
 from common.gateway_samples import ENGINE
 from cowslipshelf_core.gateway import decode_pass_seconds, prefill_seconds
-from cowslipshelf_emulator.internal.engine import EmulatedEngine, Reading
+from cowslipshelf_emulator.internal.engine import EmulatedEngine, PrefillTask
 
 URGENT, USUAL = 3, 5
 
@@ -15,7 +15,7 @@
 
 def test_a_prompt_on_an_idle_engine_has_its_first_event_as_soon_as_it_is_read():
     alone = engine()
-    alone.admit(Reading("a", 2_000, 68), USUAL)
+    alone.enqueue(PrefillTask("a", 2_000, 68), USUAL)
     step = decode_pass_seconds(ENGINE, 1, 2_000) / ENGINE.steps_per_pass
     seconds = alone.begin_pass()
     assert seconds == pytest.approx(prefill_seconds(ENGINE, 2_000) + step)
@@ -28,50 +28,53 @@
 def test_a_pass_with_writers_reads_a_chunk_in_each_step_and_no_more():
     """A question's next word comes after half a second, since a file is read."""
     shared = engine()
-    shared.admit(Reading("question", 1_000, 3_400), USUAL)
+    shared.enqueue(PrefillTask("question", 1_000, 3_400), USUAL)
     shared.begin_pass()
     shared.end_pass()
     quiet = shared.begin_pass()
     shared.end_pass()
-    shared.admit(Reading("file", 200_000, 340), USUAL)
+    shared.enqueue(PrefillTask("file", 200_000, 340), USUAL)
     long = shared.begin_pass()
     assert quiet < 0.06
     assert long > quiet + ENGINE.steps_per_pass * ENGINE.chunk_tokens / 154_000
-    assert shared.own[0].read_tokens == ENGINE.steps_per_pass * ENGINE.chunk_tokens
+    assert (
+        shared.prefills[0].prefilled_tokens
+        == ENGINE.steps_per_pass * ENGINE.chunk_tokens
+    )
 
 
 def test_parts_read_for_other_engines_go_ahead_and_the_newest_first():
     helping = engine()
-    helping.admit(Reading("own", 2_048, 34), USUAL)
-    helping.help(Reading("first", 4_096, 0, parts=2))
-    helping.help(Reading("second", 4_096, 0, parts=2))
+    helping.enqueue(PrefillTask("own", 2_048, 34), USUAL)
+    helping.add_helper_prefill(PrefillTask("first", 4_096, 0, parts=2))
+    helping.add_helper_prefill(PrefillTask("second", 4_096, 0, parts=2))
     order = []
     for _ in range(3):
         helping.begin_pass()
-        order += helping.end_pass().read
+        order += helping.end_pass().prefilled
     assert order == ["second", "first", "own"]
 
 
 def test_the_most_urgent_is_admitted_first_when_a_slot_is_free():
     full = engine()
     for number in range(ENGINE.slots):
-        full.admit(Reading(f"r-{number}", 100, 340), USUAL)
+        full.enqueue(PrefillTask(f"r-{number}", 100, 340), USUAL)
     full.begin_pass()
-    full.admit(Reading("usual", 100, 34), USUAL)
-    full.admit(Reading("urgent", 100, 34), URGENT)
+    full.enqueue(PrefillTask("usual", 100, 34), USUAL)
+    full.enqueue(PrefillTask("urgent", 100, 34), URGENT)
     full.end_pass()
     full.begin_pass()
-    assert not {"usual", "urgent"} & full.in_slots
+    assert not {"usual", "urgent"} & full.slot_holders
     full.end_pass()
     full.drop("r-1")
     full.begin_pass()
-    assert "urgent" in full.in_slots
-    assert "usual" not in full.in_slots
+    assert "urgent" in full.slot_holders
+    assert "usual" not in full.slot_holders
 
 
 def test_what_is_dropped_has_no_more_events():
     left = engine()
-    left.admit(Reading("gone", 1_000, 340), USUAL)
+    left.enqueue(PrefillTask("gone", 1_000, 340), USUAL)
     left.begin_pass()
     left.drop("gone")
     assert left.end_pass().events == ()
@@ -81,7 +84,7 @@
 def test_an_engine_helps_as_many_as_it_has_slots_and_refuses_more():
     helping = engine()
     taken = [
-        helping.help(Reading(f"r-{number}", 4_096, 0, parts=2))
+        helping.add_helper_prefill(PrefillTask(f"r-{number}", 4_096, 0, parts=2))
         for number in range(ENGINE.slots + 1)
     ]
     assert taken == [True] * ENGINE.slots + [False]
--- a/tests/cover/emulator/test_draws.py
+++ b/tests/cover/emulator/test_late_gossip.py
@@ -5,9 +5,9 @@
 
 from cowslipshelf_core.internal.gateway import prompt_placement
 from cowslipshelf_emulator.internal.fleet import Delays, build
-from cowslipshelf_emulator.internal.load import NILEGATE_LARGE, draw
-from cowslipshelf_emulator.internal.measures import Figures, figures
+from cowslipshelf_emulator.internal.load import NILEGATE_LARGE, draw_arrivals
 from cowslipshelf_emulator.internal.policies import LeastHarm
+from cowslipshelf_emulator.internal.statistics import Figures, summarize
 
 QUARTER = NILEGATE_LARGE._replace(
     engines=28,
@@ -17,17 +17,17 @@
     ),
 )
 SEEDS = (1, 2, 3, 4)
-LATE_WORD = Delays(word=0.03)
+LATE_WORD = Delays(gossip=0.03)
 """Gateways with a third of a core hear of each other's work after some 30 ms."""
 
 
 def play(seed: int, most_for_short: int) -> Figures:
-    arrivals = draw(QUARTER, 20.0, 1.0, seed)
+    arrivals = draw_arrivals(QUARTER, 20.0, 1.0, seed)
     patched = {"MAX_ENGINES_WEIGHED_FOR_SHORT": most_for_short}
     with patch.multiple(prompt_placement, **patched):
         fleet = build(QUARTER, LeastHarm, seed)
         fleet.delays = LATE_WORD
-        return figures(fleet.play(arrivals))
+        return summarize(fleet.run(arrivals))
 
 
 def test_short_prompts_that_weigh_few_engines_seldom_meet_on_one():
@@ -41,7 +41,7 @@
     many = [play(seed, prompt_placement.MAX_ENGINES_WEIGHED) for seed in SEEDS]
     few = [play(seed, prompt_placement.MAX_ENGINES_WEIGHED_FOR_SHORT) for seed in SEEDS]
     assert in_time(few) > in_time(many)
-    assert mean(each.worth for each in few) > mean(each.worth for each in many)
+    assert mean(each.value for each in few) > mean(each.value for each in many)
 
 
 def in_time(played: list[Figures]) -> float:
--- a/tests/cover/emulator/test_loads.py
+++ b/tests/cover/emulator/test_loads.py
@@ -5,31 +5,41 @@
 import pytest
 
 from cowslipshelf_emulator.internal.fleet import build
-from cowslipshelf_emulator.internal.load import COOPERATIVE, NILEGATE, Fleet, draw
-from cowslipshelf_emulator.internal.measures import Figures, figures
+from cowslipshelf_emulator.internal.load import (
+    COOPERATIVE,
+    NILEGATE,
+    Fleet,
+    draw_arrivals,
+)
 from cowslipshelf_emulator.internal.policies import POLICIES
+from cowslipshelf_emulator.internal.statistics import Figures, summarize
 
 SECONDS = 20.0
 SEED = 1
 
 
 def play(fleet: Fleet, policy: str, load: float = 1.0) -> Figures:
-    arrivals = draw(fleet, SECONDS, load, SEED)
-    return figures(build(fleet, POLICIES[policy], SEED).play(arrivals))
+    arrivals = draw_arrivals(fleet, SECONDS, load, SEED)
+    return summarize(build(fleet, POLICIES[policy], SEED).run(arrivals))
 
 
 def test_every_request_ends_exactly_once_and_leaves_nothing_behind():
     fleet = build(NILEGATE, POLICIES["least-harm"], SEED)
-    arrivals = draw(NILEGATE, SECONDS, 1.5, SEED)
-    outcomes = fleet.play(arrivals)
+    arrivals = draw_arrivals(NILEGATE, SECONDS, 1.5, SEED)
+    outcomes = fleet.run(arrivals)
     ended = Counter(outcome.arrival.request for outcome in outcomes)
     assert set(ended) == {arrival.request for arrival in arrivals}
     assert set(ended.values()) == {1}
     assert all(outcome.end for outcome in outcomes)
     assert not fleet.running
     for engine in fleet.engines.values():
-        assert not (engine.own or engine.helping or engine.writing or engine.in_slots)
-    assert not any(policy.board.placed for policy in fleet.policies)
+        assert not (
+            engine.prefills
+            or engine.helper_prefills
+            or engine.decodes
+            or engine.slot_holders
+        )
+    assert not any(policy.tracker.placed for policy in fleet.policies)
 
 
 def test_the_same_seed_gives_the_same_figures():
@@ -45,7 +55,7 @@
     0.75 and 0.67 with least outstanding, 0.99 and 0.96 with what gateways do.
     """
     counted, weighed = play(fleet, "least-outstanding"), play(fleet, "least-harm")
-    assert weighed.worth > counted.worth + 0.1
+    assert weighed.value > counted.value + 0.1
     assert weighed.kinds["long"].in_time > counted.kinds["long"].in_time
     assert weighed.kinds["short"].in_time > counted.kinds["short"].in_time
     assert weighed.kinds["short"].in_time > 0.95
@@ -54,7 +64,9 @@
 def test_short_questions_hardly_notice_long_prompts():
     """A question is answered as fast beside dossiers as without any."""
     only_short = NILEGATE._replace(
-        swings=tuple((short, 0.0001, 0.0001) for short, _, _ in NILEGATE.swings)
+        rate_factors=tuple(
+            (short, 0.0001, 0.0001) for short, _, _ in NILEGATE.rate_factors
+        )
     )
     alone, beside = play(only_short, "least-harm"), play(NILEGATE, "least-harm")
     assert beside.kinds["short"].first_p95 < 1.2 * alone.kinds["short"].first_p95
--- a/tests/cover/emulator/test_comparing.py
+++ b/tests/cover/emulator/test_log_comparison.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from cowslipshelf_emulator.internal.comparing import compare, read_attempts
 from cowslipshelf_emulator.internal.load import NILEGATE
+from cowslipshelf_emulator.internal.log_comparison import compare, read_attempts
 
 
 def line(event: str, **facts) -> str:
@@ -46,7 +46,7 @@
         )
     )
     (attempt,) = read_attempts([path])
-    assert attempt.name == "whole"
+    assert attempt.request == "whole"
     assert attempt.engines == ("e-1", "e-2")
 
 
