--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/order_runner.py
@@ -148,7 +148,7 @@
             self.order.fencing,
         )
         try:
-            result = self.context.engine.give_order(order)
+            result = self.context.engine.send_order(order)
         except (UpstreamLostError, UpstreamRefusedError) as error:
             return OrderResult(False, str(error))
         detail = "" if result.accepted else "the engine knows a newer order"
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -199,7 +199,7 @@
         request = UpstreamRequest("read orders", "GET", "/v1/orders")
         return self.ask_for(request, EngineOrders)
 
-    def give_order(self, order: EngineOrder) -> OrderResult:
+    def send_order(self, order: EngineOrder) -> OrderResult:
         """Give an order and wait until it is done or refused as old."""
         body = msgspec.json.encode(order)
         request = UpstreamRequest("order", "POST", "/v1/orders", body=body)
--- a/tests/cover/standins/test_engine_answers.py
+++ b/tests/cover/standins/test_engine_answers.py
@@ -259,8 +259,8 @@
     """Two control instances give orders; the isolated one carries an old number."""
     with running_engine(FAST_ENGINE._replace(checks_fencing=checks)) as server:
         client = client_of(server.address)
-        newer = client.give_order(EngineOrder("b", "load_model", "small@2", 9))
-        older = client.give_order(EngineOrder("a", "load_model", "small@1", 4))
+        newer = client.send_order(EngineOrder("b", "load_model", "small@2", 9))
+        older = client.send_order(EngineOrder("a", "load_model", "small@1", 4))
         assert (newer.accepted, older.accepted) == (True, not checks)
         assert older.newest_fencing == 9
         state = HTTP.request("GET", f"http://{server.address}/v1/orders").json()
