--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempt_runner.py
@@ -132,7 +132,7 @@
         """Tell whether the upstream's process exited during the attempt."""
         if not self.connection_lost or self.cancelled.is_set():
             return False
-        gone = self.context.client.is_gone()
+        gone = self.context.client.refuses_connections()
         if gone:
             self.context.sidecar.tell(UpstreamUnreachable())
         return gone
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
@@ -158,7 +158,7 @@
         detail = str(error) or type(error).__name__
         return UpstreamLostError(step, self.peer, detail, may_have_arrived)
 
-    def is_refused(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Tell whether nothing listens at the upstream's address any more.
 
         A process that ends closes its sockets one after the other, so that a probe
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -244,9 +244,9 @@
             peer = self.connections.peer
             raise UpstreamLostError(request.step, peer, str(error)) from error
 
-    def is_gone(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Tell whether nothing listens at the upstream's address any more."""
-        return self.connections.is_refused()
+        return self.connections.refuses_connections()
 
     def close(self) -> None:
         """Close idle connections; streams that run are not touched."""
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
@@ -57,9 +57,9 @@
         response = self.connections.open(request, wait)
         return UpstreamStream(response, self.connections.peer)
 
-    def is_gone(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Tell whether nothing listens at the upstream's address any more."""
-        return self.connections.is_refused()
+        return self.connections.refuses_connections()
 
     def close(self) -> None:
         """Close idle connections; calls that run are not touched."""
