--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/assembly.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
@@ -18,7 +18,7 @@
     UpstreamStream,
 )
 
-ASSEMBLED_FIELDS = frozenset(
+ASSEMBLABLE_FIELDS = frozenset(
     (
         "frequency_penalty",
         "max_completion_tokens",
@@ -59,12 +59,12 @@
 
     sequence: int = 0
     tokens: int = 0
-    first_piece_tokens: int = 0
+    reported_tokens: int = 0
     """Tokens that the piece at the first token told of."""
     answer: JsonObject = field(default_factory=dict)
     choice: JsonObject = field(default_factory=dict)
 
-    def take(self, piece: UpstreamPiece) -> None:
+    def add(self, piece: UpstreamPiece) -> None:
         """Add the next piece of the stream."""
         self.sequence = piece.sequence
         self.tokens += piece.tokens
@@ -81,7 +81,7 @@
                 merge(self.choice.setdefault("message", {}), message)
             merge(self.choice, choice)
 
-    def whole(self) -> bytes:
+    def encode_answer(self) -> bytes:
         """Return the answer, once all of its stream has come."""
         kind = str(self.answer.get("object", "")).removesuffix(CHUNK_SUFFIX)
         whole = self.answer | {"object": kind, "choices": [self.choice]}
@@ -105,13 +105,13 @@
         answer: OpenAnswer,
         peer: str,
         assembly: AnswerAssembly,
-        pieces_given: int,
-        on_whole: Callable[[], object],
+        pieces_yielded: int,
+        on_complete: Callable[[], object],
     ) -> None:
         super().__init__(answer, peer, assembly.sequence, assembly.tokens)
         self.assembly = assembly
-        self.pieces_given = pieces_given
-        self.on_whole = on_whole
+        self.pieces_yielded = pieces_yielded
+        self.on_complete = on_complete
 
     @property
     def headers(self) -> Headers:
@@ -122,22 +122,22 @@
     def read_events(self) -> Iterator[UpstreamPiece]:
         """Yield an empty piece at the first token, and the whole answer at the end."""
         for piece in super().read_events():
-            self.assembly.take(piece)
-            if self.assembly.tokens and not self.pieces_given:
+            self.assembly.add(piece)
+            if self.assembly.tokens and not self.pieces_yielded:
                 yield self.next_piece(b"")
-        yield self.next_piece(self.assembly.whole())
-        self.on_whole()
+        yield self.next_piece(self.assembly.encode_answer())
+        self.on_complete()
 
     def next_piece(self, data: bytes) -> UpstreamPiece:
         """Return the next piece, with the tokens that came since the last."""
-        given = self.assembly.first_piece_tokens if self.pieces_given else 0
+        given = self.assembly.reported_tokens if self.pieces_yielded else 0
         tokens = self.assembly.tokens - given
-        self.assembly.first_piece_tokens = self.assembly.tokens
-        self.pieces_given += 1
-        return UpstreamPiece(self.pieces_given, data, tokens)
+        self.assembly.reported_tokens = self.assembly.tokens
+        self.pieces_yielded += 1
+        return UpstreamPiece(self.pieces_yielded, data, tokens)
 
 
-def body_asking_for_a_stream(body: bytes) -> bytes | None:
+def stream_request_body(body: bytes) -> bytes | None:
     """Return a request for a whole answer as one for a stream of the same.
 
     None where the request wants a stream anyway, or something whose chunks don't
@@ -148,6 +148,6 @@
     except msgspec.MsgspecError:
         return None
     wants_stream = bytes(fields.get("stream", b"false")) == b"true"
-    if wants_stream or not ASSEMBLED_FIELDS.issuperset(fields):
+    if wants_stream or not ASSEMBLABLE_FIELDS.issuperset(fields):
         return None
     return msgspec.json.encode(fields | STREAM_FIELDS)
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/whole_heads.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/complete_heads.py
@@ -6,14 +6,14 @@
 
 from urllib3.connection import HTTPConnection
 
-HEAD_ENDS = (b"\r\n", b"\n")
+HEAD_TERMINATORS = (b"\r\n", b"\n")
 
 
 class HeadCutError(HTTPException):
     """Report an answer whose head has no end."""
 
 
-class LineWatcher:
+class LastLineRecorder:
     """Remember the last line that was read from a file."""
 
     def __init__(self, file: BufferedReader) -> None:
@@ -29,7 +29,7 @@
         return getattr(self.file, name)
 
 
-class WholeHeadResponse(HTTPResponse):
+class CompleteHeadResponse(HTTPResponse):
     """Be an answer whose head has come to its end.
 
     The standard library takes a connection that closes within the head for the
@@ -39,16 +39,16 @@
 
     def begin(self) -> None:
         """Read the head, and raise if the connection closed within it."""
-        watcher = LineWatcher(self.fp)
-        self.fp = watcher
+        recorder = LastLineRecorder(self.fp)
+        self.fp = recorder
         super().begin()
-        if self.fp is watcher:
-            self.fp = watcher.file
-        if watcher.last_line not in HEAD_ENDS:
+        if self.fp is recorder:
+            self.fp = recorder.file
+        if recorder.last_line not in HEAD_TERMINATORS:
             raise HeadCutError("the connection closed within the head")
 
 
-class WholeHeadConnection(HTTPConnection):
+class CompleteHeadConnection(HTTPConnection):
     """Be a connection that takes only answers with a whole head."""
 
-    response_class = WholeHeadResponse
+    response_class = CompleteHeadResponse
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
@@ -11,7 +11,7 @@
 from urllib3.exceptions import HTTPError
 
 from cowslipshelf_upstreams.errors import UpstreamLostError, UpstreamRefusedError
-from cowslipshelf_upstreams.internal.whole_heads import WholeHeadConnection
+from cowslipshelf_upstreams.internal.complete_heads import CompleteHeadConnection
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -28,7 +28,7 @@
         "upgrade",
     )
 )
-MOST_DETAIL_BYTES = 2_000
+MAX_DETAIL_BYTES = 2_000
 CONTROL_POOL_SIZE = 4
 FIRST_ERROR_STATUS = 400
 PROBE_PAUSES_SECONDS = (0.0, 0.02, 0.05)
@@ -50,7 +50,7 @@
     """Be an answer whose head has come, and the connection that carries its body."""
 
     response: BaseHTTPResponse
-    connection: WholeHeadConnection
+    connection: CompleteHeadConnection
     sock: socket.socket
 
     def close(self) -> None:
@@ -78,7 +78,7 @@
         pool = HTTPConnectionPool(
             self.host, self.port, maxsize=size, block=False, retries=False
         )
-        pool.ConnectionCls = WholeHeadConnection
+        pool.ConnectionCls = CompleteHeadConnection
         return pool
 
     def open(self, request: UpstreamRequest, read_seconds: float) -> OpenAnswer:
@@ -102,9 +102,9 @@
             connection.close()
             raise
 
-    def connect(self) -> WholeHeadConnection:
+    def connect(self) -> CompleteHeadConnection:
         """Return a new connection to the upstream."""
-        connection = WholeHeadConnection(
+        connection = CompleteHeadConnection(
             self.host, self.port, timeout=self.connect_seconds
         )
         try:
@@ -114,7 +114,9 @@
             raise self.lost("connect", error, may_have_arrived=False) from error
         return connection
 
-    def send(self, connection: WholeHeadConnection, request: UpstreamRequest) -> None:
+    def send(
+        self, connection: CompleteHeadConnection, request: UpstreamRequest
+    ) -> None:
         """Send a request; an upstream may answer before it has read it all."""
         try:
             connection.request(
@@ -131,7 +133,7 @@
         except BrokenPipeError:
             return
 
-    def ask(self, request: UpstreamRequest, read_seconds: float) -> bytes:
+    def send_pooled(self, request: UpstreamRequest, read_seconds: float) -> bytes:
         """Send a request that may be repeated; return the body of its answer."""
         try:
             response = self.pool.request(
@@ -147,7 +149,7 @@
             self.drop_idle()
             raise self.lost(request.step, error) from error
         if response.status >= FIRST_ERROR_STATUS:
-            detail = response.data[:MOST_DETAIL_BYTES].decode(errors="replace")
+            detail = response.data[:MAX_DETAIL_BYTES].decode(errors="replace")
             raise UpstreamRefusedError(request.step, self.peer, response.status, detail)
         return response.data
 
@@ -185,7 +187,7 @@
         self.pool.close()
 
 
-def end_to_end(headers: Headers, also_dropped: frozenset[str]) -> Headers:
+def end_to_end_headers(headers: Headers, also_removed: frozenset[str]) -> Headers:
     """Return the headers that are not about one connection only."""
-    dropped = HOP_BY_HOP_HEADERS | also_dropped
-    return tuple((n, v) for n, v in headers if n.lower() not in dropped)
+    removed = HOP_BY_HOP_HEADERS | also_removed
+    return tuple((n, v) for n, v in headers if n.lower() not in removed)
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -7,10 +7,10 @@
 from cowslipshelf_core.identifiers import AttemptId
 from cowslipshelf_core.upstream import HandOver
 from cowslipshelf_upstreams.errors import UpstreamLostError, UpstreamRefusedError
-from cowslipshelf_upstreams.internal.assembly import (
+from cowslipshelf_upstreams.internal.answer_assembly import (
     AnswerAssembly,
     AssembledStream,
-    body_asking_for_a_stream,
+    stream_request_body,
 )
 from cowslipshelf_upstreams.internal.connections import (
     CONTROL_POOL_SIZE,
@@ -18,7 +18,7 @@
     Headers,
     OpenAnswer,
     UpstreamRequest,
-    end_to_end,
+    end_to_end_headers,
 )
 from cowslipshelf_upstreams.internal.engine_documents import (
     CacheEvents,
@@ -65,7 +65,7 @@
     """Longest time that an order may take; loading weights is slow."""
 
 
-class StreamWish(msgspec.Struct, frozen=True):
+class StreamOption(msgspec.Struct, frozen=True):
     """Be the part of a completion request that says how to answer."""
 
     stream: bool | None = None
@@ -100,7 +100,7 @@
             headers=start_headers(hand_over, part),
             body=hand_over.body,
         )
-        streamed_body = body_asking_for_a_stream(hand_over.body)
+        streamed_body = stream_request_body(hand_over.body)
         if streamed_body is not None:
             request = request._replace(body=streamed_body)
             return self.start_assembly(hand_over.attempt_id, request)
@@ -125,12 +125,12 @@
             raise
         stream = UpstreamStream(answer, self.connections.peer)
         if stream.is_event_stream:
-            return self.assembled(attempt_id, answer, 0)
+            return self.assembled_stream(attempt_id, answer, 0)
         # The engine refused, or answered whole after all.
         del self.assemblies[attempt_id]
         return stream
 
-    def assembled(
+    def assembled_stream(
         self, attempt_id: AttemptId, answer: OpenAnswer, after: int
     ) -> UpstreamStream:
         """Return a stream that goes on with an answer's assembly."""
@@ -139,7 +139,7 @@
             self.connections.peer,
             self.assemblies[attempt_id],
             after,
-            on_whole=lambda: self.assemblies.pop(attempt_id, None),
+            on_complete=lambda: self.assemblies.pop(attempt_id, None),
         )
 
     def resume(
@@ -165,7 +165,7 @@
             detail = f"status {status}: the attempt can't be resumed"
             raise UpstreamLostError(request.step, peer, detail)
         if assembly is not None:
-            return self.assembled(attempt_id, answer, after)
+            return self.assembled_stream(attempt_id, answer, after)
         return UpstreamStream(answer, peer, after, delivered_tokens)
 
     def cancel(self, attempt_id: AttemptId) -> bool:
@@ -173,7 +173,7 @@
         self.assemblies.pop(attempt_id, None)
         path = f"/v1/attempts/{attempt_id}"
         try:
-            self.ask(UpstreamRequest("cancel", "DELETE", path))
+            self.send_control(UpstreamRequest("cancel", "DELETE", path))
         except UpstreamRefusedError as error:
             if error.status == NOT_FOUND:
                 return False
@@ -183,21 +183,21 @@
     def inventory(self) -> EngineInventory:
         """Return what the engine holds."""
         request = UpstreamRequest("inventory", "GET", "/v1/inventory")
-        return self.ask_for(request, EngineInventory)
+        return self.fetch(request, EngineInventory)
 
     def load(self) -> EngineLoad:
         """Return how full the engine says it was a while ago."""
-        return self.ask_for(UpstreamRequest("load", "GET", "/v1/load"), EngineLoad)
+        return self.fetch(UpstreamRequest("load", "GET", "/v1/load"), EngineLoad)
 
     def cache_events(self, after: int) -> CacheEvents:
         """Return the prefix cache's changes after a sequence number."""
         path = f"/v1/cache/events?after={after}"
-        return self.ask_for(UpstreamRequest("cache events", "GET", path), CacheEvents)
+        return self.fetch(UpstreamRequest("cache events", "GET", path), CacheEvents)
 
     def orders(self) -> EngineOrders:
         """Return what the engine has done with the orders that it got."""
         request = UpstreamRequest("read orders", "GET", "/v1/orders")
-        return self.ask_for(request, EngineOrders)
+        return self.fetch(request, EngineOrders)
 
     def send_order(self, order: EngineOrder) -> OrderResult:
         """Give an order and wait until it is done or refused as old."""
@@ -219,20 +219,20 @@
         """Return a reference to a part of a prompt that this engine holds."""
         body = msgspec.json.encode(KvExport(attempt_id, from_token, to_token))
         request = UpstreamRequest("export", "POST", "/v1/kv/export", body=body)
-        return self.ask_for(request, KvPart)
+        return self.fetch(request, KvPart)
 
     def import_kv(self, parts: tuple[KvPart, ...]) -> None:
         """Tell this engine of parts that other engines hold."""
         body = msgspec.json.encode(KvImport(parts))
-        self.ask(UpstreamRequest("import", "POST", "/v1/kv/import", body=body))
+        self.send_control(UpstreamRequest("import", "POST", "/v1/kv/import", body=body))
 
-    def ask(self, request: UpstreamRequest) -> bytes:
+    def send_control(self, request: UpstreamRequest) -> bytes:
         """Send a control request and return the body of its answer."""
-        return self.connections.ask(request, self.config.silence_seconds)
+        return self.connections.send_pooled(request, self.config.silence_seconds)
 
-    def ask_for(self, request: UpstreamRequest, kind: type[Document]) -> Document:
+    def fetch(self, request: UpstreamRequest, kind: type[Document]) -> Document:
         """Send a control request and decode its answer."""
-        return self.decode(request, self.ask(request), kind)
+        return self.decode(request, self.send_control(request), kind)
 
     def decode(
         self, request: UpstreamRequest, answer: bytes, kind: type[Document]
@@ -267,12 +267,12 @@
         own.append(("X-Token-Range", f"{part.from_token}-{end}"))
     if part.kv_handles:
         own.append(("X-Kv-Handles", ",".join(part.kv_handles)))
-    return (*end_to_end(hand_over.headers, OWN_HEADERS), *own)
+    return (*end_to_end_headers(hand_over.headers, OWN_HEADERS), *own)
 
 
 def wants_stream(body: bytes) -> bool:
     """Say whether a completion request asks for a stream."""
     try:
-        return bool(msgspec.json.decode(body, type=StreamWish).stream)
+        return bool(msgspec.json.decode(body, type=StreamOption).stream)
     except msgspec.MsgspecError:
         return False
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/event_parser.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/event_parser.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-MOST_EVENT_BYTES = 4 * 1024 * 1024
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class ServerSentEvent(NamedTuple):
@@ -20,15 +20,15 @@
     """Turn pieces of bytes, cut anywhere, into events."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.buffer = b""
 
     def feed(self, piece: bytes) -> list[ServerSentEvent]:
         """Return the events that a further piece completes."""
         # A line may end in CR LF, and the two may come in different pieces.
-        self.rest = (self.rest + piece).replace(b"\r\n", b"\n")
-        *blocks, self.rest = self.rest.split(b"\n\n")
-        if len(self.rest) > MOST_EVENT_BYTES:
-            raise EventTooLargeError(f"an event exceeds {MOST_EVENT_BYTES} bytes")
+        self.buffer = (self.buffer + piece).replace(b"\r\n", b"\n")
+        *blocks, self.buffer = self.buffer.split(b"\n\n")
+        if len(self.buffer) > MAX_EVENT_BYTES:
+            raise EventTooLargeError(f"an event exceeds {MAX_EVENT_BYTES} bytes")
         events = [parse_block(block) for block in blocks]
         return [event for event in events if event is not None]
 
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
@@ -6,7 +6,7 @@
 from cowslipshelf_upstreams.internal.connections import (
     Connections,
     UpstreamRequest,
-    end_to_end,
+    end_to_end_headers,
 )
 from cowslipshelf_upstreams.internal.stream import UpstreamStream
 
@@ -50,7 +50,7 @@
             step="call",
             method=hand_over.method,
             path=hand_over.path,
-            headers=(*end_to_end(hand_over.headers, OWN_HEADERS), *own),
+            headers=(*end_to_end_headers(hand_over.headers, OWN_HEADERS), *own),
             body=hand_over.body,
         )
         wait = max(self.config.silence_seconds, hand_over.deadline_seconds)
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
@@ -10,7 +10,7 @@
 from cowslipshelf_upstreams.internal.connections import (
     Headers,
     OpenAnswer,
-    end_to_end,
+    end_to_end_headers,
 )
 from cowslipshelf_upstreams.internal.event_parser import EventParser, ServerSentEvent
 
@@ -72,7 +72,7 @@
     @property
     def headers(self) -> Headers:
         """Return the headers that belong to the answer, not to the connection."""
-        return end_to_end(tuple(self.response.headers.items()), frozenset())
+        return end_to_end_headers(tuple(self.response.headers.items()), frozenset())
 
     def __iter__(self) -> Iterator[UpstreamPiece]:
         try:
@@ -92,13 +92,13 @@
         parser = EventParser()
         for data in self.response.stream(READ_BYTES, decode_content=False):
             for event in parser.feed(data):
-                if self.is_new(event):
-                    yield self.piece_of(event)
+                if self.accept_event(event):
+                    yield self.to_piece(event)
                 if event.data == DONE:
                     return
         raise self.lost("the stream ended before its final marker")
 
-    def is_new(self, event: ServerSentEvent) -> bool:
+    def accept_event(self, event: ServerSentEvent) -> bool:
         """Take an event's number; false for one seen before, an error after a gap."""
         number = int(event.event_id) if event.event_id else self.sequence + 1
         if number <= self.sequence:
@@ -108,7 +108,7 @@
         self.sequence = number
         return True
 
-    def piece_of(self, event: ServerSentEvent) -> UpstreamPiece:
+    def to_piece(self, event: ServerSentEvent) -> UpstreamPiece:
         """Return an event as a piece, with its output tokens counted."""
         tokens = 0 if event.data == DONE else self.count_tokens(event.data)
         lines = event.data.replace(b"\n", b"\ndata: ")
@@ -131,12 +131,12 @@
 
     def read_body(self) -> Iterator[UpstreamPiece]:
         """Yield a body of known length, or one in chunks with a final marker."""
-        self.check_framed()
+        self.check_framing()
         for data in self.response.stream(READ_BYTES, decode_content=False):
             self.sequence += 1
             yield UpstreamPiece(self.sequence, data, 0)
 
-    def check_framed(self) -> None:
+    def check_framing(self) -> None:
         """Refuse a body whose end nobody could tell from a cut."""
         headers = self.response.headers
         framed = "Content-Length" in headers or self.response.chunked
--- a/packages/weightstore/src/cowslipshelf_weightstore/internal/client.py
+++ b/packages/weightstore/src/cowslipshelf_weightstore/internal/client.py
@@ -12,9 +12,9 @@
 
 LOAD_STEP = "load weights"
 READ_BYTES = 1024 * 1024
-MOST_DETAIL_BYTES = 2_000
+MAX_DETAIL_BYTES = 2_000
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-MOST_RETRY_AFTER_SECONDS = 3_600.0
+MAX_RETRY_AFTER_SECONDS = 3_600.0
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
 OK = 200
@@ -100,7 +100,7 @@
     try:
         if response.status == OK:
             return read_weights(response)
-        detail = response.read(MOST_DETAIL_BYTES).decode(errors="replace")
+        detail = response.read(MAX_DETAIL_BYTES).decode(errors="replace")
         if response.status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
             return LoadLimited(retry_after(response.headers.get("Retry-After", "")))
         return LoadRefused(response.status, detail)
@@ -129,6 +129,6 @@
     except ValueError:
         return DEFAULT_RETRY_AFTER_SECONDS
     # Also false for a value that is not a number, which no comparison admits.
-    if 0.0 <= seconds <= MOST_RETRY_AFTER_SECONDS:
+    if 0.0 <= seconds <= MAX_RETRY_AFTER_SECONDS:
         return seconds
-    return MOST_RETRY_AFTER_SECONDS
+    return MAX_RETRY_AFTER_SECONDS
--- a/tests/cover/upstreams/test_event_parser.py
+++ b/tests/cover/upstreams/test_event_parser.py
@@ -6,7 +6,7 @@
 
 from common.upstreams import steady
 from cowslipshelf_upstreams.internal.event_parser import (
-    MOST_EVENT_BYTES,
+    MAX_EVENT_BYTES,
     EventParser,
     EventTooLargeError,
     ServerSentEvent,
@@ -45,7 +45,7 @@
         ServerSentEvent(b"%d" % number, "\n".join(lines).encode())
         for number, lines in events
     ]
-    assert parser.rest == b""
+    assert parser.buffer == b""
 
 
 @steady
@@ -60,4 +60,4 @@
 def test_an_event_that_never_ends_is_refused() -> None:
     parser = EventParser()
     with pytest.raises(EventTooLargeError):
-        parser.feed(b"data: " + b"x" * MOST_EVENT_BYTES)
+        parser.feed(b"data: " + b"x" * MAX_EVENT_BYTES)
