--- a/packages/standins/src/cowslipshelf_standins/__main__.py
+++ b/packages/standins/src/cowslipshelf_standins/__main__.py
@@ -52,14 +52,14 @@
     flag = "--" + name.replace("_", "-")
     match default:
         case bool():
-            options.add_argument(flag, type=is_true, default=default)
+            options.add_argument(flag, type=parse_bool, default=default)
         case tuple():
             options.add_argument(flag, nargs="*", default=default)
         case _:
             options.add_argument(flag, type=type(default), default=default)
 
 
-def is_true(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     """Read a truth value."""
     return text.lower() in TRUE_WORDS
 
--- a/packages/standins/src/cowslipshelf_standins/internal/attempts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/attempts.py
@@ -38,7 +38,7 @@
     range_start: int
     range_end: int
     """Prompt tokens from `range_start` up to here are this engine's part."""
-    elsewhere_tokens: int
+    imported_tokens: int
     """Tokens of its part whose KV cache was imported by reference."""
     arrival: int
     state: AttemptState = AttemptState.QUEUED
@@ -49,24 +49,28 @@
     reserved_tokens: int = 0
     ended_at: float = 0.0
     event_ends: list[int] = field(default_factory=list)
-    all_done: Event = field(default_factory=Event)
+    ended_event: Event = field(default_factory=Event)
     readers: list[EventReader] = field(default_factory=list)
 
     @property
-    def is_part(self) -> bool:
+    def is_prefill_only(self) -> bool:
         """Say whether this only prefills a part of the prompt, for export."""
         return self.range_end < self.prompt.tokens
 
     @property
     def needed_tokens(self) -> int:
         """Return the memory that the attempt takes while it runs."""
-        own = self.range_end - self.range_start - self.elsewhere_tokens
-        return own if self.is_part else own + self.prompt.most_output_tokens
+        own = self.range_end - self.range_start - self.imported_tokens
+        return own if self.is_prefill_only else own + self.prompt.max_output_tokens
 
     @property
     def prefill_end(self) -> int:
         """Return the position at which prefill is done."""
-        return self.range_end if self.is_part else self.range_end + self.resume_from
+        return (
+            self.range_end
+            if self.is_prefill_only
+            else self.range_end + self.resume_from
+        )
 
     @property
     def ended(self) -> bool:
@@ -80,7 +84,7 @@
         self.generated = generated
         self.state = state
         if self.ended:
-            self.all_done.set()
+            self.ended_event.set()
 
     def tokens_before(self, sequence: int) -> int:
         """Return the output tokens generated before the event after `sequence`."""
--- a/packages/standins/src/cowslipshelf_standins/internal/batching.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/batching.py
@@ -54,10 +54,10 @@
         attempt.reserved_tokens = attempt.needed_tokens
         self.reserved_tokens += attempt.reserved_tokens
         cached = self.cache.cached_tokens(attempt.prompt.block_hashes)
-        held_elsewhere = attempt.range_start + attempt.elsewhere_tokens
+        imported_end = attempt.range_start + attempt.imported_tokens
         # At least one token is always computed; its result begins the answer.
-        most_skipped = attempt.range_end - 1
-        attempt.position = min(max(cached, held_elsewhere), most_skipped)
+        max_skipped = attempt.range_end - 1
+        attempt.position = min(max(cached, imported_end), max_skipped)
         attempt.state = AttemptState.PREFILLING
         self.prefilling.append(attempt)
 
@@ -99,19 +99,21 @@
             progress[attempt] = progress.get(attempt, attempt.generated) + 1
         prefilled = [a for a in self.prefilling if a.position >= a.prefill_end]
         for attempt in prefilled:
-            progress[attempt] = attempt.generated + (0 if attempt.is_part else 1)
+            progress[attempt] = attempt.generated + (
+                0 if attempt.is_prefill_only else 1
+            )
             self.prefilling.remove(attempt)
         self.decoding = [
             attempt
             for attempt in (*self.decoding, *prefilled)
-            if not (attempt.is_part or is_done(attempt, progress[attempt]))
+            if not (attempt.is_prefill_only or is_done(attempt, progress[attempt]))
         ]
         return seconds
 
 
 def is_done(attempt: Attempt, generated: int) -> bool:
     """Say whether an attempt has generated all its output."""
-    return generated >= attempt.prompt.most_output_tokens
+    return generated >= attempt.prompt.max_output_tokens
 
 
 def prefill_seconds(config: EngineConfig, start: int, end: int) -> float:
--- a/packages/standins/src/cowslipshelf_standins/internal/engine.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine.py
@@ -14,16 +14,16 @@
     StartOptions,
 )
 from cowslipshelf_standins.internal.engine_loop import EngineLoop
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import BadRequestError
 from cowslipshelf_standins.internal.kv_parts import KvExport, KvPart, KvParts
 from cowslipshelf_standins.internal.load import EngineLoad, LaggedLoad
-from cowslipshelf_standins.internal.orders import OrderBody, OrderBook
+from cowslipshelf_standins.internal.orders import OrderBody, OrderExecutor
 from cowslipshelf_standins.internal.prefix_cache import CacheEvents, PrefixCache
 from cowslipshelf_standins.internal.prompts import TOKENS_PER_BLOCK, Prompt
 
-MOST_ENDED_IDS = 20_000
-MOST_LATENESS_SECONDS = 0.25
+MAX_ENDED_IDS = 20_000
+MAX_LATENESS_SECONDS = 0.25
 FROZEN_POLL_SECONDS = 0.02
 
 
@@ -31,17 +31,17 @@
     """Be one model engine; `changed` guards all of its state."""
 
     def __init__(
-        self, config: EngineConfig, switch: FaultSwitch, loop: EngineLoop
+        self, config: EngineConfig, injector: FaultInjector, loop: EngineLoop
     ) -> None:
         self.config = config
-        self.switch = switch
+        self.injector = injector
         self.loop = loop
-        self.changed = Lock()
+        self.lock = Lock()
         self.attempts: dict[str, Attempt] = {}
         self.ended_ids: OrderedDict[str, None] = OrderedDict()
         self.arrivals = 0
         self.stopped = False
-        self.orders = OrderBook(config.models, config.checks_fencing)
+        self.orders = OrderExecutor(config.models, config.checks_fencing)
         self.kv_parts = KvParts()
         empty = EngineLoad(memory_tokens=config.memory_tokens)
         self.load = LaggedLoad(config.load_lag_seconds, empty)
@@ -54,21 +54,21 @@
         self.batch = Batch(config, self.cache)
         self.scheduled = False
         self.due = 0.0
-        self.under_way: Progress = {}
+        self.pending_progress: Progress = {}
 
     def advance(self, now: float) -> float | None:
-        """Deliver the tick that has passed and begin the next, if there is work."""
-        if self.switch.faults.freeze:
+        """Deliver the tick that has completed and begin the next, if there is work."""
+        if self.injector.faults.freeze:
             return now + FROZEN_POLL_SECONDS
-        passed = self.under_way
-        with self.changed:
-            self.deliver(passed)
-            seconds, self.under_way = self.batch.run_tick(self.scale())
-            self.scheduled = bool(self.under_way) or self.batch.has_work()
-            going_on = self.scheduled and not self.stopped
-        push_to_readers(passed)
-        self.due = max(self.due, now - MOST_LATENESS_SECONDS) + seconds
-        return self.due if going_on else None
+        completed = self.pending_progress
+        with self.lock:
+            self.deliver(completed)
+            seconds, self.pending_progress = self.batch.run_tick(self.scale())
+            self.scheduled = bool(self.pending_progress) or self.batch.has_work()
+            has_more = self.scheduled and not self.stopped
+        push_to_readers(completed)
+        self.due = max(self.due, now - MAX_LATENESS_SECONDS) + seconds
+        return self.due if has_more else None
 
     def schedule(self) -> None:
         """Have the loop run this engine, if it does not yet."""
@@ -79,7 +79,7 @@
 
     def scale(self) -> float:
         """Return the real seconds for one second of the engine."""
-        return self.config.time_scale * self.switch.faults.slow_factor
+        return self.config.time_scale * self.injector.faults.slow_factor
 
     def stop(self) -> None:
         """End the scheduler and every attempt."""
@@ -95,7 +95,7 @@
                 continue
             if attempt.state is AttemptState.PREFILLING:
                 self.cache_prompt(attempt, now)
-            if attempt.is_part or is_done(attempt, generated):
+            if attempt.is_prefill_only or is_done(attempt, generated):
                 self.finish(attempt, generated, now)
             else:
                 attempt.publish(AttemptState.DECODING, generated)
@@ -103,7 +103,7 @@
 
     def cache_prompt(self, attempt: Attempt, now: float) -> None:
         """Cache the blocks of a prefilled prompt that are all here."""
-        if attempt.range_start or attempt.elsewhere_tokens:
+        if attempt.range_start or attempt.imported_tokens:
             return
         blocks = attempt.range_end // TOKENS_PER_BLOCK
         hashes = attempt.prompt.block_hashes[:blocks]
@@ -112,14 +112,14 @@
     def finish(self, attempt: Attempt, generated: int, now: float) -> None:
         """End an attempt whole; a part keeps its memory until it is deleted."""
         attempt.ended_at = now
-        if not attempt.is_part:
+        if not attempt.is_prefill_only:
             self.batch.free(attempt)
         attempt.publish(AttemptState.FINISHED, generated)
 
     def submit(self, prompt: Prompt, options: StartOptions) -> Attempt:
         """Take an attempt in, or raise `BadRequestError`."""
-        with self.changed:
-            self.forget_expired()
+        with self.lock:
+            self.remove_expired()
             self.check_start(prompt, options)
             attempt = self.new_attempt(prompt, options)
             if attempt.needed_tokens > self.config.memory_tokens:
@@ -139,7 +139,7 @@
             raise BadRequestError(409, "duplicate_attempt", f"{attempt_id} is known")
         if self.config.models and prompt.model not in self.orders.models:
             raise BadRequestError(404, "model_not_found", f"no model {prompt.model}")
-        if not 0 <= options.resume_from < prompt.most_output_tokens:
+        if not 0 <= options.resume_from < prompt.max_output_tokens:
             raise BadRequestError(400, "bad_request", "nothing is left to resume")
 
     def new_attempt(self, prompt: Prompt, options: StartOptions) -> Attempt:
@@ -148,7 +148,7 @@
         end = prompt.tokens if options.range_end is None else options.range_end
         if not 0 <= start < end <= prompt.tokens:
             raise BadRequestError(400, "bad_request", "the token range is empty")
-        elsewhere = self.kv_parts.tokens_elsewhere(
+        imported = self.kv_parts.imported_tokens(
             options.kv_handles, prompt.seed, start, end
         )
         self.arrivals += 1
@@ -160,43 +160,43 @@
             resume_from=options.resume_from,
             range_start=start,
             range_end=end,
-            elsewhere_tokens=elsewhere,
+            imported_tokens=imported,
             arrival=self.arrivals,
             generated=options.resume_from,
         )
 
     def cancel(self, attempt_id: str) -> bool:
         """Cancel or forget an attempt and free its memory; say if it was known."""
-        with self.changed:
+        with self.lock:
             attempt = self.attempts.get(attempt_id)
             if attempt is None:
                 return False
-            self.forget(attempt)
+            self.remove(attempt)
             if not attempt.ended:
                 attempt.publish(AttemptState.CANCELLED, attempt.generated)
             self.record_load()
         push_to_readers((attempt,))
         return True
 
-    def forget(self, attempt: Attempt) -> None:
+    def remove(self, attempt: Attempt) -> None:
         """Drop an attempt, but keep its id so that a late copy is refused."""
         del self.attempts[attempt.attempt_id]
         self.batch.remove(attempt)
         self.ended_ids[attempt.attempt_id] = None
-        if len(self.ended_ids) > MOST_ENDED_IDS:
+        if len(self.ended_ids) > MAX_ENDED_IDS:
             self.ended_ids.popitem(last=False)
 
-    def forget_expired(self) -> None:
+    def remove_expired(self) -> None:
         """Drop answers that nobody has deleted in the retention time."""
         oldest = monotonic() - self.config.retention_seconds
         for attempt in list(self.attempts.values()):
             if attempt.ended and attempt.ended_at < oldest:
-                self.forget(attempt)
+                self.remove(attempt)
 
     def inventory(self) -> Inventory:
         """List every attempt with the memory it holds."""
-        with self.changed:
-            self.forget_expired()
+        with self.lock:
+            self.remove_expired()
             held = [
                 HeldAttempt(a.attempt_id, a.reserved_tokens, a.state.value)
                 for a in self.attempts.values()
@@ -220,17 +220,17 @@
 
     def read_load(self) -> EngineLoad:
         """Return the load as it was one lag ago."""
-        with self.changed:
+        with self.lock:
             return self.load.read(monotonic())
 
     def cache_events(self, after: int) -> CacheEvents:
         """Return the cache events after a sequence number that may be shown."""
-        with self.changed:
+        with self.lock:
             return self.cache.events_after(after, monotonic())
 
-    def export(self, wanted: KvExport, handle: str) -> KvPart:
+    def export_kv(self, wanted: KvExport, handle: str) -> KvPart:
         """Return a reference to KV cache that a prefilled attempt holds."""
-        with self.changed:
+        with self.lock:
             attempt = self.attempts.get(wanted.attempt_id)
             if attempt is None or not attempt.reserved_tokens:
                 raise BadRequestError(404, "unknown_attempt", "it holds no KV cache")
@@ -241,14 +241,14 @@
                 raise BadRequestError(409, "not_prefilled", "the range is not ready")
             return KvPart(handle, attempt.prompt.seed, start, end)
 
-    def order(self, order: OrderBody) -> bool:
+    def run_order(self, order: OrderBody) -> bool:
         """Carry an order out, or refuse an old number where numbers are checked."""
-        with self.changed:
-            if not self.orders.accepts(order):
+        with self.lock:
+            if not self.orders.accept(order):
                 return False
         if order.kind.startswith("load"):
             sleep(self.config.load_order_seconds * self.scale())
-        with self.changed:
+        with self.lock:
             self.orders.run(order)
         return True
 
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
@@ -19,7 +19,7 @@
 from cowslipshelf_standins.internal.engine_loop import EngineLoop
 from cowslipshelf_standins.internal.event_stream import whole_answer
 from cowslipshelf_standins.internal.event_writer import EventWriter, StreamCutError
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import (
     BadRequestError,
     StandInHandler,
@@ -62,14 +62,14 @@
             case ("GET", ["v1", "load"]):
                 self.answer_json(200, engine.read_load())
             case ("GET", ["v1", "cache", "events"]):
-                self.answer_json(200, engine.cache_events(self.number("after")))
+                self.answer_json(200, engine.cache_events(self.query_number("after")))
             case ("POST", ["v1", "orders"]):
-                self.order(msgspec.json.decode(body, type=OrderBody))
+                self.run_order(msgspec.json.decode(body, type=OrderBody))
             case ("GET", ["v1", "orders"]):
                 self.answer_json(200, engine.orders.state())
             case ("POST", ["v1", "kv", "export"]):
                 wanted = msgspec.json.decode(body, type=KvExport)
-                self.answer_json(200, engine.export(wanted, uuid4().hex))
+                self.answer_json(200, engine.export_kv(wanted, uuid4().hex))
             case ("POST", ["v1", "kv", "import"]):
                 parts = msgspec.json.decode(body, type=KvImport).parts
                 self.answer_json(200, engine.kv_parts.add(parts))
@@ -79,7 +79,7 @@
             case _:
                 raise BadRequestError(404, "not_found", f"no path {self.path}")
 
-    def number(self, name: str) -> int:
+    def query_number(self, name: str) -> int:
         """Return a number from the query; zero where it is missing."""
         return int(parse_qs(self.query).get(name, ["0"])[0])
 
@@ -122,21 +122,21 @@
 
     def cancel(self, attempt_id: str) -> None:
         """Cancel an attempt, or only say so while that fault is in play."""
-        if self.server.switch.faults.lose_cancel:
+        if self.server.injector.faults.lose_cancel:
             self.answer_json(200, Cancelled(True))
             return
         known = self.engine.cancel(attempt_id)
         self.answer_json(200 if known else 404, Cancelled(known))
 
-    def order(self, order: OrderBody) -> None:
+    def run_order(self, order: OrderBody) -> None:
         """Carry an order out, or refuse it as old."""
-        accepted = self.engine.order(order)
+        accepted = self.engine.run_order(order)
         newest = self.engine.orders.newest_fencing
         self.answer_json(200 if accepted else 409, OrderAnswer(accepted, newest))
 
     def answer_whole(self, attempt: Attempt) -> None:
         """Answer with the whole output once it is there."""
-        attempt.all_done.wait()
+        attempt.ended_event.wait()
         if attempt.state is AttemptState.CANCELLED:
             raise StreamCutError("the attempt was cancelled")
         self.answer_bytes(
@@ -146,7 +146,7 @@
     def stream(self, attempt: Attempt, after: int) -> None:
         """Stream events after a sequence number; cut the stream if cancelled."""
         self.begin_stream(EVENT_STREAM_HEADERS)
-        writer = EventWriter(self.connection, attempt, after, self.server.switch)
+        writer = EventWriter(self.connection, attempt, after, self.server.injector)
         attempt.readers.append(writer)
         try:
             writer.run(self.engine.config.keep_alive_seconds)
@@ -160,8 +160,8 @@
     def __init__(
         self, listen_address: str, config: EngineConfig, loop: EngineLoop
     ) -> None:
-        super().__init__(listen_address, EngineHandler, FaultSwitch())
-        self.engine = Engine(config, self.switch, loop)
+        super().__init__(listen_address, EngineHandler, FaultInjector())
+        self.engine = Engine(config, self.injector, loop)
 
     @classmethod
     def from_config(
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 
-class Advancing(Protocol):
+class Schedulable(Protocol):
     """Be something that has to be run at certain moments."""
 
     def advance(self, now: float) -> float | None:
@@ -23,17 +23,17 @@
 
     def __init__(self) -> None:
         self.changed = Condition()
-        self.due: list[tuple[float, int, Advancing]] = []
-        self.order = count()
+        self.due: list[tuple[float, int, Schedulable]] = []
+        self.tie_breaker = count()
 
     def start(self) -> None:
         """Run on a thread of its own."""
         Thread(target=self.run, daemon=True).start()
 
-    def schedule(self, engine: Advancing, at: float) -> None:
+    def schedule(self, engine: Schedulable, at: float) -> None:
         """Run an engine at a moment; the caller sees to it that it is in here once."""
         with self.changed:
-            heappush(self.due, (at, next(self.order), engine))
+            heappush(self.due, (at, next(self.tie_breaker), engine))
             if self.due[0][2] is engine:
                 self.changed.notify()
 
@@ -45,7 +45,7 @@
             if again is not None:
                 self.schedule(engine, again)
 
-    def next_engine(self) -> Advancing:
+    def next_engine(self) -> Schedulable:
         """Wait for the next engine to be due."""
         with self.changed:
             while True:
--- a/packages/standins/src/cowslipshelf_standins/internal/event_stream.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_stream.py
@@ -65,21 +65,21 @@
     """Return the event with a sequence number, as it goes over the wire."""
     first = attempt.tokens_before(sequence - 1)
     last = attempt.event_ends[sequence - 1]
-    answer = answer_for(attempt, first, last, whole=False)
+    answer = build_answer(attempt, first, last, whole=False)
     return b"id: %d\ndata: %b\n\n" % (sequence, msgspec.json.encode(answer))
 
 
 def whole_answer(attempt: Attempt) -> bytes:
     """Return the whole answer of a finished attempt."""
     last = attempt.generated
-    return msgspec.json.encode(answer_for(attempt, attempt.resume_from, last, True))
+    return msgspec.json.encode(build_answer(attempt, attempt.resume_from, last, True))
 
 
-def answer_for(attempt: Attempt, first: int, last: int, whole: bool) -> Answer:
+def build_answer(attempt: Attempt, first: int, last: int, whole: bool) -> Answer:
     """Return an answer with the output tokens from `first` up to `last`."""
     prompt = attempt.prompt
     text = generate(prompt.seed, first, last)
-    at_end = last >= prompt.most_output_tokens
+    at_end = last >= prompt.max_output_tokens
     reason = FINISH_REASON if at_end else None
     if not prompt.chat:
         kind = "text_completion"
--- a/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
@@ -16,7 +16,7 @@
     KEEP_ALIVE_COMMENT,
     answer_event,
 )
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -29,18 +29,18 @@
     """Be one reader's connection to an attempt's events."""
 
     def __init__(
-        self, sock: socket.socket, attempt: Attempt, after: int, switch: FaultSwitch
+        self, sock: socket.socket, attempt: Attempt, after: int, injector: FaultInjector
     ) -> None:
         self.sock = sock
         self.attempt = attempt
         self.sequence = after
-        self.switch = switch
+        self.injector = injector
         self.lock = Lock()
         self.wake = Event()
         self.unsent = b""
         self.events_sent = 0
         self.last_write = monotonic()
-        self.over = False
+        self.ended = False
         self.cut = False
 
     def push(self) -> None:
@@ -50,27 +50,27 @@
         if not self.lock.acquire(blocking=False):
             return
         try:
-            if not (self.unsent or self.over or self.switch.faults.freeze):
-                self.compose()
-                self.send_some()
+            if not (self.unsent or self.ended or self.injector.faults.freeze):
+                self.append_new_events()
+                self.send_available()
         finally:
             self.lock.release()
-        if self.unsent or self.over:
+        if self.unsent or self.ended:
             self.wake.set()
 
-    def send_some(self) -> None:
+    def send_available(self) -> None:
         """Send what the socket takes at once."""
         try:
             sent = self.sock.send(self.unsent, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         except OSError:
-            self.over = self.cut = True
+            self.ended = self.cut = True
             return
         self.unsent = self.unsent[sent:]
         self.last_write = monotonic()
 
-    def compose(self) -> None:
+    def append_new_events(self) -> None:
         """Add what is new to what has to be sent."""
         # The state is read first: once it says finished, all events are there.
         state = self.attempt.state
@@ -82,29 +82,29 @@
         if state is AttemptState.FINISHED:
             events.append(DONE_EVENT % (last + 1))
         self.sequence = last
-        allowed = self.allowed_events(events)
+        allowed = self.events_before_cut(events)
         self.events_sent += len(allowed)
         self.unsent += b"".join(map(chunk, allowed))
         if len(allowed) < len(events) or state is AttemptState.CANCELLED:
-            self.over = self.cut = True
+            self.ended = self.cut = True
         elif state is AttemptState.FINISHED:
             self.unsent += LAST_CHUNK
-            self.over = True
+            self.ended = True
 
-    def allowed_events(self, events: list[bytes]) -> list[bytes]:
+    def events_before_cut(self, events: list[bytes]) -> list[bytes]:
         """Return the events that come before a cut, where that fault is in play."""
-        most = self.switch.faults.drop_after_events
-        if most is None:
+        limit = self.injector.faults.drop_after_events
+        if limit is None:
             return events
-        return events[: max(0, most - self.events_sent)]
+        return events[: max(0, limit - self.events_sent)]
 
     def run(self, keep_alive_seconds: float) -> None:
         """Serve the connection's thread until the stream ends or must be cut."""
-        while not (self.over and not self.unsent):
-            self.switch.wait_while_frozen()
+        while not (self.ended and not self.unsent):
+            self.injector.wait_while_frozen()
             self.wake.clear()
             self.write_all(keep_alive_seconds)
-            if not (self.over or self.has_news()):
+            if not (self.ended or self.has_unsent_events()):
                 self.wake.wait(keep_alive_seconds)
         if self.cut:
             raise StreamCutError("the stream is cut")
@@ -112,8 +112,8 @@
     def write_all(self, keep_alive_seconds: float) -> None:
         """Write everything there is, or a comment after a quiet time."""
         with self.lock:
-            if not self.over:
-                self.compose()
+            if not self.ended:
+                self.append_new_events()
             quiet = monotonic() - self.last_write >= keep_alive_seconds
             if quiet and not self.unsent:
                 self.unsent = chunk(KEEP_ALIVE_COMMENT)
@@ -122,7 +122,7 @@
                 self.unsent = b""
                 self.last_write = monotonic()
 
-    def has_news(self) -> bool:
+    def has_unsent_events(self) -> bool:
         """Say whether there is something that was not yet sent."""
         return self.attempt.ended or len(self.attempt.event_ends) > self.sequence
 
--- a/packages/standins/src/cowslipshelf_standins/internal/faults.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/faults.py
@@ -24,7 +24,7 @@
     """End the process under a request whose body has this text."""
 
 
-class FaultSwitch:
+class FaultInjector:
     """Hold the faults in play and block threads while the stand-in is frozen."""
 
     def __init__(self) -> None:
--- a/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from cowslipshelf_standins.internal.faults import Faults, FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector, Faults
 
 FAULTS_PATH = "/_faults"
 WRITE_BUFFER_BYTES = 65_536
-CRASHED = 139
+SEGFAULT_EXIT_CODE = 139
 """Exit code of a process that a signal for bad memory ended, as shells show it."""
 SHUTDOWN_POLL_SECONDS = 1.0
 """Rare, so that idle stand-ins cost nothing."""
-MOST_BODY_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
@@ -69,16 +69,16 @@
 
     def serve_request(self) -> None:
         """Answer one request under the faults in play."""
-        switch = self.server.switch
+        injector = self.server.injector
         try:
             body = self.read_body()
             if self.path_only == FAULTS_PATH:
                 self.answer_faults(body)
                 return
-            switch.wait_while_frozen()
-            if switch.faults.refuse:
+            injector.wait_while_frozen()
+            if injector.faults.refuse:
                 raise BadRequestError(503, "overloaded", "the stand-in refuses")
-            self.end_if_fatal(body)
+            self.crash_if_matched(body)
             self.respond(body)
         except BadRequestError as error:
             self.answer_error(error)
@@ -88,11 +88,11 @@
             # The peer is gone; what it asked for goes on without it.
             self.close_connection = True
 
-    def end_if_fatal(self, body: bytes) -> None:
+    def crash_if_matched(self, body: bytes) -> None:
         """End as a process that crashes does, under a body that is to end it."""
-        text = self.server.switch.faults.end_on
+        text = self.server.injector.faults.end_on
         if text is not None and text.encode() in body:
-            os._exit(CRASHED)
+            os._exit(SEGFAULT_EXIT_CODE)
 
     @property
     def path_only(self) -> str:
@@ -111,19 +111,25 @@
     def read_body(self) -> bytes:
         """Return the whole body of the request."""
         if self.headers.get("Transfer-Encoding"):
-            raise self.unreadable(411, "length_required", "send a Content-Length")
+            raise self.unread_body_error(
+                411, "length_required", "send a Content-Length"
+            )
         text = self.headers.get("Content-Length", "0")
         if not text.isdecimal():
-            raise self.unreadable(400, "bad_request", "Content-Length is no number")
+            raise self.unread_body_error(
+                400, "bad_request", "Content-Length is no number"
+            )
         length = int(text)
-        if length > MOST_BODY_BYTES:
-            raise self.unreadable(413, "too_large", "the body is too large")
+        if length > MAX_BODY_BYTES:
+            raise self.unread_body_error(413, "too_large", "the body is too large")
         body = self.rfile.read(length)
         if len(body) < length:
             raise ConnectionResetError("the body was cut")
         return body
 
-    def unreadable(self, status: int, code: str, message: str) -> BadRequestError:
+    def unread_body_error(
+        self, status: int, code: str, message: str
+    ) -> BadRequestError:
         """Return the error for a body left unread; its connection can't go on."""
         self.close_connection = True
         return BadRequestError(status, code, message)
@@ -131,8 +137,8 @@
     def answer_faults(self, body: bytes) -> None:
         """Set the faults in play where a body is given, and show them."""
         if body:
-            self.server.switch.set(msgspec.json.decode(body, type=Faults))
-        self.answer_json(200, self.server.switch.faults)
+            self.server.injector.set(msgspec.json.decode(body, type=Faults))
+        self.answer_json(200, self.server.injector.faults)
 
     def answer_error(self, error: BadRequestError) -> None:
         """Answer an error in the published shape."""
@@ -156,7 +162,7 @@
         self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()
     ) -> None:
         """Answer with a body of known length."""
-        self.server.switch.wait_while_frozen_unless(self.path_only == FAULTS_PATH)
+        self.server.injector.wait_while_frozen_unless(self.path_only == FAULTS_PATH)
         self.send_response(status)
         for name, value in headers:
             self.send_header(name, value)
@@ -188,11 +194,14 @@
     allow_reuse_address = True
 
     def __init__(
-        self, listen_address: str, handler: type[StandInHandler], switch: FaultSwitch
+        self,
+        listen_address: str,
+        handler: type[StandInHandler],
+        injector: FaultInjector,
     ) -> None:
         host, _, port = listen_address.rpartition(":")
         super().__init__((host, int(port)), handler)
-        self.switch = switch
+        self.injector = injector
 
     @property
     def address(self) -> str:
@@ -208,7 +217,7 @@
 
     def stop(self) -> None:
         """Stop listening and wake whoever a freeze holds."""
-        self.switch.set(Faults())
+        self.injector.set(Faults())
         ending = Thread(target=self.shutdown, daemon=True)
         ending.start()
         # A connection wakes the listener, which would else look at its next poll only.
--- a/packages/standins/src/cowslipshelf_standins/internal/kv_parts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/kv_parts.py
@@ -45,7 +45,7 @@
         self.parts.update((part.handle, part) for part in parts)
         return KvImported(len(parts))
 
-    def tokens_elsewhere(
+    def imported_tokens(
         self, handles: tuple[str, ...], seed: int, start: int, end: int
     ) -> int:
         """Return how many tokens of a range the named parts cover."""
--- a/packages/standins/src/cowslipshelf_standins/internal/load.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/load.py
@@ -33,14 +33,14 @@
         else:
             at = now
         self.history.append((at, load))
-        self.forget_old(now)
+        self.drop_replaced(now)
 
     def read(self, now: float) -> EngineLoad:
         """Return the load as it was one lag ago."""
-        self.forget_old(now)
+        self.drop_replaced(now)
         return self.history[0][1]
 
-    def forget_old(self, now: float) -> None:
+    def drop_replaced(self, now: float) -> None:
         """Drop what a newer load that is old enough to show has replaced."""
         while len(self.history) > 1 and self.history[1][0] <= now - self.lag_seconds:
             self.history.popleft()
--- a/packages/standins/src/cowslipshelf_standins/internal/orders.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/orders.py
@@ -34,7 +34,7 @@
     orders_run: tuple[OrderBody, ...]
 
 
-class OrderBook:
+class OrderExecutor:
     """Hold what orders have made of an engine."""
 
     def __init__(self, models: tuple[str, ...], checks_fencing: bool) -> None:
@@ -45,7 +45,7 @@
         self.newest_fencing = 0
         self.orders_run: list[OrderBody] = []
 
-    def accepts(self, order: OrderBody) -> bool:
+    def accept(self, order: OrderBody) -> bool:
         """Say whether an order may run; engines that don't check run all."""
         if self.checks_fencing and order.fencing < self.newest_fencing:
             return False
--- a/packages/standins/src/cowslipshelf_standins/internal/plain_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/plain_http.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import StandInHandler, StandInServer
 
 CALLS_PATH = "/_calls"
@@ -49,8 +49,10 @@
             idempotency_key=self.headers.get("Idempotency-Key", ""),
         )
         self.server.run(call)
-        sleep(self.server.config.delay_seconds * self.server.switch.faults.slow_factor)
-        if self.server.switch.faults.drop_before_answer:
+        sleep(
+            self.server.config.delay_seconds * self.server.injector.faults.slow_factor
+        )
+        if self.server.injector.faults.drop_before_answer:
             raise ConnectionAbortedError("dropped as a fault")
         self.answer_json(200, call)
 
@@ -59,7 +61,7 @@
     """Be one plain service that listens."""
 
     def __init__(self, listen_address: str, config: PlainConfig) -> None:
-        super().__init__(listen_address, PlainHandler, FaultSwitch())
+        super().__init__(listen_address, PlainHandler, FaultInjector())
         self.config = config
         self.lock = Lock()
         self.calls: list[Call] = []
--- a/packages/standins/src/cowslipshelf_standins/internal/prefix_cache.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/prefix_cache.py
@@ -7,7 +7,7 @@
 
 from cowslipshelf_standins.internal.prompts import TOKENS_PER_BLOCK
 
-MOST_EVENTS_KEPT = 2_000
+MAX_EVENTS_KEPT = 2_000
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
@@ -32,15 +32,15 @@
     """Hold block hashes up to a number of tokens, least recently used out first."""
 
     def __init__(
-        self, most_tokens: int, delay_seconds: float, loss: float, seed: int
+        self, max_tokens: int, delay_seconds: float, loss: float, seed: int
     ) -> None:
-        self.most_blocks = most_tokens // TOKENS_PER_BLOCK
+        self.max_blocks = max_tokens // TOKENS_PER_BLOCK
         self.delay_seconds = delay_seconds
         self.loss = loss
         self.random = Random(seed)
         self.blocks: OrderedDict[int, None] = OrderedDict()
         self.sequence = 0
-        self.events: deque[tuple[float, CacheEvent]] = deque(maxlen=MOST_EVENTS_KEPT)
+        self.events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS_KEPT)
 
     def cached_tokens(self, block_hashes: tuple[int, ...]) -> int:
         """Return how many tokens from the start are cached, and keep them longer."""
@@ -56,7 +56,7 @@
 
     def store(self, block_hashes: tuple[int, ...], attempt_id: str, now: float) -> None:
         """Cache the blocks of a prompt that was prefilled."""
-        kept = block_hashes[: self.most_blocks]
+        kept = block_hashes[: self.max_blocks]
         fresh = tuple(h for h in kept if h not in self.blocks)
         for block_hash in reversed(kept):
             self.blocks[block_hash] = None
@@ -64,7 +64,7 @@
         if fresh:
             self.publish("stored", fresh, attempt_id, now)
         removed = []
-        while len(self.blocks) > self.most_blocks:
+        while len(self.blocks) > self.max_blocks:
             removed.append(self.blocks.popitem(last=False)[0])
         if removed:
             self.publish("removed", tuple(removed), "", now)
--- a/packages/standins/src/cowslipshelf_standins/internal/prompts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/prompts.py
@@ -45,7 +45,7 @@
 
     model: str
     tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     stream: bool
     chat: bool
     seed: int
@@ -65,15 +65,15 @@
         raise BadRequestError(400, "bad_request", str(error)) from error
     content, bytes_per_token = prompt_bytes(request, chat)
     tokens = -(-len(content) // bytes_per_token)
-    most_output = request.max_completion_tokens or request.max_tokens
-    most_output = DEFAULT_MAX_TOKENS if most_output is None else most_output
-    if tokens < 1 or most_output < 1:
+    max_output = request.max_completion_tokens or request.max_tokens
+    max_output = DEFAULT_MAX_TOKENS if max_output is None else max_output
+    if tokens < 1 or max_output < 1:
         raise BadRequestError(400, "bad_request", "prompt and max_tokens must be > 0")
     seed = blake2b(content, digest_size=8, key=request.model.encode()[:64]).digest()
     return Prompt(
         model=request.model,
         tokens=tokens,
-        most_output_tokens=most_output,
+        max_output_tokens=max_output,
         stream=bool(request.stream),
         chat=chat,
         seed=int.from_bytes(seed),
--- a/packages/standins/src/cowslipshelf_standins/internal/weight_store_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/weight_store_http.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import (
     BadRequestError,
     StandInHandler,
@@ -41,15 +41,15 @@
             case ("GET", ["_served"]):
                 self.answer_json(200, self.server.served)
             case ("GET", ["weights", _, _]):
-                self.give_weights()
+                self.send_weights()
             case _:
                 raise BadRequestError(404, "not_found", f"no path {self.path}")
 
-    def give_weights(self) -> None:
+    def send_weights(self) -> None:
         """Give out weights where the limit and the grant allow it."""
         if not self.headers.get("X-Load-Grant"):
             raise BadRequestError(403, "no_grant", "a load needs a grant")
-        wait = self.server.take_load()
+        wait = self.server.try_load()
         if wait > 0:
             raise BadRequestError(429, "rate_limited", "too many loads", wait)
         size = self.server.config.weight_bytes
@@ -61,10 +61,10 @@
     """Be one weight store that listens."""
 
     def __init__(self, listen_address: str, config: WeightStoreConfig) -> None:
-        super().__init__(listen_address, WeightStoreHandler, FaultSwitch())
+        super().__init__(listen_address, WeightStoreHandler, FaultInjector())
         self.config = config
         self.lock = Lock()
-        self.loads_at: list[float] = []
+        self.load_times: list[float] = []
         self.served = Served()
 
     @classmethod
@@ -74,17 +74,17 @@
         """Make a weight store that listens but does not serve yet."""
         return cls(listen_address, config)
 
-    def take_load(self) -> float:
+    def try_load(self) -> float:
         """Count a load and return zero, or return the seconds to wait."""
         with self.lock:
             now = monotonic()
             oldest = now - self.config.window_seconds
-            self.loads_at = [at for at in self.loads_at if at > oldest]
+            self.load_times = [at for at in self.load_times if at > oldest]
             served = self.served
-            if len(self.loads_at) >= self.config.loads_per_window:
+            if len(self.load_times) >= self.config.loads_per_window:
                 self.served = Served(served.loads, served.bytes, served.limited + 1)
-                return self.loads_at[0] - oldest
-            self.loads_at.append(now)
+                return self.load_times[0] - oldest
+            self.load_times.append(now)
             size = served.bytes + self.config.weight_bytes
             self.served = Served(served.loads + 1, size, served.limited)
             return 0.0
--- a/tests/cover/standins/test_engine_answers.py
+++ b/tests/cover/standins/test_engine_answers.py
@@ -81,7 +81,7 @@
     stream = None
     pieces = []
     for drop_after in [*cuts, None]:
-        engine.switch.set(Faults(drop_after_events=drop_after))
+        engine.injector.set(Faults(drop_after_events=drop_after))
         if stream is None:
             stream = client.start(asked)
         else:
@@ -96,7 +96,7 @@
     assert sum(piece.tokens for piece in pieces) == tokens
     assert pieces[-1].data == b"data: [DONE]\n\n"
     text = "".join(text_of(piece.data) for piece in pieces)
-    engine.switch.set(Faults())
+    engine.injector.set(Faults())
     assert text == whole_text(engine.address, prompt, tokens, chat)
 
 
@@ -114,7 +114,7 @@
     client = client_of(engine.address)
     asked = completion(prompt, tokens, chat=chat, stream=False, attempt_id=fresh_id())
     faults = [Faults(drop_after_events=cut) for cut in cuts] + [Faults()]
-    engine.switch.set(faults[0])
+    engine.injector.set(faults[0])
     stream = client.start(asked)
     assert ("Content-Type", "application/json") in stream.headers
     pieces = []
@@ -123,9 +123,9 @@
             pieces.extend(stream)
             break
         except UpstreamLostError:
-            engine.switch.set(next_faults)
+            engine.injector.set(next_faults)
             stream = client.resume(asked.attempt_id, len(pieces))
-    engine.switch.set(Faults())
+    engine.injector.set(Faults())
     assert [piece.sequence for piece in pieces] == [1, 2]
     assert (pieces[0].data, sum(p.tokens for p in pieces)) == (b"", tokens)
     answer = msgspec.json.decode(pieces[1].data)
@@ -178,10 +178,10 @@
         stream.close()
         held = client.inventory().held
         assert [item.tokens > 100_000 for item in held] == [True]
-        server.switch.set(Faults(lose_cancel=True))
+        server.injector.set(Faults(lose_cancel=True))
         assert client.cancel("attempt")
         assert client.inventory().held[0].tokens > 100_000
-        server.switch.set(Faults())
+        server.injector.set(Faults())
         assert client.cancel("attempt")
         assert client.inventory().held == ()
         assert not client.cancel("attempt")
--- a/tests/cover/standins/test_engine_state.py
+++ b/tests/cover/standins/test_engine_state.py
@@ -10,10 +10,10 @@
 from cowslipshelf_standins.internal.engine import Engine
 from cowslipshelf_standins.internal.engine_documents import StartOptions
 from cowslipshelf_standins.internal.engine_loop import EngineLoop
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import BadRequestError
 from cowslipshelf_standins.internal.kv_parts import merged_length
-from cowslipshelf_standins.internal.orders import OrderBody, OrderBook
+from cowslipshelf_standins.internal.orders import OrderBody, OrderExecutor
 from cowslipshelf_standins.internal.prefix_cache import PrefixCache
 from cowslipshelf_standins.internal.prompts import Prompt
 
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.engine = Engine(SMALL_ENGINE, FaultSwitch(), EngineLoop())
+        self.engine = Engine(SMALL_ENGINE, FaultInjector(), EngineLoop())
         self.submitted: dict[str, int] = {}
 
     @rule(
@@ -126,7 +126,7 @@
 )
 def test_first_tokens_come_in_order_of_priority_then_arrival(prompts) -> None:
     engine = Engine(
-        SMALL_ENGINE._replace(memory_tokens=10_000), FaultSwitch(), EngineLoop()
+        SMALL_ENGINE._replace(memory_tokens=10_000), FaultInjector(), EngineLoop()
     )
     for number, (tokens, priority) in enumerate(prompts):
         engine.submit(prompt_of(tokens, 2), options_of(f"{number}", priority))
@@ -156,7 +156,7 @@
         prefill_seconds_per_token_squared=quadratic,
         tick_seconds=1e9,
     )
-    engine = Engine(config, FaultSwitch(), EngineLoop())
+    engine = Engine(config, FaultInjector(), EngineLoop())
     engine.submit(prompt_of(tokens, 1), options_of("only"))
     seconds, progress = engine.batch.run_tick(1.0)
     expected = linear * tokens + quadratic * tokens * tokens
@@ -167,11 +167,11 @@
 @steady
 @given(numbers=st.lists(st.integers(1, 20)), checks=st.booleans())
 def test_only_engines_that_check_refuse_old_fencing_numbers(numbers, checks) -> None:
-    book = OrderBook((), checks)
+    book = OrderExecutor((), checks)
     newest = 0
     for number in numbers:
         order = OrderBody(f"order-{number}", "change_role", "prefill", number)
-        assert book.accepts(order) == (not checks or number >= newest)
+        assert book.accept(order) == (not checks or number >= newest)
         newest = max(newest, number)
 
 
@@ -185,19 +185,19 @@
 @steady
 @given(
     prompts=st.lists(st.lists(st.integers(0, 3), max_size=6), max_size=12),
-    most_blocks=st.integers(1, 8),
+    max_blocks=st.integers(1, 8),
     loss=st.sampled_from([0.0, 0.5]),
 )
 def test_cache_events_tell_the_cache_but_for_visible_gaps(
-    prompts, most_blocks, loss
+    prompts, max_blocks, loss
 ) -> None:
-    cache = PrefixCache(most_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
+    cache = PrefixCache(max_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
     for number, choices in enumerate(prompts):
         # A block's hash stands for all that comes before it, too.
         hashes = tuple(hash(tuple(choices[: end + 1])) for end in range(len(choices)))
         cache.store(hashes, f"{number}", now=0.0)
-        assert cache.cached_tokens(hashes) == 256 * min(len(hashes), most_blocks)
-        assert len(cache.blocks) <= most_blocks
+        assert cache.cached_tokens(hashes) == 256 * min(len(hashes), max_blocks)
+        assert len(cache.blocks) <= max_blocks
     told = cache.events_after(0, now=0.0)
     rebuilt: set[int] = set()
     for event in told.events:
--- a/tests/cover/standins/test_event_writer.py
+++ b/tests/cover/standins/test_event_writer.py
@@ -15,7 +15,7 @@
     StreamCutError,
     chunk,
 )
-from cowslipshelf_standins.internal.faults import Faults, FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector, Faults
 from cowslipshelf_standins.internal.prompts import Prompt
 
 QUIET_SECONDS = 60.0
@@ -51,7 +51,7 @@
     attempt = new_attempt(1 + sum(n for kind, n in steps if kind == "generate"))
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
-    writer = EventWriter(ours, attempt, 0, FaultSwitch())
+    writer = EventWriter(ours, attempt, 0, FaultInjector())
     received = b""
     for kind, number in steps:
         if kind == "generate":
@@ -87,9 +87,9 @@
 def test_a_stream_is_cut_after_as_many_events_as_the_fault_says(events, most) -> None:
     attempt = new_attempt(events + 1)
     ours, theirs = socket.socketpair()
-    switch = FaultSwitch()
-    switch.set(Faults(drop_after_events=most))
-    writer = EventWriter(ours, attempt, 0, switch)
+    injector = FaultInjector()
+    injector.set(Faults(drop_after_events=most))
+    writer = EventWriter(ours, attempt, 0, injector)
     for number in range(events):
         attempt.publish(AttemptState.DECODING, number + 1)
         writer.push()
--- a/tests/cover/upstreams/test_engine_client.py
+++ b/tests/cover/upstreams/test_engine_client.py
@@ -99,18 +99,18 @@
     with running_engine() as server:
         client = client_of(server.address, SILENCE_SECONDS)
         patient = client_of(server.address, silence_seconds=20.0)
-        server.switch.set(Faults(slow_factor=1e9))
+        server.injector.set(Faults(slow_factor=1e9))
         stream = patient.start(completion())
         # What a busy engine sends while it has no token keeps the reader waiting.
         for _, comment in zip(range(3), stream.response.read_chunked(), strict=False):
             assert comment == b": keep-alive\n\n"
         stream.close()
-        server.switch.set(Faults(freeze=True))
+        server.injector.set(Faults(freeze=True))
         with pytest.raises(UpstreamLostError):
             client.start(completion(attempt_id="frozen"))
         with pytest.raises(UpstreamLostError):
             client.inventory()
-        server.switch.set(Faults())
+        server.injector.set(Faults())
         held = {item.attempt_id for item in patient.inventory().held}
         assert "attempt" in held
 
@@ -123,7 +123,7 @@
     """
     errors = []
     with running_engine() as server:
-        server.switch.set(Faults(freeze=True))
+        server.injector.set(Faults(freeze=True))
 
         def ask() -> None:
             try:
--- a/tests/cover/upstreams/test_plain_client.py
+++ b/tests/cover/upstreams/test_plain_client.py
@@ -70,7 +70,7 @@
     A client that retries by itself would pay twice, so the call must be in the
     service's list once and the error must say that it may have run.
     """
-    service.switch.set(Faults(drop_before_answer=True))
+    service.injector.set(Faults(drop_before_answer=True))
     headers = (("Idempotency-Key", "payment-7"),)
     with pytest.raises(UpstreamLostError) as caught:
         client_of(service.address).call(payment(headers=headers))
@@ -80,7 +80,7 @@
 
 
 def test_a_frozen_service_is_given_up_at_the_deadline(service) -> None:
-    service.switch.set(Faults(freeze=True))
+    service.injector.set(Faults(freeze=True))
     with pytest.raises(UpstreamLostError) as caught:
         client = client_of(service.address, silence_seconds=0.1)
         client.call(payment(deadline_seconds=0.2))
