--- a/packages/upstreams/src/cowslipshelf_upstreams/__init__.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Speak to model engines and plain services."""
+"""Provide HTTP clients for model engines and plain services."""
 
 from cowslipshelf_upstreams.errors import (
     UpstreamError,
--- a/packages/upstreams/src/cowslipshelf_upstreams/errors.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/errors.py
@@ -1,8 +1,8 @@
-"""Define what can go wrong between a sidecar and its upstream."""
+"""Define the errors of calls to an upstream."""
 
 
 class UpstreamError(Exception):
-    """Report what went wrong, with the step and the peer at which it arose."""
+    """Report an error with the step and the peer at which it occurred."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step} at {peer}: {detail}")
@@ -12,22 +12,22 @@
 
 
 class UpstreamLostError(UpstreamError):
-    """Report an upstream that was silent, cut a connection or broke its protocol."""
+    """Report a timeout, a lost connection or a violation of the protocol."""
 
     def __init__(
         self, step: str, peer: str, detail: str, may_have_arrived: bool = True
     ) -> None:
         super().__init__(step, peer, detail)
         self.may_have_arrived = may_have_arrived
-        """False only where no byte of the request can have reached the upstream."""
+        """False only if no byte of the request can have reached the upstream."""
 
 
 class UpstreamFailedError(UpstreamLostError):
-    """Report an upstream that said itself, in the stream, that it failed."""
+    """Report an error that the upstream itself sent in the stream."""
 
 
 class UpstreamRefusedError(UpstreamError):
-    """Report an upstream that answered a control request with an error status."""
+    """Report an error status in the answer to a control request."""
 
     def __init__(self, step: str, peer: str, status: int, detail: str) -> None:
         super().__init__(step, peer, f"status {status}: {detail}")
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/__init__.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the upstream clients are made of."""
+"""Implement the upstream clients."""
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
@@ -1,8 +1,8 @@
-"""Put a whole answer together from an engine's stream.
+"""Assemble a non-streamed answer from an engine's stream.
 
-A whole answer is silent until it is ready, so a dead engine would show only at the
-deadline, and a cut answer could not be resumed. Asked for a stream instead, a living
-engine is never silent for long, and what has come before a cut is kept.
+An engine sends nothing of a non-streamed answer until it is complete, so a dead engine
+would be detected only at the deadline, and a truncated answer could not be resumed. A
+live engine never pauses a stream for long, and what arrived before a cut is kept.
 """
 
 from collections.abc import Callable, Iterator
@@ -35,7 +35,7 @@
         "user",
     )
 )
-"""Fields of a request that leave a whole answer the sum of its chunks' texts."""
+"""Request fields with which a complete answer is its chunks' texts joined."""
 
 STREAM_FIELDS = {
     "stream": msgspec.Raw(b"true"),
@@ -45,22 +45,22 @@
 CHUNK_SUFFIX = ".chunk"
 JSON_TYPE = "application/json"
 
-# Chunks may carry fields that the published shape doesn't name; all are kept.
+# Chunks may have fields beyond the OpenAI format; all are kept.
 JsonObject = dict[str, Any]
 
 
 class ChoicesError(ValueError):
-    """Report a chunk that answers in another shape than was asked for."""
+    """Report a chunk with more choices than were requested."""
 
 
 @dataclass(slots=True)
 class AnswerAssembly:
-    """Hold what has come of a whole answer, over all its connections."""
+    """Collect a non-streamed answer over all connections of its attempt."""
 
     sequence: int = 0
     tokens: int = 0
     reported_tokens: int = 0
-    """Tokens that the piece at the first token told of."""
+    """Tokens that the pieces yielded so far have counted."""
     answer: JsonObject = field(default_factory=dict)
     choice: JsonObject = field(default_factory=dict)
 
@@ -82,14 +82,14 @@
             merge(self.choice, choice)
 
     def encode_answer(self) -> bytes:
-        """Return the answer, once all of its stream has come."""
+        """Return the answer, once its stream is complete."""
         kind = str(self.answer.get("object", "")).removesuffix(CHUNK_SUFFIX)
         whole = self.answer | {"object": kind, "choices": [self.choice]}
         return msgspec.json.encode(whole)
 
 
 def merge(whole: JsonObject, part: JsonObject) -> None:
-    """Append the texts of a part and take over its other fields."""
+    """Append the text fields of a part and set its other fields."""
     for name, value in part.items():
         if name in TEXT_FIELDS and isinstance(value, str):
             whole[name] = (whole.get(name) or "") + value
@@ -98,7 +98,7 @@
 
 
 class AssembledStream(UpstreamStream):
-    """Give a whole answer as two pieces: an empty one at its first token, and all."""
+    """Yield an assembled answer: an empty piece at the first token, then all of it."""
 
     def __init__(
         self,
@@ -115,12 +115,12 @@
 
     @property
     def headers(self) -> Headers:
-        """Return the headers of a whole answer."""
+        """Return the headers of the assembled answer."""
         rest = (pair for pair in super().headers if pair[0].lower() != "content-type")
         return (*rest, ("Content-Type", JSON_TYPE))
 
     def read_events(self) -> Iterator[UpstreamPiece]:
-        """Yield an empty piece at the first token, and the whole answer at the end."""
+        """Yield an empty piece at the first token, and the answer at the end."""
         for piece in super().read_events():
             self.assembly.add(piece)
             if self.assembly.tokens and not self.pieces_yielded:
@@ -129,7 +129,7 @@
         self.on_complete()
 
     def next_piece(self, data: bytes) -> UpstreamPiece:
-        """Return the next piece, with the tokens that came since the last."""
+        """Return the next piece, with the tokens that arrived since the last one."""
         given = self.assembly.reported_tokens if self.pieces_yielded else 0
         tokens = self.assembly.tokens - given
         self.assembly.reported_tokens = self.assembly.tokens
@@ -138,10 +138,10 @@
 
 
 def stream_request_body(body: bytes) -> bytes | None:
-    """Return a request for a whole answer as one for a stream of the same.
+    """Turn the request for a non-streamed answer into one for a stream.
 
-    None where the request wants a stream anyway, or something whose chunks don't
-    simply add up.
+    Return None if the request asks for a stream already, or has fields outside
+    `ASSEMBLABLE_FIELDS`.
     """
     try:
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/complete_heads.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/complete_heads.py
@@ -1,4 +1,4 @@
-"""Refuse answers whose head was cut before its end."""
+"""Reject HTTP answers whose head is truncated."""
 
 from http.client import HTTPException, HTTPResponse
 from io import BufferedReader
@@ -10,18 +10,18 @@
 
 
 class HeadCutError(HTTPException):
-    """Report an answer whose head has no end."""
+    """Report a truncated head."""
 
 
 class LastLineRecorder:
-    """Remember the last line that was read from a file."""
+    """Wrap a file and record the last line read from it."""
 
     def __init__(self, file: BufferedReader) -> None:
         self.file = file
         self.last_line = b""
 
     def readline(self, limit: int = -1) -> bytes:
-        """Read a line and remember it."""
+        """Read a line and record it."""
         self.last_line = self.file.readline(limit)
         return self.last_line
 
@@ -30,15 +30,15 @@
 
 
 class CompleteHeadResponse(HTTPResponse):
-    """Be an answer whose head has come to its end.
+    """Parse an answer and reject a truncated head.
 
-    The standard library takes a connection that closes within the head for the
-    head's end, and then reads a length cut short, or an answer without a body, as if
-    all were well. A head that is whole ends with an empty line.
+    The standard library treats a connection that closes within the head as the end of
+    the head, and then accepts a truncated length or an answer without a body. A
+    complete head ends with an empty line.
     """
 
     def begin(self) -> None:
-        """Read the head, and raise if the connection closed within it."""
+        """Read the head; raise `HeadCutError` if the connection closed within it."""
         recorder = LastLineRecorder(self.fp)
         self.fp = recorder
         super().begin()
@@ -49,6 +49,6 @@
 
 
 class CompleteHeadConnection(HTTPConnection):
-    """Be a connection that takes only answers with a whole head."""
+    """Accept only answers with a complete head."""
 
     response_class = CompleteHeadResponse
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
@@ -1,4 +1,4 @@
-"""Open connections to one upstream and name what goes wrong on them."""
+"""Open connections to one upstream and map their errors."""
 
 import socket
 from contextlib import suppress
@@ -37,7 +37,7 @@
 
 
 class UpstreamRequest(NamedTuple):
-    """Be one HTTP request to an upstream."""
+    """Describe one HTTP request to an upstream."""
 
     step: str
     method: str
@@ -47,7 +47,7 @@
 
 
 class OpenAnswer(NamedTuple):
-    """Be an answer whose head has come, and the connection that carries its body."""
+    """Hold an answer whose head was read, and the connection that carries its body."""
 
     response: BaseHTTPResponse
     connection: CompleteHeadConnection
@@ -55,7 +55,7 @@
 
     def close(self) -> None:
         """Close the connection, from any thread; a blocked read ends at once."""
-        # The peer may have closed it already, which is what is wanted.
+        # Shutdown fails if the peer has closed the connection already.
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.response.close()
@@ -63,7 +63,7 @@
 
 
 class Connections:
-    """Reach one upstream by HTTP, without retries of its own."""
+    """Send HTTP requests to one upstream, without retries."""
 
     def __init__(self, base_url: str, connect_seconds: float, pool_size: int) -> None:
         parts = urlsplit(base_url)
@@ -82,12 +82,12 @@
         return pool
 
     def open(self, request: UpstreamRequest, read_seconds: float) -> OpenAnswer:
-        """Send a request on a connection of its own and wait for the answer's head.
+        """Send a request on a new connection and wait for the answer's head.
 
-        A pooled connection may have gone silent unnoticed, and a request lost on it
-        may have arrived for all that the sender knows. On a new one, an upstream that
-        can't be reached shows while connecting, when surely nothing has arrived. The
-        target is sent as it is, which a pool would not do.
+        A pooled connection may be dead unnoticed, and a request lost on it may have
+        arrived as far as the sender can tell. On a new one, an unreachable upstream
+        fails the connect, when nothing can have arrived. Besides, the request target
+        is sent unchanged, whereas a pool would normalize it.
         """
         connection = self.connect()
         connection.timeout = read_seconds
@@ -117,7 +117,7 @@
     def send(
         self, connection: CompleteHeadConnection, request: UpstreamRequest
     ) -> None:
-        """Send a request; an upstream may answer before it has read it all."""
+        """Send a request; the upstream may answer before it has read all of it."""
         try:
             connection.request(
                 request.method,
@@ -128,13 +128,13 @@
                 decode_content=False,
             )
         except ValueError as error:
-            # Names and values are checked before the first byte is sent.
+            # Header names and values are checked before the first byte is sent.
             raise self.lost(request.step, error, may_have_arrived=False) from error
         except BrokenPipeError:
             return
 
     def send_pooled(self, request: UpstreamRequest, read_seconds: float) -> bytes:
-        """Send a request that may be repeated; return the body of its answer."""
+        """Send a repeatable request on a pooled connection; return the answer's body."""
         try:
             response = self.pool.request(
                 request.method,
@@ -156,15 +156,15 @@
     def lost(
         self, step: str, error: Exception, may_have_arrived: bool = True
     ) -> UpstreamLostError:
-        """Return the error that names what went wrong, where and with whom."""
+        """Return the error with the step, the peer and the cause."""
         detail = str(error) or type(error).__name__
         return UpstreamLostError(step, self.peer, detail, may_have_arrived)
 
     def refuses_connections(self) -> bool:
-        """Tell whether nothing listens at the upstream's address any more.
+        """Return whether the upstream's address refuses connections.
 
-        A process that ends closes its sockets one after the other, so that a probe
-        right after a lost connection may still be accepted.
+        An exiting process closes its sockets one after another, so a probe right after
+        a lost connection may still be accepted; it is repeated after short pauses.
         """
         for pause in PROBE_PAUSES_SECONDS:
             sleep(pause)
@@ -178,16 +178,16 @@
         return False
 
     def drop_idle(self) -> None:
-        """Close idle connections: what silenced one has probably silenced all."""
+        """Close idle connections: what broke one has probably broken all."""
         self.pool.close()
         self.pool = self.new_pool(CONTROL_POOL_SIZE)
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close idle connections."""
         self.pool.close()
 
 
 def end_to_end_headers(headers: Headers, also_removed: frozenset[str]) -> Headers:
-    """Return the headers that are not about one connection only."""
+    """Return the headers without hop-by-hop headers and those in `also_removed`."""
     removed = HOP_BY_HOP_HEADERS | also_removed
     return tuple((n, v) for n, v in headers if n.lower() not in removed)
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -1,4 +1,4 @@
-"""Speak to a model engine."""
+"""Control a model engine over HTTP."""
 
 from typing import NamedTuple, Self, TypeVar
 
@@ -49,30 +49,30 @@
         "x-token-range",
     )
 )
-"""Headers that only this client sets; a caller's own would deceive the engine."""
+"""Headers that only this client sets; a caller's would steer the engine."""
 
 Document = TypeVar("Document")
 
 
 class EngineClientConfig(NamedTuple):
-    """Say where an engine is and how long to wait for it."""
+    """Configure the address and the timeouts of an engine's client."""
 
     base_url: str
     connect_seconds: float = 1.0
     silence_seconds: float = 5.0
-    """Longest time without a byte on a stream, or without a control answer."""
+    """Timeout between bytes of a stream, and for the answer to a control request."""
     order_seconds: float = 600.0
-    """Longest time that an order may take; loading weights is slow."""
+    """Timeout of an order, which may have to load weights."""
 
 
 class StreamOption(msgspec.Struct, frozen=True):
-    """Be the part of a completion request that says how to answer."""
+    """Hold the field of a completion request that asks for a stream."""
 
     stream: bool | None = None
 
 
 class EngineClient:
-    """Start, resume and cancel attempts at one engine, and ask about it."""
+    """Start, resume and cancel attempts at one engine, and query its state."""
 
     def __init__(self, config: EngineClientConfig) -> None:
         self.config = config
@@ -83,15 +83,15 @@
 
     @classmethod
     def from_config(cls, config: EngineClientConfig) -> Self:
-        """Make a client; it connects when it is first used."""
+        """Create a client, which connects when it is first used."""
         return cls(config)
 
     def start(
         self, hand_over: HandOver, part: PromptPart = WHOLE_PROMPT
     ) -> UpstreamStream:
-        """Start an attempt, once; raise `UpstreamLostError` if no answer begins.
+        """Start an attempt once; raise `UpstreamLostError` if no answer begins.
 
-        Most whole answers are fetched as a stream and put together here.
+        Most non-streamed answers are fetched as a stream and assembled here.
         """
         request = UpstreamRequest(
             step="start",
@@ -106,7 +106,7 @@
             return self.start_assembly(hand_over.attempt_id, request)
         wait = self.config.silence_seconds
         if not wants_stream(hand_over.body):
-            # Such a whole answer is silent until it is ready.
+            # The engine sends nothing of a non-streamed answer until it is complete.
             wait = max(wait, hand_over.deadline_seconds)
         answer = self.connections.open(request, wait)
         delivered = hand_over.delivered_tokens
@@ -115,7 +115,7 @@
     def start_assembly(
         self, attempt_id: AttemptId, request: UpstreamRequest
     ) -> UpstreamStream:
-        """Start an attempt whose stream is put together to a whole answer."""
+        """Start an attempt whose stream is assembled to a non-streamed answer."""
         self.assemblies[attempt_id] = AnswerAssembly()
         try:
             answer = self.connections.open(request, self.config.silence_seconds)
@@ -126,14 +126,14 @@
         stream = UpstreamStream(answer, self.connections.peer)
         if stream.is_event_stream:
             return self.assembled_stream(attempt_id, answer, 0)
-        # The engine refused, or answered whole after all.
+        # The engine refused, or sent a non-streamed answer all the same.
         del self.assemblies[attempt_id]
         return stream
 
     def assembled_stream(
         self, attempt_id: AttemptId, answer: OpenAnswer, after: int
     ) -> UpstreamStream:
-        """Return a stream that goes on with an answer's assembly."""
+        """Return a stream that continues an attempt's assembly."""
         return AssembledStream(
             answer,
             self.connections.peer,
@@ -145,9 +145,9 @@
     def resume(
         self, attempt_id: AttemptId, after: int, delivered_tokens: int | None = None
     ) -> UpstreamStream:
-        """Go on with a stream after the event with this sequence number.
+        """Resume a stream after the event with sequence number `after`.
 
-        Raise `UpstreamLostError` where the engine holds no such attempt any more.
+        Raise `UpstreamLostError` if the engine no longer holds the attempt.
         """
         assembly = self.assemblies.get(attempt_id)
         last_event = after if assembly is None else assembly.sequence
@@ -169,7 +169,7 @@
         return UpstreamStream(answer, peer, after, delivered_tokens)
 
     def cancel(self, attempt_id: AttemptId) -> bool:
-        """Cancel an attempt; false where the engine doesn't know it any more."""
+        """Cancel an attempt; return False if the engine doesn't know it."""
         self.assemblies.pop(attempt_id, None)
         path = f"/v1/attempts/{attempt_id}"
         try:
@@ -181,29 +181,29 @@
         return True
 
     def inventory(self) -> EngineInventory:
-        """Return what the engine holds."""
+        """Return the attempts that the engine holds."""
         request = UpstreamRequest("inventory", "GET", "/v1/inventory")
         return self.fetch(request, EngineInventory)
 
     def load(self) -> EngineLoad:
-        """Return how full the engine says it was a while ago."""
+        """Return the load that the engine reports, which lags behind."""
         return self.fetch(UpstreamRequest("load", "GET", "/v1/load"), EngineLoad)
 
     def cache_events(self, after: int) -> CacheEvents:
-        """Return the prefix cache's changes after a sequence number."""
+        """Return the changes of the prefix cache after a sequence number."""
         path = f"/v1/cache/events?after={after}"
         return self.fetch(UpstreamRequest("cache events", "GET", path), CacheEvents)
 
     def orders(self) -> EngineOrders:
-        """Return what the engine has done with the orders that it got."""
+        """Return the orders that the engine has run."""
         request = UpstreamRequest("read orders", "GET", "/v1/orders")
         return self.fetch(request, EngineOrders)
 
     def send_order(self, order: EngineOrder) -> OrderResult:
-        """Give an order and wait until it is done or refused as old."""
+        """Send an order; wait until it is run, or refused for an old fencing number."""
         body = msgspec.json.encode(order)
         request = UpstreamRequest("order", "POST", "/v1/orders", body=body)
-        # An order is given once: whether a lost one ran, the sender must find out.
+        # Sent once only: after a lost connection the caller checks whether it ran.
         response = self.connections.open(request, self.config.order_seconds)
         stream = UpstreamStream(response, self.connections.peer)
         answer = b"".join(piece.data for piece in stream)
@@ -216,28 +216,28 @@
     def export_kv(
         self, attempt_id: AttemptId, from_token: int, to_token: int
     ) -> KvPart:
-        """Return a reference to a part of a prompt that this engine holds."""
+        """Return a reference to this engine's KV cache of a part of a prompt."""
         body = msgspec.json.encode(KvExport(attempt_id, from_token, to_token))
         request = UpstreamRequest("export", "POST", "/v1/kv/export", body=body)
         return self.fetch(request, KvPart)
 
     def import_kv(self, parts: tuple[KvPart, ...]) -> None:
-        """Tell this engine of parts that other engines hold."""
+        """Send this engine references to KV cache that other engines hold."""
         body = msgspec.json.encode(KvImport(parts))
         self.send_control(UpstreamRequest("import", "POST", "/v1/kv/import", body=body))
 
     def send_control(self, request: UpstreamRequest) -> bytes:
-        """Send a control request and return the body of its answer."""
+        """Send a control request and return the body of the answer."""
         return self.connections.send_pooled(request, self.config.silence_seconds)
 
     def fetch(self, request: UpstreamRequest, kind: type[Document]) -> Document:
-        """Send a control request and decode its answer."""
+        """Send a control request and decode the answer."""
         return self.decode(request, self.send_control(request), kind)
 
     def decode(
         self, request: UpstreamRequest, answer: bytes, kind: type[Document]
     ) -> Document:
-        """Decode an answer, or raise as for an engine that broke its protocol."""
+        """Decode an answer; raise `UpstreamLostError` if it is malformed."""
         try:
             return msgspec.json.decode(answer, type=kind)
         except msgspec.MsgspecError as error:
@@ -245,16 +245,16 @@
             raise UpstreamLostError(request.step, peer, str(error)) from error
 
     def refuses_connections(self) -> bool:
-        """Tell whether nothing listens at the upstream's address any more."""
+        """Return whether the upstream's address refuses connections."""
         return self.connections.refuses_connections()
 
     def close(self) -> None:
-        """Close idle connections; streams that run are not touched."""
+        """Close idle connections; open streams are unaffected."""
         self.connections.close()
 
 
 def start_headers(hand_over: HandOver, part: PromptPart) -> Headers:
-    """Return the headers of a start: the caller's, and ours in place of its copies."""
+    """Return the caller's headers, with this client's own in place of `OWN_HEADERS`."""
     own = [
         ("X-Request-Id", hand_over.request_id),
         ("X-Attempt-Id", hand_over.attempt_id),
@@ -271,7 +271,7 @@
 
 
 def wants_stream(body: bytes) -> bool:
-    """Say whether a completion request asks for a stream."""
+    """Return whether a completion request asks for a stream."""
     try:
         return bool(msgspec.json.decode(body, type=StreamOption).stream)
     except msgspec.MsgspecError:
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_documents.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_documents.py
@@ -1,4 +1,4 @@
-"""Describe what engines answer besides completions."""
+"""Define the documents of an engine's control requests."""
 
 from typing import Literal
 
@@ -9,21 +9,22 @@
 
 
 class HeldAttempt(msgspec.Struct, frozen=True):
-    """Be an attempt that the engine knows, with the memory it holds."""
+    """Describe an attempt that the engine knows."""
 
     attempt_id: AttemptId
     tokens: int
+    """Memory that the attempt holds, in tokens."""
     state: str = ""
 
 
 class EngineInventory(msgspec.Struct, frozen=True):
-    """List what the engine knows, ended attempts included."""
+    """List the attempts that the engine knows, including ended ones."""
 
     held: tuple[HeldAttempt, ...]
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """Be the engine's own, late, word on how full it is."""
+    """Hold the load that the engine reports, which lags behind."""
 
     running: int
     decoding: int
@@ -34,7 +35,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Be one change of an engine's prefix cache."""
+    """Describe one change of an engine's prefix cache."""
 
     sequence: int
     kind: Literal["stored", "removed"]
@@ -43,14 +44,14 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Be the cache events after a sequence number; late, and with gaps."""
+    """Hold the cache events after a sequence number; they are late and have gaps."""
 
     newest_sequence: int
     events: tuple[CacheEvent, ...]
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """Order an engine to load something or to change role."""
+    """Order an engine to load a model or an adapter, or to change its role."""
 
     order_id: str
     kind: OrderKind
@@ -60,22 +61,22 @@
 
 
 class OrderResult(msgspec.Struct, frozen=True):
-    """Answer an order; a refused one carries an old fencing number."""
+    """Answer an order, which is refused if its fencing number is old."""
 
     accepted: bool
     newest_fencing: FencingNumber
 
 
 class EngineOrders(msgspec.Struct, frozen=True):
-    """Tell which orders an engine has taken and carried out since its start."""
+    """Report the orders that an engine accepted and ran since its start."""
 
     newest_fencing: FencingNumber
-    """Of the newest order that it took; it may still be at it."""
+    """Of the newest accepted order, which may still be running."""
     orders_run: tuple[EngineOrder, ...] = ()
 
 
 class KvPart(msgspec.Struct, frozen=True):
-    """Refer to the KV cache of some tokens of one prompt."""
+    """Refer to the KV cache of a token range of one prompt."""
 
     handle: str
     prompt_seed: int
@@ -84,7 +85,7 @@
 
 
 class KvExport(msgspec.Struct, frozen=True):
-    """Ask for a reference to a part that an attempt holds."""
+    """Request a reference to KV cache that an attempt holds."""
 
     attempt_id: AttemptId
     from_token: int
@@ -92,15 +93,15 @@
 
 
 class KvImport(msgspec.Struct, frozen=True):
-    """Tell an engine of parts that other engines hold."""
+    """Send an engine references to KV cache that other engines hold."""
 
     parts: tuple[KvPart, ...]
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """Say which part of a prompt an engine prefills, and what others hold of it."""
+    """Define the token range that an engine prefills, and the imported KV cache."""
 
     from_token: int = 0
     to_token: int | None = None
-    """None for the engine that also generates the answer."""
+    """None at the engine that also decodes the answer."""
     kv_handles: tuple[str, ...] = ()
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/event_parser.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/event_parser.py
@@ -6,25 +6,25 @@
 
 
 class ServerSentEvent(NamedTuple):
-    """Be one event."""
+    """Hold one server-sent event."""
 
     event_id: bytes
     data: bytes
 
 
 class EventTooLargeError(ValueError):
-    """Report an event that never ends."""
+    """Report an event above `MAX_EVENT_BYTES`."""
 
 
 class EventParser:
-    """Turn pieces of bytes, cut anywhere, into events."""
+    """Parse events from bytes that may be split anywhere."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, piece: bytes) -> list[ServerSentEvent]:
-        """Return the events that a further piece completes."""
-        # A line may end in CR LF, and the two may come in different pieces.
+        """Return the events that the next piece of bytes completes."""
+        # A line may end in CR LF, and the two may arrive in different pieces.
         self.buffer = (self.buffer + piece).replace(b"\r\n", b"\n")
         *blocks, self.buffer = self.buffer.split(b"\n\n")
         if len(self.buffer) > MAX_EVENT_BYTES:
@@ -34,7 +34,7 @@
 
 
 def parse_block(block: bytes) -> ServerSentEvent | None:
-    """Return the event that some lines make; none where they carry no data."""
+    """Return the event that a block of lines holds; None if it has no data."""
     event_id = b""
     data = []
     for line in block.split(b"\n"):
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/plain_client.py
@@ -1,4 +1,4 @@
-"""Speak to a plain service."""
+"""Call a plain service over HTTP."""
 
 from typing import NamedTuple, Self
 
@@ -14,16 +14,16 @@
 
 
 class PlainClientConfig(NamedTuple):
-    """Say where a plain service is and how long to wait for it."""
+    """Configure the address and the timeouts of a plain service's client."""
 
     base_url: str
     connect_seconds: float = 1.0
     silence_seconds: float = 30.0
-    """Longest wait where the call's own deadline is shorter still."""
+    """Timeout for the answer's head and between bytes; a later deadline extends it."""
 
 
 class PlainClient:
-    """Call one plain service."""
+    """Send calls to one plain service."""
 
     def __init__(self, config: PlainClientConfig) -> None:
         self.config = config
@@ -33,14 +33,14 @@
 
     @classmethod
     def from_config(cls, config: PlainClientConfig) -> Self:
-        """Make a client; it connects when it is first used."""
+        """Create a client, which connects when it is first used."""
         return cls(config)
 
     def call(self, hand_over: HandOver) -> UpstreamStream:
-        """Call the service, once; raise `UpstreamLostError` if no answer begins.
+        """Call the service once; raise `UpstreamLostError` if no answer begins.
 
-        A service may think until the deadline, and nothing tells a thinking one from
-        a silent one, so the deadline alone bounds the wait for its answer.
+        A service may take until the deadline to answer, and a slow one can't be told
+        from a dead one, so the wait doesn't end before the deadline.
         """
         own = (
             ("X-Request-Id", hand_over.request_id),
@@ -58,9 +58,9 @@
         return UpstreamStream(response, self.connections.peer)
 
     def refuses_connections(self) -> bool:
-        """Tell whether nothing listens at the upstream's address any more."""
+        """Return whether the upstream's address refuses connections."""
         return self.connections.refuses_connections()
 
     def close(self) -> None:
-        """Close idle connections; calls that run are not touched."""
+        """Close idle connections; running calls are unaffected."""
         self.connections.close()
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
@@ -1,4 +1,4 @@
-"""Read the answer of an upstream piece by piece, and tell whether it is whole."""
+"""Read an upstream's answer piece by piece, and detect a truncated one."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -24,22 +24,22 @@
 
 
 class UpstreamPiece(NamedTuple):
-    """Be the next piece of an answer, as it goes on to the caller."""
+    """Hold a piece of an answer in the form in which the caller gets it."""
 
     sequence: int
     data: bytes
     tokens: int
-    """Output tokens in this piece; zero where the upstream doesn't count them."""
+    """Output tokens in this piece; 0 if the upstream doesn't count them."""
 
 
 class ChunkUsage(msgspec.Struct, frozen=True):
-    """Count the output tokens up to a chunk."""
+    """Count the output tokens up to and including a chunk."""
 
     completion_tokens: int = 0
 
 
 class EventChunk(msgspec.Struct, frozen=True):
-    """Be what matters to us of a chunk in the published shape."""
+    """Hold the fields used here of a chunk in the OpenAI format."""
 
     usage: ChunkUsage | None = None
     error: msgspec.Raw = msgspec.Raw()
@@ -50,7 +50,7 @@
 
 
 class UpstreamStream:
-    """Be an answer that is arriving; iterating ends only if it came whole."""
+    """Iterate over an arriving answer; raise `UpstreamLostError` if it is truncated."""
 
     def __init__(
         self,
@@ -65,13 +65,13 @@
         self.status = answer.response.status
         self.sequence = after
         self.delivered_tokens = delivered_tokens
-        """Output tokens before the next event; None where nobody knows."""
+        """Output tokens before the next event; None if unknown."""
         content_type = self.response.headers.get("Content-Type", "")
         self.is_event_stream = content_type.startswith(EVENT_STREAM)
 
     @property
     def headers(self) -> Headers:
-        """Return the headers that belong to the answer, not to the connection."""
+        """Return the headers of the answer without those of the connection."""
         return end_to_end_headers(tuple(self.response.headers.items()), frozenset())
 
     def __iter__(self) -> Iterator[UpstreamPiece]:
@@ -81,14 +81,14 @@
             else:
                 yield from self.read_body()
         except (HTTPError, OSError, ValueError, AttributeError) as error:
-            # Another thread that closes the stream makes a read fail in any of
-            # these ways; all mean that the end was not seen.
+            # Closing the stream from another thread makes a read fail with any of
+            # these; in each case the end of the answer was not read.
             raise self.lost(str(error) or type(error).__name__) from error
         finally:
             self.close()
 
     def read_events(self) -> Iterator[UpstreamPiece]:
-        """Yield events up to the final marker, or raise where there is none."""
+        """Yield events up to the final marker; raise if it is missing."""
         parser = EventParser()
         for data in self.response.stream(READ_BYTES, decode_content=False):
             for event in parser.feed(data):
@@ -99,7 +99,7 @@
         raise self.lost("the stream ended before its final marker")
 
     def accept_event(self, event: ServerSentEvent) -> bool:
-        """Take an event's number; false for one seen before, an error after a gap."""
+        """Advance to an event's number; return False for a repeat, raise on a gap."""
         number = int(event.event_id) if event.event_id else self.sequence + 1
         if number <= self.sequence:
             return False
@@ -109,13 +109,13 @@
         return True
 
     def to_piece(self, event: ServerSentEvent) -> UpstreamPiece:
-        """Return an event as a piece, with its output tokens counted."""
+        """Return an event as a piece with its count of output tokens."""
         tokens = 0 if event.data == DONE else self.count_tokens(event.data)
         lines = event.data.replace(b"\n", b"\ndata: ")
         return UpstreamPiece(self.sequence, b"data: %b\n\n" % lines, tokens)
 
     def count_tokens(self, data: bytes) -> int:
-        """Return the output tokens of a chunk; one where the engine doesn't count."""
+        """Return the output tokens of a chunk; at most 1 if the engine doesn't count."""
         try:
             chunk = CHUNK_DECODER.decode(data)
         except msgspec.MsgspecError as error:
@@ -130,14 +130,14 @@
         return 1 if before is None else max(0, self.delivered_tokens - before)
 
     def read_body(self) -> Iterator[UpstreamPiece]:
-        """Yield a body of known length, or one in chunks with a final marker."""
+        """Yield a body that has a length or is chunked."""
         self.check_framing()
         for data in self.response.stream(READ_BYTES, decode_content=False):
             self.sequence += 1
             yield UpstreamPiece(self.sequence, data, 0)
 
     def check_framing(self) -> None:
-        """Refuse a body whose end nobody could tell from a cut."""
+        """Raise if a body has no length or chunks, as a cut could not be detected."""
         headers = self.response.headers
         framed = "Content-Length" in headers or self.response.chunked
         bodiless = self.status in BODILESS_STATUSES
@@ -145,13 +145,13 @@
             raise self.lost("the answer has neither a length nor chunks")
 
     def is_head_answer(self) -> bool:
-        """Say whether the answer has no body because of the request's method."""
+        """Return whether the answer has no body because it answers a HEAD request."""
         return self.response.length_remaining == 0
 
     def lost(self, detail: str) -> UpstreamLostError:
-        """Return the error for an answer that is not whole."""
+        """Return the error for an incomplete answer."""
         return UpstreamLostError(STREAM_STEP, self.peer, detail)
 
     def close(self) -> None:
-        """Give the answer up, from any thread; a blocked read ends at once."""
+        """Close the answer, from any thread; a blocked read ends at once."""
         self.answer.close()
--- a/packages/weightstore/src/cowslipshelf_weightstore/__init__.py
+++ b/packages/weightstore/src/cowslipshelf_weightstore/__init__.py
@@ -1,4 +1,4 @@
-"""Ask the rate-limited weight store."""
+"""Provide a client for the rate-limited weight store."""
 
 from cowslipshelf_weightstore.errors import WeightStoreLostError
 from cowslipshelf_weightstore.internal.client import (
--- a/packages/weightstore/src/cowslipshelf_weightstore/errors.py
+++ b/packages/weightstore/src/cowslipshelf_weightstore/errors.py
@@ -1,8 +1,8 @@
-"""Define what can go wrong towards the weight store."""
+"""Define the errors of calls to the weight store."""
 
 
 class WeightStoreLostError(Exception):
-    """Report a weight store that was silent, cut a connection or can't be reached."""
+    """Report a timeout, a lost connection or an unreachable weight store."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step} at {peer}: {detail}")
--- a/packages/weightstore/src/cowslipshelf_weightstore/internal/__init__.py
+++ b/packages/weightstore/src/cowslipshelf_weightstore/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the weight store's client is made of."""
+"""Implement the weight store's client."""
--- a/packages/weightstore/src/cowslipshelf_weightstore/internal/client.py
+++ b/packages/weightstore/src/cowslipshelf_weightstore/internal/client.py
@@ -1,4 +1,4 @@
-"""Load weights from the store, under a grant."""
+"""Load weights from the weight store under a grant."""
 
 from hashlib import sha256
 from typing import NamedTuple, Self
@@ -21,17 +21,17 @@
 
 
 class WeightStoreClientConfig(NamedTuple):
-    """Say where the weight store is and how long to wait for it."""
+    """Configure the address and the timeouts of the client."""
 
     address: str
     """IP:port."""
     connect_seconds: float = 2.0
     silence_seconds: float = 30.0
-    """Longest time without a byte."""
+    """Timeout between bytes."""
 
 
 class WeightsLoaded(NamedTuple):
-    """Say that weights came whole."""
+    """Report that the weights were loaded completely."""
 
     bytes: int
     digest: str
@@ -39,13 +39,13 @@
 
 
 class LoadLimited(NamedTuple):
-    """Say that the store's rate limit is used up, and when to come back."""
+    """Report that the rate limit is exceeded, and when to retry."""
 
     retry_after_seconds: float
 
 
 class LoadRefused(NamedTuple):
-    """Say that the store refuses this load, now and later."""
+    """Report that the store refuses the load; a retry would be refused too."""
 
     status: int
     detail: str
@@ -55,7 +55,7 @@
 
 
 class WeightStoreClient:
-    """Ask the weight store for weights; it never asks twice by itself."""
+    """Load weights from the weight store, without retries."""
 
     def __init__(self, config: WeightStoreClientConfig) -> None:
         self.config = config
@@ -70,11 +70,11 @@
 
     @classmethod
     def from_config(cls, config: WeightStoreClientConfig) -> Self:
-        """Make a client; it connects when it is first used."""
+        """Create a client, which connects when it is first used."""
         return cls(config)
 
     def load(self, model: ModelName, version: str, grant: str) -> LoadResult:
-        """Load the weights of a version, under a grant of the control state."""
+        """Load the weights of a model version under a grant from the control state."""
         path = f"/weights/{quote(model, safe='')}/{quote(version, safe='')}"
         try:
             response = self.pool.request(
@@ -96,7 +96,7 @@
 
 
 def read_result(response: HTTPResponse) -> LoadResult:
-    """Read an answer to its end and say what it means."""
+    """Read an answer to its end and return the result."""
     try:
         if response.status == OK:
             return read_weights(response)
@@ -109,9 +109,9 @@
 
 
 def read_weights(response: HTTPResponse) -> WeightsLoaded:
-    """Read weights piece by piece; they are larger than a process's memory."""
-    # A connection that closes within the head leaves no length, or part of one; the
-    # weights would end with the connection, and nobody would know whether too early.
+    """Read weights in pieces, as they may exceed the process's memory."""
+    # If the connection closes within the head, the length is missing or truncated. The
+    # body would then end with the connection, and its truncation go undetected.
     if not response.headers.get("Content-Length", "").isdecimal():
         raise ProtocolError("the weights have no length")
     digest = sha256()
@@ -123,12 +123,12 @@
 
 
 def retry_after(text: str) -> float:
-    """Return the seconds that a header names, within reason."""
+    """Return the seconds in a Retry-After header, bounded."""
     try:
         seconds = float(text)
     except ValueError:
         return DEFAULT_RETRY_AFTER_SECONDS
-    # Also false for a value that is not a number, which no comparison admits.
+    # False for NaN as well.
     if 0.0 <= seconds <= MAX_RETRY_AFTER_SECONDS:
         return seconds
     return MAX_RETRY_AFTER_SECONDS
--- a/tests/common/upstreams.py
+++ b/tests/common/upstreams.py
@@ -1,4 +1,4 @@
-"""Share stand-ins, scripted peers and hand-overs between tests."""
+"""Provide stand-ins, scripted peers and hand-overs for tests."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -80,7 +80,7 @@
 
 
 def client_of(address: str, silence_seconds: float = 10.0) -> EngineClient:
-    """Return a client that gives up after some silence."""
+    """Return a client that gives up after `silence_seconds` without a byte."""
     url = f"http://{address}"
     return EngineClient.from_config(
         EngineClientConfig(url, silence_seconds=silence_seconds)
@@ -88,7 +88,7 @@
 
 
 def text_of(data: bytes) -> str:
-    """Return the output text of a streamed chunk, or of a whole answer."""
+    """Return the output text of a streamed chunk or of a non-streamed answer."""
     payload = data.removeprefix(b"data: ").strip()
     if payload == b"[DONE]":
         return ""
@@ -99,7 +99,7 @@
 
 @contextmanager
 def scripted_peer(script: Callable[[socket.socket], None]) -> Iterator[str]:
-    """Run a script for each connection, after its request's head has come."""
+    """Run `script` on each connection, after the first bytes of its request."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def play(connection: socket.socket) -> None:
--- a/tests/cover/upstreams/test_engine_client.py
+++ b/tests/cover/upstreams/test_engine_client.py
@@ -1,4 +1,4 @@
-"""Check what the engine client makes of an engine that fails."""
+"""Test the engine client against failing engines."""
 
 import socket
 from threading import Event, Thread
@@ -62,10 +62,9 @@
 @example(cut=len(ANSWER) - len(DONE))
 @example(cut=len(ANSWER))
 def test_an_answer_cut_at_any_byte_never_looks_whole(cut: int) -> None:
-    """An engine dies in mid-answer and the kernel closes its connection.
+    """An engine dies in the middle of an answer and the kernel closes its connection.
 
-    Without a check for the final marker the caller would take the part for the
-    whole.
+    Without a check for the final marker, the caller would accept a truncated answer.
     """
     with scripted_peer(lambda peer: peer.sendall(ANSWER[:cut])) as address:
         pieces, error = collect(address)
@@ -78,7 +77,7 @@
 
 @pytest.mark.parametrize("sent", [b"", HEAD, HEAD + event(1, "gate")])
 def test_a_silent_connection_is_given_up_at_every_step(sent: bytes) -> None:
-    """Something between the ends has lost track of an open connection."""
+    """A middlebox drops the state of an open connection, and no packet arrives."""
     release = Event()
 
     def hold(peer: socket.socket) -> None:
@@ -95,13 +94,13 @@
 
 
 def test_a_frozen_engine_is_silent_and_a_busy_one_is_not() -> None:
-    """An engine says nothing: it prefills a decade of letters, or it is dead."""
+    """An engine that sends no tokens has a long prefill to do, or is dead."""
     with running_engine() as server:
         client = client_of(server.address, SILENCE_SECONDS)
         patient = client_of(server.address, silence_seconds=20.0)
         server.injector.set(Faults(slow_factor=1e9))
         stream = patient.start(completion())
-        # What a busy engine sends while it has no token keeps the reader waiting.
+        # Keep-alive comments of a busy engine keep the reader from timing out.
         for _, comment in zip(range(3), stream.response.read_chunked(), strict=False):
             assert comment == b": keep-alive\n\n"
         stream.close()
@@ -116,10 +115,10 @@
 
 
 def test_a_frozen_engine_shows_long_before_the_deadline_of_a_whole_answer() -> None:
-    """An engine freezes while a caller waits for a whole answer within the hour.
+    """An engine freezes before a non-streamed answer with a deadline of an hour.
 
-    Such an answer has nothing to say until it is ready; asked for in one piece, its
-    silence would mean nothing and the caller would wait for the hour.
+    Nothing of such an answer is sent until it is complete. Without fetching it as a
+    stream, the caller would wait until the deadline.
     """
     errors = []
     with running_engine() as server:
@@ -141,7 +140,7 @@
 @steady
 @given(numbers=st.lists(st.integers(1, 4), max_size=6))
 def test_events_are_taken_once_each_and_a_gap_ends_the_answer(numbers) -> None:
-    """A resumed stream repeats events, or a proxy loses one."""
+    """A resumed stream repeats events, or a proxy drops one."""
     wire = HEAD + b"".join(event(number, f"{number}") for number in numbers)
     with scripted_peer(lambda peer: peer.sendall(wire)) as address:
         pieces, error = collect(address)
@@ -190,7 +189,7 @@
 
 
 def test_an_answer_without_length_or_chunks_is_not_taken_for_whole() -> None:
-    """A service ends its answer by closing; a cut would look the same."""
+    """An answer that ends with its connection looks the same if it is truncated."""
     wire = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\npaid 5"
     with scripted_peer(lambda peer: peer.sendall(wire)) as address:
         _, error = collect(address)
@@ -228,7 +227,7 @@
 
 
 def test_a_caller_cannot_speak_in_the_name_of_another_attempt() -> None:
-    """A caller sets the headers that steer an engine."""
+    """A caller sends the headers by which the client controls an engine."""
     with running_engine() as server:
         client = client_of(server.address)
         forged = (
--- a/tests/cover/upstreams/test_event_parser.py
+++ b/tests/cover/upstreams/test_event_parser.py
@@ -1,4 +1,4 @@
-"""Check that server-sent events survive being cut anywhere."""
+"""Test parsing server-sent events that are split anywhere."""
 
 import pytest
 from hypothesis import example, given
--- a/tests/cover/upstreams/test_plain_client.py
+++ b/tests/cover/upstreams/test_plain_client.py
@@ -1,4 +1,4 @@
-"""Check calls to plain services, some of which must not run twice."""
+"""Test calls to plain services, including calls that must not run twice."""
 
 import socket
 from hashlib import sha256
@@ -65,10 +65,10 @@
 
 
 def test_a_call_whose_answer_is_lost_is_not_sent_again(service) -> None:
-    """A payment runs, and the connection is cut before its answer.
+    """A payment runs, and the connection is lost before the answer.
 
-    A client that retries by itself would pay twice, so the call must be in the
-    service's list once and the error must say that it may have run.
+    A client with retries of its own would pay twice. So the service must list the call
+    once, and the error must say that it may have run.
     """
     service.injector.set(Faults(drop_before_answer=True))
     headers = (("Idempotency-Key", "payment-7"),)
@@ -98,10 +98,10 @@
 @steady
 @given(cut=st.integers(0, 100))
 def test_a_head_without_a_body_is_whole_only_with_its_last_line(cut: int) -> None:
-    """A service dies while it sends the head of an answer that has no body.
+    """A service dies while it sends the head of an answer without a body.
 
-    The standard library takes the cut for the end of the head, so the caller would
-    get an answer that lacks some headers, or has parts of them.
+    The standard library takes the cut for the end of the head, so the caller would get
+    missing or truncated headers.
     """
     wire = b"HTTP/1.1 204 No Content\r\nLocation: /payments/17\r\n\r\n"
     with scripted_peer(lambda peer: peer.sendall(wire[:cut])) as address:
--- a/tests/cover/weightstore/test_client.py
+++ b/tests/cover/weightstore/test_client.py
@@ -1,4 +1,4 @@
-"""Check what the weight store's client makes of its answers."""
+"""Test how the weight store's client handles the store's answers."""
 
 import socket
 from hashlib import sha256
