--- a/packages/standins/src/cowslipshelf_standins/__init__.py
+++ b/packages/standins/src/cowslipshelf_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for model engines, plain services and the weight store."""
+"""Provide stand-ins for model engines, plain services and the weight store."""
--- a/packages/standins/src/cowslipshelf_standins/__main__.py
+++ b/packages/standins/src/cowslipshelf_standins/__main__.py
@@ -26,7 +26,7 @@
 
 
 class Ready(msgspec.Struct, frozen=True):
-    """Tell where the stand-ins of this process listen."""
+    """Report the addresses at which this process's stand-ins listen."""
 
     kind: str
     address: str
@@ -60,12 +60,12 @@
 
 
 def parse_bool(text: str) -> bool:
-    """Read a truth value."""
+    """Return whether a flag's value means true."""
     return text.lower() in TRUE_WORDS
 
 
 def start_servers(arguments: Namespace) -> list[StandInServer]:
-    """Start the stand-ins that the arguments ask for."""
+    """Start the stand-ins that the arguments describe."""
     server_type, config_type = SERVERS[arguments.kind]
     values = {name: getattr(arguments, name) for name in config_type._fields}
     values = {n: tuple(v) if isinstance(v, list) else v for n, v in values.items()}
@@ -75,7 +75,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run stand-ins until a signal ends the process."""
+    """Run stand-ins until SIGINT or SIGTERM."""
     parsed = build_parser().parse_args(arguments)
     ended = Event()
     for number in (SIGINT, SIGTERM):
--- a/packages/standins/src/cowslipshelf_standins/internal/__init__.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the stand-ins are made of."""
+"""Implement the stand-ins."""
--- a/packages/standins/src/cowslipshelf_standins/internal/attempts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/attempts.py
@@ -1,4 +1,4 @@
-"""Hold the attempts of an engine and what each has generated."""
+"""Define an engine's attempts and their progress."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class AttemptState(Enum):
-    """Say how far an attempt is."""
+    """Define the states of an attempt."""
 
     QUEUED = "queued"
     PREFILLING = "prefilling"
@@ -19,53 +19,54 @@
 
 
 class EventReader(Protocol):
-    """Be what wants to know of an attempt's fresh events."""
+    """Receive notice of an attempt's new events."""
 
     def push(self) -> None:
-        """Take fresh events without blocking."""
+        """Handle new events without blocking."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """Be one attempt that the engine holds."""
+    """Hold one attempt of the engine."""
 
     attempt_id: str
     completion_id: str
     prompt: Prompt
     priority: int
     resume_from: int
-    """Output tokens that an earlier attempt has delivered."""
+    """Output tokens that earlier attempts delivered."""
     range_start: int
     range_end: int
-    """Prompt tokens from `range_start` up to here are this engine's part."""
+    """This engine prefills the prompt tokens from `range_start` up to here."""
     imported_tokens: int
-    """Tokens of its part whose KV cache was imported by reference."""
+    """Tokens of the range whose KV cache was imported by reference."""
     arrival: int
     state: AttemptState = AttemptState.QUEUED
     position: int = 0
-    """Prompt tokens, resumed output included, that need no more prefill."""
+    """Tokens of the prompt and the resumed output that need no more prefill."""
     generated: int = 0
-    """Output tokens so far, those of earlier attempts included."""
+    """Output tokens so far, including those of earlier attempts."""
     reserved_tokens: int = 0
     ended_at: float = 0.0
     event_ends: list[int] = field(default_factory=list)
+    """Output tokens after each event."""
     ended_event: Event = field(default_factory=Event)
     readers: list[EventReader] = field(default_factory=list)
 
     @property
     def is_prefill_only(self) -> bool:
-        """Say whether this only prefills a part of the prompt, for export."""
+        """Return whether the attempt only prefills a part of the prompt, for export."""
         return self.range_end < self.prompt.tokens
 
     @property
     def needed_tokens(self) -> int:
-        """Return the memory that the attempt takes while it runs."""
+        """Return the memory that the attempt needs while it runs, in tokens."""
         own = self.range_end - self.range_start - self.imported_tokens
         return own if self.is_prefill_only else own + self.prompt.max_output_tokens
 
     @property
     def prefill_end(self) -> int:
-        """Return the position at which prefill is done."""
+        """Return the position at which prefill is complete."""
         return (
             self.range_end
             if self.is_prefill_only
@@ -74,11 +75,11 @@
 
     @property
     def ended(self) -> bool:
-        """Say whether nothing more will be generated."""
+        """Return whether the attempt finished or was cancelled."""
         return self.state in (AttemptState.FINISHED, AttemptState.CANCELLED)
 
     def publish(self, state: AttemptState, generated: int) -> None:
-        """Put new progress in place; who waits for the end is woken at the end."""
+        """Set the progress; at the end, wake the threads that wait for it."""
         if generated > self.generated:
             self.event_ends.append(generated)
         self.generated = generated
--- a/packages/standins/src/cowslipshelf_standins/internal/batching.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/batching.py
@@ -1,4 +1,4 @@
-"""Batch attempts continuously: admit, prefill in chunks, decode one token a step."""
+"""Simulate continuous batching with chunked prefill."""
 
 from operator import attrgetter
 
@@ -9,11 +9,11 @@
 SERVING_ORDER = attrgetter("priority", "arrival")
 
 Progress = dict[Attempt, int]
-"""Output tokens that each attempt has after some steps, not yet readable."""
+"""Output tokens of each attempt after some steps, not yet published."""
 
 
 class Batch:
-    """Hold the attempts that wait and run, and the memory that they reserve."""
+    """Hold the waiting and the running attempts, and the reserved memory."""
 
     def __init__(self, config: EngineConfig, cache: PrefixCache) -> None:
         self.config = config
@@ -24,11 +24,11 @@
         self.reserved_tokens = 0
 
     def has_work(self) -> bool:
-        """Say whether there is anything to run."""
+        """Return whether any attempt waits or runs."""
         return bool(self.waiting or self.prefilling or self.decoding)
 
     def queue_is_full_for(self, attempt: Attempt) -> bool:
-        """Say whether an attempt would have to wait and the queue has no place."""
+        """Return whether an attempt would have to wait and the queue is full."""
         ahead = sum(other.needed_tokens for other in self.waiting)
         free = self.config.memory_tokens - self.reserved_tokens - ahead
         must_wait = attempt.needed_tokens > free
@@ -37,7 +37,7 @@
     def admit(self) -> None:
         """Move waiting attempts into the batch, in serving order, while they fit.
 
-        The first that does not fit holds back all after it; else a stream of small
+        The first that does not fit blocks all after it; otherwise a stream of small
         ones would starve it.
         """
         self.waiting.sort(key=SERVING_ORDER)
@@ -50,35 +50,35 @@
             running += 1
 
     def begin_prefill(self, attempt: Attempt) -> None:
-        """Reserve memory and skip what is cached or held elsewhere."""
+        """Reserve memory, and skip the tokens that are cached or imported."""
         attempt.reserved_tokens = attempt.needed_tokens
         self.reserved_tokens += attempt.reserved_tokens
         cached = self.cache.cached_tokens(attempt.prompt.block_hashes)
         imported_end = attempt.range_start + attempt.imported_tokens
-        # At least one token is always computed; its result begins the answer.
+        # The last token is always computed: the first output token depends on it.
         max_skipped = attempt.range_end - 1
         attempt.position = min(max(cached, imported_end), max_skipped)
         attempt.state = AttemptState.PREFILLING
         self.prefilling.append(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        """Take an attempt out, wherever it is, and free its memory."""
+        """Remove an attempt in any state, and free its memory."""
         for members in (self.waiting, self.prefilling, self.decoding):
             if attempt in members:
                 members.remove(attempt)
         self.free(attempt)
 
     def free(self, attempt: Attempt) -> None:
-        """Give back an attempt's memory, once."""
+        """Release an attempt's memory; a second call has no effect."""
         self.reserved_tokens -= attempt.reserved_tokens
         attempt.reserved_tokens = 0
 
     def run_tick(self, scale: float) -> tuple[float, Progress]:
         """Run steps until they fill a tick; return its scaled seconds and tokens.
 
-        One wake-up covers several short steps, so that a scaled-down engine costs no
-        more processor time than its readers do. A finished prefill ends the tick, so
-        that first tokens come on time.
+        One wake-up covers several short steps, so that an engine with a small time
+        scale uses no more CPU time than its readers. A finished prefill ends the tick,
+        so that first tokens are on time.
         """
         seconds = 0.0
         progress: Progress = {}
@@ -92,7 +92,7 @@
         return seconds, progress
 
     def run_step(self, progress: Progress) -> float:
-        """Run one step; return its seconds before scaling."""
+        """Run one step; return its duration in seconds, before scaling."""
         seconds = decode_seconds(self.config, len(self.decoding))
         seconds += prefill_step(self.config, self.prefilling)
         for attempt in self.decoding:
@@ -112,7 +112,7 @@
 
 
 def is_done(attempt: Attempt, generated: int) -> bool:
-    """Say whether an attempt has generated all its output."""
+    """Return whether an attempt has generated all its output."""
     return generated >= attempt.prompt.max_output_tokens
 
 
@@ -124,7 +124,7 @@
 
 
 def decode_seconds(config: EngineConfig, decoders: int) -> float:
-    """Return the seconds in which each of a batch's decoders gets one token."""
+    """Return the seconds of one decode step of `decoders` attempts."""
     if not decoders:
         return 0.0
     slow_down = 1.0 + config.batch_slow_down * (decoders - 1)
@@ -132,7 +132,7 @@
 
 
 def prefill_step(config: EngineConfig, prefilling: list[Attempt]) -> float:
-    """Spend one step's prefill budget in serving order; return its seconds."""
+    """Prefill one step's chunk in serving order; return its seconds."""
     budget = config.prefill_chunk_tokens
     seconds = 0.0
     for attempt in sorted(prefilling, key=SERVING_ORDER):
--- a/packages/standins/src/cowslipshelf_standins/internal/engine.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine.py
@@ -1,4 +1,4 @@
-"""Run attempts tick by tick and keep what they generated."""
+"""Simulate a model engine that runs attempts in ticks."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 
 
 class Engine:
-    """Be one model engine; `changed` guards all of its state."""
+    """Simulate one model engine; `lock` guards all of its state."""
 
     def __init__(
         self, config: EngineConfig, injector: FaultInjector, loop: EngineLoop
@@ -57,7 +57,7 @@
         self.pending_progress: Progress = {}
 
     def advance(self, now: float) -> float | None:
-        """Deliver the tick that has completed and begin the next, if there is work."""
+        """Publish the completed tick's tokens; start the next tick if there is work."""
         if self.injector.faults.freeze:
             return now + FROZEN_POLL_SECONDS
         completed = self.pending_progress
@@ -71,24 +71,24 @@
         return self.due if has_more else None
 
     def schedule(self) -> None:
-        """Have the loop run this engine, if it does not yet."""
+        """Add this engine to the loop unless it is there already."""
         if not self.scheduled:
             self.scheduled = True
             self.due = monotonic()
             self.loop.schedule(self, self.due)
 
     def scale(self) -> float:
-        """Return the real seconds for one second of the engine."""
+        """Return the real seconds per second of the engine."""
         return self.config.time_scale * self.injector.faults.slow_factor
 
     def stop(self) -> None:
-        """End the scheduler and every attempt."""
+        """Stop running, and cancel every attempt."""
         self.stopped = True
         for attempt_id in list(self.attempts):
             self.cancel(attempt_id)
 
     def deliver(self, progress: Progress) -> None:
-        """Make a tick's tokens readable and end the attempts that are done."""
+        """Publish a tick's tokens and finish the attempts that are done."""
         now = monotonic()
         for attempt, generated in progress.items():
             if attempt.ended:
@@ -102,7 +102,7 @@
         self.record_load()
 
     def cache_prompt(self, attempt: Attempt, now: float) -> None:
-        """Cache the blocks of a prefilled prompt that are all here."""
+        """Cache a prefilled prompt's blocks, unless some of it is on other engines."""
         if attempt.range_start or attempt.imported_tokens:
             return
         blocks = attempt.range_end // TOKENS_PER_BLOCK
@@ -110,14 +110,14 @@
         self.cache.store(hashes, attempt.attempt_id, now)
 
     def finish(self, attempt: Attempt, generated: int, now: float) -> None:
-        """End an attempt whole; a part keeps its memory until it is deleted."""
+        """Finish an attempt; one that only prefills keeps its memory until deleted."""
         attempt.ended_at = now
         if not attempt.is_prefill_only:
             self.batch.free(attempt)
         attempt.publish(AttemptState.FINISHED, generated)
 
     def submit(self, prompt: Prompt, options: StartOptions) -> Attempt:
-        """Take an attempt in, or raise `BadRequestError`."""
+        """Queue an attempt, or raise `BadRequestError`."""
         with self.lock:
             self.remove_expired()
             self.check_start(prompt, options)
@@ -133,7 +133,7 @@
             return attempt
 
     def check_start(self, prompt: Prompt, options: StartOptions) -> None:
-        """Refuse a start that repeats an attempt or asks for what is not there."""
+        """Refuse a repeated attempt, an unknown model and an impossible resume."""
         attempt_id = options.attempt_id
         if attempt_id in self.attempts or attempt_id in self.ended_ids:
             raise BadRequestError(409, "duplicate_attempt", f"{attempt_id} is known")
@@ -143,7 +143,7 @@
             raise BadRequestError(400, "bad_request", "nothing is left to resume")
 
     def new_attempt(self, prompt: Prompt, options: StartOptions) -> Attempt:
-        """Make the record of an attempt."""
+        """Create an attempt."""
         start = options.range_start
         end = prompt.tokens if options.range_end is None else options.range_end
         if not 0 <= start < end <= prompt.tokens:
@@ -166,7 +166,7 @@
         )
 
     def cancel(self, attempt_id: str) -> bool:
-        """Cancel or forget an attempt and free its memory; say if it was known."""
+        """Cancel or delete an attempt and free its memory; return if it was known."""
         with self.lock:
             attempt = self.attempts.get(attempt_id)
             if attempt is None:
@@ -179,7 +179,7 @@
         return True
 
     def remove(self, attempt: Attempt) -> None:
-        """Drop an attempt, but keep its id so that a late copy is refused."""
+        """Remove an attempt, but keep its id to refuse a delayed duplicate."""
         del self.attempts[attempt.attempt_id]
         self.batch.remove(attempt)
         self.ended_ids[attempt.attempt_id] = None
@@ -187,14 +187,14 @@
             self.ended_ids.popitem(last=False)
 
     def remove_expired(self) -> None:
-        """Drop answers that nobody has deleted in the retention time."""
+        """Remove ended attempts after the retention time."""
         oldest = monotonic() - self.config.retention_seconds
         for attempt in list(self.attempts.values()):
             if attempt.ended and attempt.ended_at < oldest:
                 self.remove(attempt)
 
     def inventory(self) -> Inventory:
-        """List every attempt with the memory it holds."""
+        """Return every attempt with the memory it holds."""
         with self.lock:
             self.remove_expired()
             held = [
@@ -204,7 +204,7 @@
         return Inventory(tuple(held))
 
     def record_load(self) -> None:
-        """Note the load of this moment for those who ask later."""
+        """Record the current load for later reads."""
         batch = self.batch
         started = sum(a.prefill_end - a.position for a in batch.prefilling)
         waiting = sum(a.prefill_end for a in batch.waiting)
@@ -219,12 +219,12 @@
         self.load.record(load, monotonic())
 
     def read_load(self) -> EngineLoad:
-        """Return the load as it was one lag ago."""
+        """Return the load as it was `load_lag_seconds` ago."""
         with self.lock:
             return self.load.read(monotonic())
 
     def cache_events(self, after: int) -> CacheEvents:
-        """Return the cache events after a sequence number that may be shown."""
+        """Return the visible cache events after a sequence number."""
         with self.lock:
             return self.cache.events_after(after, monotonic())
 
@@ -242,7 +242,7 @@
             return KvPart(handle, attempt.prompt.seed, start, end)
 
     def run_order(self, order: OrderBody) -> bool:
-        """Carry an order out, or refuse an old number where numbers are checked."""
+        """Run an order; refuse an old fencing number if `checks_fencing` is set."""
         with self.lock:
             if not self.orders.accept(order):
                 return False
@@ -254,7 +254,7 @@
 
 
 def push_to_readers(attempts: Iterable[Attempt]) -> None:
-    """Hand fresh events to whoever reads them; none may block the engine."""
+    """Push new events to the readers, none of which may block."""
     for attempt in attempts:
         for reader in tuple(attempt.readers):
             reader.push()
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_documents.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_documents.py
@@ -1,10 +1,10 @@
-"""Describe what an engine is asked and answers, besides completions."""
+"""Define the documents of an engine, other than completions."""
 
 import msgspec
 
 
 class HeldAttempt(msgspec.Struct, frozen=True):
-    """Say what memory one attempt holds."""
+    """Describe an attempt and the memory it holds, in tokens."""
 
     attempt_id: str
     tokens: int
@@ -12,13 +12,13 @@
 
 
 class Inventory(msgspec.Struct, frozen=True):
-    """List the attempts that an engine knows, ended ones included."""
+    """List the attempts that an engine knows, including ended ones."""
 
     held: tuple[HeldAttempt, ...]
 
 
 class StartOptions(msgspec.Struct, frozen=True):
-    """Be what the headers of a start say."""
+    """Hold the headers of a request that starts an attempt."""
 
     attempt_id: str
     completion_id: str
@@ -30,7 +30,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """Name one model in the published shape."""
+    """Describe a model in the OpenAI format."""
 
     id: str
     object: str = "model"
@@ -38,13 +38,13 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """List models in the published shape."""
+    """List models in the OpenAI format."""
 
     data: tuple[ModelEntry, ...]
     object: str = "list"
 
 
 class Cancelled(msgspec.Struct, frozen=True):
-    """Answer a cancellation."""
+    """Answer a cancel request."""
 
     cancelled: bool
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
@@ -1,4 +1,4 @@
-"""Serve an engine over HTTP."""
+"""Serve an engine stand-in over HTTP."""
 
 from functools import cache
 from typing import Self
@@ -36,13 +36,13 @@
 
 
 class EngineHandler(StandInHandler):
-    """Answer the engine's paths."""
+    """Handle the requests to an engine."""
 
     server: "EngineServer"
 
     @property
     def engine(self) -> Engine:
-        """Return the engine that this connection speaks to."""
+        """Return the engine that this connection belongs to."""
         return self.server.engine
 
     def respond(self, body: bytes) -> None:
@@ -80,11 +80,11 @@
                 raise BadRequestError(404, "not_found", f"no path {self.path}")
 
     def query_number(self, name: str) -> int:
-        """Return a number from the query; zero where it is missing."""
+        """Return a number from the query; 0 if it is missing."""
         return int(parse_qs(self.query).get(name, ["0"])[0])
 
     def start(self, body: bytes, chat: bool) -> None:
-        """Start an attempt and answer as it generates."""
+        """Start an attempt; stream its events or send the complete answer."""
         prompt = prompt_from_body(body, chat)
         attempt = self.engine.submit(prompt, self.start_options())
         if prompt.stream:
@@ -93,7 +93,7 @@
             self.answer_whole(attempt)
 
     def start_options(self) -> StartOptions:
-        """Read the headers that tell how to run an attempt."""
+        """Parse the headers of a request that starts an attempt."""
         headers = self.headers
         attempt_id = headers.get("X-Attempt-Id") or uuid4().hex
         start, _, end = headers.get("X-Token-Range", "0-").partition("-")
@@ -110,7 +110,7 @@
         )
 
     def resume(self, attempt_id: str) -> None:
-        """Stream an attempt's events after the last one that was seen."""
+        """Stream an attempt's events after `Last-Event-ID`."""
         attempt = self.engine.attempts.get(attempt_id)
         if attempt is None:
             raise BadRequestError(404, "unknown_attempt", f"no attempt {attempt_id}")
@@ -121,7 +121,7 @@
         self.stream(attempt, after)
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt, or only say so while that fault is in play."""
+        """Cancel an attempt; under the fault `lose_cancel` only answer so."""
         if self.server.injector.faults.lose_cancel:
             self.answer_json(200, Cancelled(True))
             return
@@ -129,13 +129,13 @@
         self.answer_json(200 if known else 404, Cancelled(known))
 
     def run_order(self, order: OrderBody) -> None:
-        """Carry an order out, or refuse it as old."""
+        """Run an order, or refuse it for an old fencing number."""
         accepted = self.engine.run_order(order)
         newest = self.engine.orders.newest_fencing
         self.answer_json(200 if accepted else 409, OrderAnswer(accepted, newest))
 
     def answer_whole(self, attempt: Attempt) -> None:
-        """Answer with the whole output once it is there."""
+        """Send the complete answer once the attempt has finished."""
         attempt.ended_event.wait()
         if attempt.state is AttemptState.CANCELLED:
             raise StreamCutError("the attempt was cancelled")
@@ -144,7 +144,7 @@
         )
 
     def stream(self, attempt: Attempt, after: int) -> None:
-        """Stream events after a sequence number; cut the stream if cancelled."""
+        """Stream events after a sequence number; cut the stream on a cancel."""
         self.begin_stream(EVENT_STREAM_HEADERS)
         writer = EventWriter(self.connection, attempt, after, self.server.injector)
         attempt.readers.append(writer)
@@ -155,7 +155,7 @@
 
 
 class EngineServer(StandInServer):
-    """Be one engine stand-in that listens."""
+    """Serve one engine stand-in."""
 
     def __init__(
         self, listen_address: str, config: EngineConfig, loop: EngineLoop
@@ -167,18 +167,18 @@
     def from_config(
         cls, config: EngineConfig, listen_address: str = "127.0.0.1:0"
     ) -> Self:
-        """Make an engine that listens but does not serve yet."""
+        """Create an engine that listens but does not serve yet."""
         return cls(listen_address, config, process_loop())
 
     def stop(self) -> None:
-        """Stop serving and end the engine."""
+        """Stop serving and stop the engine."""
         super().stop()
         self.engine.stop()
 
 
 @cache
 def process_loop() -> EngineLoop:
-    """Return the loop that all engines of this process share."""
+    """Return the loop shared by all engines of this process."""
     loop = EngineLoop()
     loop.start()
     return loop
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
@@ -1,7 +1,7 @@
 """Run all engines of a process on one thread.
 
-Threads of their own would hand the interpreter's lock back and forth at every write to
-a socket, and wait for it longer than they work.
+With a thread each, the engines would pass the GIL back and forth at every socket write,
+and wait for it longer than they work.
 """
 
 from heapq import heappop, heappush
@@ -12,14 +12,14 @@
 
 
 class Schedulable(Protocol):
-    """Be something that has to be run at certain moments."""
+    """Run at times that it chooses."""
 
     def advance(self, now: float) -> float | None:
-        """Do what is due; return the next moment, or none while there is no work."""
+        """Do the due work; return the time of the next run, or None if idle."""
 
 
 class EngineLoop:
-    """Run each engine when it is due, and sleep while none is."""
+    """Run each engine when it is due."""
 
     def __init__(self) -> None:
         self.changed = Condition()
@@ -27,18 +27,18 @@
         self.tie_breaker = count()
 
     def start(self) -> None:
-        """Run on a thread of its own."""
+        """Start the loop on a daemon thread."""
         Thread(target=self.run, daemon=True).start()
 
     def schedule(self, engine: Schedulable, at: float) -> None:
-        """Run an engine at a moment; the caller sees to it that it is in here once."""
+        """Schedule a run; the caller must not schedule an engine twice."""
         with self.changed:
             heappush(self.due, (at, next(self.tie_breaker), engine))
             if self.due[0][2] is engine:
                 self.changed.notify()
 
     def run(self) -> None:
-        """Run whoever is due next, for as long as the process lives."""
+        """Run the engines that are due, until the process exits."""
         while True:
             engine = self.next_engine()
             again = engine.advance(monotonic())
@@ -46,7 +46,7 @@
                 self.schedule(engine, again)
 
     def next_engine(self) -> Schedulable:
-        """Wait for the next engine to be due."""
+        """Wait until an engine is due, and return it."""
         with self.changed:
             while True:
                 wait = self.due[0][0] - monotonic() if self.due else None
--- a/packages/standins/src/cowslipshelf_standins/internal/event_stream.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_stream.py
@@ -1,4 +1,4 @@
-"""Write answers in the published OpenAI shapes."""
+"""Encode answers in the OpenAI format."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Count tokens so far, those of earlier attempts included."""
+    """Count the tokens so far, including those of earlier attempts."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -20,14 +20,14 @@
 
 
 class ChatDelta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Be a piece of a chat message, or all of it."""
+    """Hold a piece of a chat message, or all of it."""
 
     content: str
     role: str | None = None
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """Be a piece of a completion, or all of it."""
+    """Hold a piece of a completion, or all of it."""
 
     text: str
     index: int = 0
@@ -35,7 +35,7 @@
 
 
 class ChatDeltaChoice(msgspec.Struct, frozen=True):
-    """Be a piece of a chat completion."""
+    """Hold a piece of a chat completion."""
 
     delta: ChatDelta
     index: int = 0
@@ -43,7 +43,7 @@
 
 
 class ChatChoice(msgspec.Struct, frozen=True):
-    """Be a whole chat completion."""
+    """Hold a complete chat completion."""
 
     message: ChatDelta
     index: int = 0
@@ -51,7 +51,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Be an answer or one chunk of it."""
+    """Hold an answer, or one chunk of it."""
 
     id: str
     object: str
@@ -62,7 +62,7 @@
 
 
 def answer_event(attempt: Attempt, sequence: int) -> bytes:
-    """Return the event with a sequence number, as it goes over the wire."""
+    """Return the encoded event with a sequence number."""
     first = attempt.tokens_before(sequence - 1)
     last = attempt.event_ends[sequence - 1]
     answer = build_answer(attempt, first, last, whole=False)
@@ -70,7 +70,7 @@
 
 
 def whole_answer(attempt: Attempt) -> bytes:
-    """Return the whole answer of a finished attempt."""
+    """Return the encoded non-streamed answer of a finished attempt."""
     last = attempt.generated
     return msgspec.json.encode(build_answer(attempt, attempt.resume_from, last, True))
 
--- a/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
@@ -1,9 +1,8 @@
-"""Write an attempt's events to a connection as soon as they are there.
+"""Write an attempt's events to a connection as soon as they exist.
 
-A thread that is woken for every event costs several times the processor time of the
-write itself. So the scheduler writes fresh events straight to the socket, without ever
-blocking, and the connection's own thread only writes comments and what a slow reader
-has not taken yet.
+Waking a thread for every event costs several times the CPU time of the write itself. So
+the scheduler's thread writes new events to the socket without blocking, and the
+connection's thread only writes comments and what a slow reader has not yet taken.
 """
 
 import socket
@@ -22,11 +21,11 @@
 
 
 class StreamCutError(OSError):
-    """Report a stream that must end without its final marker."""
+    """Report a stream that is cut before its final marker."""
 
 
 class EventWriter:
-    """Be one reader's connection to an attempt's events."""
+    """Write an attempt's events to one connection."""
 
     def __init__(
         self, sock: socket.socket, attempt: Attempt, after: int, injector: FaultInjector
@@ -44,9 +43,9 @@
         self.cut = False
 
     def push(self) -> None:
-        """Write fresh events without blocking; called by the scheduler's thread."""
-        # The connection's thread may hold the lock for long, with a slow reader. It
-        # looks for fresh events after it has released it, so none is forgotten.
+        """Write new events without blocking; called on the scheduler's thread."""
+        # With a slow reader, the connection's thread may hold the lock for long. It
+        # checks for new events after it has released the lock, so none is missed.
         if not self.lock.acquire(blocking=False):
             return
         try:
@@ -59,7 +58,7 @@
             self.wake.set()
 
     def send_available(self) -> None:
-        """Send what the socket takes at once."""
+        """Send what the socket accepts without blocking."""
         try:
             sent = self.sock.send(self.unsent, socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -71,8 +70,8 @@
         self.last_write = monotonic()
 
     def append_new_events(self) -> None:
-        """Add what is new to what has to be sent."""
-        # The state is read first: once it says finished, all events are there.
+        """Append new events to the unsent bytes."""
+        # Read the state first: all events exist once it is FINISHED.
         state = self.attempt.state
         last = len(self.attempt.event_ends)
         events = [
@@ -92,14 +91,14 @@
             self.ended = True
 
     def events_before_cut(self, events: list[bytes]) -> list[bytes]:
-        """Return the events that come before a cut, where that fault is in play."""
+        """Return the events that the fault `drop_after_events` lets through."""
         limit = self.injector.faults.drop_after_events
         if limit is None:
             return events
         return events[: max(0, limit - self.events_sent)]
 
     def run(self, keep_alive_seconds: float) -> None:
-        """Serve the connection's thread until the stream ends or must be cut."""
+        """Run on the connection's thread until the stream ends or is cut."""
         while not (self.ended and not self.unsent):
             self.injector.wait_while_frozen()
             self.wake.clear()
@@ -110,7 +109,7 @@
             raise StreamCutError("the stream is cut")
 
     def write_all(self, keep_alive_seconds: float) -> None:
-        """Write everything there is, or a comment after a quiet time."""
+        """Write all unsent bytes, or a comment after `keep_alive_seconds` without."""
         with self.lock:
             if not self.ended:
                 self.append_new_events()
@@ -123,10 +122,10 @@
                 self.last_write = monotonic()
 
     def has_unsent_events(self) -> bool:
-        """Say whether there is something that was not yet sent."""
+        """Return whether there is anything that was not yet sent."""
         return self.attempt.ended or len(self.attempt.event_ends) > self.sequence
 
 
 def chunk(data: bytes) -> bytes:
-    """Return data as one chunk of an HTTP answer."""
+    """Encode data as one chunk of a chunked HTTP answer."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/packages/standins/src/cowslipshelf_standins/internal/generation.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/generation.py
@@ -12,12 +12,12 @@
 
 
 def token_text(seed: int, index: int) -> str:
-    """Return the output token at an index, counted from zero."""
+    """Return the output token at a 0-based index."""
     mixed = (seed ^ ((index + 1) * MIX_MULTIPLIER)) & MIX_MASK
     mixed = (mixed * MIX_MULTIPLIER) & MIX_MASK
     return " " + WORDS[(mixed >> MIX_SHIFT) % len(WORDS)]
 
 
 def generate(seed: int, first: int, last: int) -> str:
-    """Return the output from token `first` up to, not including, token `last`."""
+    """Return the output from token `first` up to but excluding token `last`."""
     return "".join([token_text(seed, index) for index in range(first, last)])
--- a/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
@@ -1,4 +1,4 @@
-"""Serve HTTP for stand-ins: one thread a connection, JSON, chunked streams."""
+"""Serve HTTP for stand-ins, with one thread per connection."""
 
 import os
 import sys
@@ -18,14 +18,14 @@
 FAULTS_PATH = "/_faults"
 WRITE_BUFFER_BYTES = 65_536
 SEGFAULT_EXIT_CODE = 139
-"""Exit code of a process that a signal for bad memory ended, as shells show it."""
+"""Exit code that a shell reports for a process ended by SIGSEGV."""
 SHUTDOWN_POLL_SECONDS = 1.0
-"""Rare, so that idle stand-ins cost nothing."""
+"""Long, so that idle stand-ins use hardly any CPU time."""
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Be the inner part of an error in the published shape."""
+    """Hold the details of an error in the OpenAI format."""
 
     message: str
     type: str
@@ -33,13 +33,13 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """Be an error in the published shape."""
+    """Hold an error in the OpenAI format."""
 
     error: ErrorBody
 
 
 class BadRequestError(Exception):
-    """Report a request that the stand-in can't read, with the status to answer."""
+    """Report a refused request with the HTTP status of the answer."""
 
     def __init__(
         self, status: int, code: str, message: str, retry_after: float = 1.0
@@ -51,7 +51,7 @@
 
 
 class StandInHandler(BaseHTTPRequestHandler, ABC):
-    """Read one request after another and hand each to `respond`."""
+    """Read a connection's requests and pass each to `respond`."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -59,16 +59,16 @@
     server: "StandInServer"
 
     def log_message(self, format: str, *args: Any) -> None:  # noqa: A002
-        """Stay silent; tests read answers, not logs."""
+        """Log nothing; tests read answers, not logs."""
 
     def __getattr__(self, name: str) -> Any:
-        """Serve every method the same way, whatever its name."""
+        """Serve all HTTP methods with `serve_request`."""
         if name.startswith("do_"):
             return self.serve_request
         raise AttributeError(name)
 
     def serve_request(self) -> None:
-        """Answer one request under the faults in play."""
+        """Answer one request under the active faults."""
         injector = self.server.injector
         try:
             body = self.read_body()
@@ -85,11 +85,11 @@
         except (msgspec.MsgspecError, ValueError) as error:
             self.answer_error(BadRequestError(400, "bad_request", str(error)))
         except OSError:
-            # The peer is gone; what it asked for goes on without it.
+            # The connection is lost; the work that was requested continues.
             self.close_connection = True
 
     def crash_if_matched(self, body: bytes) -> None:
-        """End as a process that crashes does, under a body that is to end it."""
+        """Exit as after a crash if the body contains the text of the fault `end_on`."""
         text = self.server.injector.faults.end_on
         if text is not None and text.encode() in body:
             os._exit(SEGFAULT_EXIT_CODE)
@@ -106,7 +106,7 @@
 
     @abstractmethod
     def respond(self, body: bytes) -> None:
-        """Answer a request that no fault has stopped."""
+        """Answer a request."""
 
     def read_body(self) -> bytes:
         """Return the whole body of the request."""
@@ -124,24 +124,24 @@
             raise self.unread_body_error(413, "too_large", "the body is too large")
         body = self.rfile.read(length)
         if len(body) < length:
-            raise ConnectionResetError("the body was cut")
+            raise ConnectionResetError("the request body is truncated")
         return body
 
     def unread_body_error(
         self, status: int, code: str, message: str
     ) -> BadRequestError:
-        """Return the error for a body left unread; its connection can't go on."""
+        """Return the error for an unread body, and close its connection."""
         self.close_connection = True
         return BadRequestError(status, code, message)
 
     def answer_faults(self, body: bytes) -> None:
-        """Set the faults in play where a body is given, and show them."""
+        """Set the active faults if there is a body, and return them."""
         if body:
             self.server.injector.set(msgspec.json.decode(body, type=Faults))
         self.answer_json(200, self.server.injector.faults)
 
     def answer_error(self, error: BadRequestError) -> None:
-        """Answer an error in the published shape."""
+        """Answer with an error in the OpenAI format."""
         kind = "server_error" if error.status >= 500 else "invalid_request_error"
         answer = ErrorAnswer(ErrorBody(str(error), kind, error.code))
         retry_after = str(ceil(error.retry_after))
@@ -168,7 +168,7 @@
             self.send_header(name, value)
         self.send_header("Content-Length", str(len(body)))
         if self.close_connection:
-            # Else a client may send its next request into the closing connection.
+            # Otherwise a client may send its next request on the closing connection.
             self.send_header("Connection", "close")
         self.end_headers()
         if self.command != "HEAD":
@@ -186,7 +186,7 @@
 
 
 class StandInServer(ThreadingHTTPServer):
-    """Be one listening stand-in inside this process."""
+    """Serve one stand-in within this process."""
 
     daemon_threads = True
     block_on_close = False
@@ -205,28 +205,28 @@
 
     @property
     def address(self) -> str:
-        """Return where the stand-in listens, as IP:port."""
+        """Return the listen address as IP:port."""
         host, port = self.server_address[:2]
         return f"{host}:{port}"
 
     def start(self) -> Self:
-        """Serve on a thread of its own."""
+        """Serve on a daemon thread."""
         arguments = (SHUTDOWN_POLL_SECONDS,)
         Thread(target=self.serve_forever, args=arguments, daemon=True).start()
         return self
 
     def stop(self) -> None:
-        """Stop listening and wake whoever a freeze holds."""
+        """Stop listening, and wake the threads that the fault `freeze` blocks."""
         self.injector.set(Faults())
         ending = Thread(target=self.shutdown, daemon=True)
         ending.start()
-        # A connection wakes the listener, which would else look at its next poll only.
+        # A connection wakes the listener, which would otherwise wait for its next poll.
         with suppress(OSError):
             create_connection(self.server_address[:2]).close()
         ending.join()
         self.server_close()
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Drop connections that broke; any other error is shown."""
+        """Ignore errors of lost connections; print all others."""
         if not isinstance(sys.exc_info()[1], OSError):
             super().handle_error(request, client_address)
--- a/packages/standins/src/cowslipshelf_standins/internal/kv_parts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/kv_parts.py
@@ -1,4 +1,4 @@
-"""Account for parts of a prompt's KV cache, exported and imported by reference."""
+"""Track parts of a prompt's KV cache, exported and imported by reference."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class KvPart(msgspec.Struct, frozen=True):
-    """Be a reference to the KV cache of some tokens of one prompt."""
+    """Refer to the KV cache of a token range of one prompt."""
 
     handle: str
     prompt_seed: int
@@ -15,7 +15,7 @@
 
 
 class KvExport(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Ask for a reference to a part that an attempt holds."""
+    """Request a reference to KV cache that an attempt holds."""
 
     attempt_id: str
     from_token: int
@@ -23,32 +23,32 @@
 
 
 class KvImport(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Make parts known that other engines hold."""
+    """Import references to KV cache that other engines hold."""
 
     parts: tuple[KvPart, ...]
 
 
 class KvImported(msgspec.Struct, frozen=True):
-    """Count the parts that were imported."""
+    """Report the number of imported parts."""
 
     imported: int
 
 
 class KvParts:
-    """Hold the parts that were imported."""
+    """Hold the imported parts."""
 
     def __init__(self) -> None:
         self.parts: dict[str, KvPart] = {}
 
     def add(self, parts: tuple[KvPart, ...]) -> KvImported:
-        """Make parts known."""
+        """Add parts."""
         self.parts.update((part.handle, part) for part in parts)
         return KvImported(len(parts))
 
     def imported_tokens(
         self, handles: tuple[str, ...], seed: int, start: int, end: int
     ) -> int:
-        """Return how many tokens of a range the named parts cover."""
+        """Return the number of tokens of a range that the parts cover."""
         covered: set[tuple[int, int]] = set()
         for handle in handles:
             part = self.parts.get(handle)
@@ -59,7 +59,7 @@
 
 
 def merged_length(ranges: list[tuple[int, int]]) -> int:
-    """Return the length that sorted ranges cover together."""
+    """Return the length of the union of sorted ranges."""
     total = 0
     reached = 0
     for start, end in ranges:
--- a/packages/standins/src/cowslipshelf_standins/internal/orders.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/orders.py
@@ -1,4 +1,4 @@
-"""Carry out orders, with or without a look at their fencing numbers."""
+"""Run orders, with or without checking their fencing numbers."""
 
 from typing import Literal
 
@@ -8,7 +8,7 @@
 
 
 class OrderBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Be an order to load something or to change role."""
+    """Order an engine to load a model or an adapter, or to change its role."""
 
     order_id: str
     kind: OrderKind
@@ -18,14 +18,14 @@
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
-    """Answer an order; a refused one names the newest number seen."""
+    """Answer an order with the newest fencing number seen."""
 
     accepted: bool
     newest_fencing: int
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """Show what orders have made of the engine, in the order they were run."""
+    """Describe the state that orders produced, and the orders in the sequence run."""
 
     role: str
     models: tuple[tuple[str, str], ...]
@@ -35,7 +35,7 @@
 
 
 class OrderExecutor:
-    """Hold what orders have made of an engine."""
+    """Run orders, and hold the state that they produced."""
 
     def __init__(self, models: tuple[str, ...], checks_fencing: bool) -> None:
         self.checks_fencing = checks_fencing
@@ -46,14 +46,14 @@
         self.orders_run: list[OrderBody] = []
 
     def accept(self, order: OrderBody) -> bool:
-        """Say whether an order may run; engines that don't check run all."""
+        """Return whether an order may run; without `checks_fencing` all may."""
         if self.checks_fencing and order.fencing < self.newest_fencing:
             return False
         self.newest_fencing = max(self.newest_fencing, order.fencing)
         return True
 
     def run(self, order: OrderBody) -> None:
-        """Carry an accepted order out."""
+        """Run an accepted order."""
         name, version = name_and_version(order.argument)
         match order.kind:
             case "load_model" | "load_version":
@@ -65,7 +65,7 @@
         self.orders_run.append(order)
 
     def state(self) -> EngineState:
-        """Return what orders have made of the engine."""
+        """Return the state that orders produced."""
         return EngineState(
             role=self.role,
             models=tuple(self.models.items()),
@@ -76,6 +76,6 @@
 
 
 def name_and_version(argument: str) -> tuple[str, str]:
-    """Split `name@version`; the version may be missing."""
+    """Split `name@version`; a missing version is empty."""
     name, _, version = argument.partition("@")
     return name, version
--- a/packages/standins/src/cowslipshelf_standins/internal/plain_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/plain_http.py
@@ -1,4 +1,4 @@
-"""Serve a plain service that echoes and remembers the calls it ran."""
+"""Serve a plain service that echoes and records its calls."""
 
 from hashlib import sha256
 from threading import Lock
@@ -14,13 +14,13 @@
 
 
 class PlainConfig(NamedTuple):
-    """Say how slowly a plain service answers."""
+    """Configure a plain service."""
 
     delay_seconds: float = 0.0
 
 
 class Call(msgspec.Struct, frozen=True):
-    """Be one call that the service ran."""
+    """Describe a call that the service ran."""
 
     method: str
     path: str
@@ -31,7 +31,7 @@
 
 
 class PlainHandler(StandInHandler):
-    """Echo any call."""
+    """Run and echo any call."""
 
     server: "PlainServer"
 
@@ -53,12 +53,12 @@
             self.server.config.delay_seconds * self.server.injector.faults.slow_factor
         )
         if self.server.injector.faults.drop_before_answer:
-            raise ConnectionAbortedError("dropped as a fault")
+            raise ConnectionAbortedError("fault injection: drop_before_answer")
         self.answer_json(200, call)
 
 
 class PlainServer(StandInServer):
-    """Be one plain service that listens."""
+    """Serve one plain service."""
 
     def __init__(self, listen_address: str, config: PlainConfig) -> None:
         super().__init__(listen_address, PlainHandler, FaultInjector())
@@ -70,11 +70,11 @@
     def from_config(
         cls, config: PlainConfig, listen_address: str = "127.0.0.1:0"
     ) -> Self:
-        """Make a plain service that listens but does not serve yet."""
+        """Create a plain service that listens but does not serve yet."""
         return cls(listen_address, config)
 
     def run(self, call: Call) -> None:
-        """Run a call: its effect is that it stands in the list."""
+        """Run a call; its effect is its entry in `calls`."""
         with self.lock:
             self.calls.append(call)
 
--- a/packages/standins/src/cowslipshelf_standins/internal/prefix_cache.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Cache prompt prefixes by block, and publish what changed late and with gaps."""
+"""Cache prompt prefixes by block, and publish changes late and with gaps."""
 
 from collections import OrderedDict, deque
 from random import Random
@@ -11,25 +11,25 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Say that blocks were stored or removed."""
+    """Report that blocks were stored or removed."""
 
     sequence: int
     kind: str
     """`stored` or `removed`."""
     block_hashes: tuple[int, ...]
     attempt_id: str = ""
-    """Attempt whose prompt was stored."""
+    """The attempt whose prompt was stored."""
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Be the answer to a question for cache events."""
+    """Answer a request for cache events."""
 
     newest_sequence: int
     events: tuple[CacheEvent, ...]
 
 
 class PrefixCache:
-    """Hold block hashes up to a number of tokens, least recently used out first."""
+    """Hold block hashes in an LRU cache bounded in tokens."""
 
     def __init__(
         self, max_tokens: int, delay_seconds: float, loss: float, seed: int
@@ -43,19 +43,19 @@
         self.events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS_KEPT)
 
     def cached_tokens(self, block_hashes: tuple[int, ...]) -> int:
-        """Return how many tokens from the start are cached, and keep them longer."""
+        """Return the length of the cached prefix in tokens, and mark it as used."""
         found = 0
         for block_hash in block_hashes:
             if block_hash not in self.blocks:
                 break
             found += 1
-        # Later blocks are worth nothing without earlier ones, so these outlive them.
+        # A block is useless without the ones before it, so these are kept longer.
         for block_hash in reversed(block_hashes[:found]):
             self.blocks.move_to_end(block_hash)
         return found * TOKENS_PER_BLOCK
 
     def store(self, block_hashes: tuple[int, ...], attempt_id: str, now: float) -> None:
-        """Cache the blocks of a prompt that was prefilled."""
+        """Cache the blocks of a prefilled prompt."""
         kept = block_hashes[: self.max_blocks]
         fresh = tuple(h for h in kept if h not in self.blocks)
         for block_hash in reversed(kept):
@@ -72,7 +72,7 @@
     def publish(
         self, kind: str, hashes: tuple[int, ...], attempt_id: str, now: float
     ) -> None:
-        """Publish an event under the next number, or lose it and leave a gap."""
+        """Publish an event with the next number, or lose it and leave a gap."""
         self.sequence += 1
         if self.random.random() < self.loss:
             return
@@ -80,7 +80,7 @@
         self.events.append((now + self.delay_seconds, event))
 
     def events_after(self, sequence: int, now: float) -> CacheEvents:
-        """Return the events after a sequence number that are old enough to show."""
+        """Return the events after a sequence number that are older than the delay."""
         shown = [event for due, event in self.events if due <= now]
         newest = shown[-1].sequence if shown else 0
         later = tuple(event for event in shown if event.sequence > sequence)
--- a/packages/standins/src/cowslipshelf_standins/internal/prompts.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/prompts.py
@@ -1,4 +1,4 @@
-"""Read the published request shapes and count their prompt tokens."""
+"""Parse requests in the OpenAI format and count their prompt tokens."""
 
 from hashlib import blake2b
 from typing import Annotated, NamedTuple
@@ -17,20 +17,20 @@
 
 
 class ChatPart(msgspec.Struct, frozen=True):
-    """Be one part of a chat message with several parts."""
+    """Hold one part of a chat message with several parts."""
 
     text: str = ""
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """Be one message of a chat."""
+    """Hold one message of a chat."""
 
     role: str
     content: str | list[ChatPart] | None = None
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """Be the body of a completion request, in the published shape."""
+    """Hold the body of a completion request in the OpenAI format."""
 
     model: str
     prompt: str | list[TokenId] | None = None
@@ -41,7 +41,7 @@
 
 
 class Prompt(NamedTuple):
-    """Be a prompt as the engine sees it."""
+    """Hold a prompt as the engine processes it."""
 
     model: str
     tokens: int
@@ -49,9 +49,9 @@
     stream: bool
     chat: bool
     seed: int
-    """Decides every token of the answer, so that all engines agree on it."""
+    """Determines all output tokens, so that all engines generate the same."""
     block_hashes: tuple[int, ...]
-    """Chained hashes of the whole blocks, from the start."""
+    """Chained hashes of the complete blocks, from the start."""
 
 
 BODY_DECODER = msgspec.json.Decoder(CompletionBody)
@@ -82,7 +82,7 @@
 
 
 def prompt_bytes(request: CompletionBody, chat: bool) -> tuple[bytes, int]:
-    """Return what the model reads, and how many bytes of it make a token."""
+    """Return the prompt as bytes, and the number of bytes per token."""
     if chat:
         if not request.messages:
             raise BadRequestError(400, "bad_request", "messages are missing")
@@ -97,14 +97,14 @@
 
 
 def message_text(message: ChatMessage) -> str:
-    """Return the text of a chat message, whichever way it is written."""
+    """Return the text of a chat message with one or several parts."""
     if isinstance(message.content, list):
         return "".join(part.text for part in message.content)
     return message.content or ""
 
 
 def hash_blocks(content: bytes, block_bytes: int) -> tuple[int, ...]:
-    """Return the chained hash of every whole block."""
+    """Return the chained hash of each complete block."""
     hashes = []
     chained = b""
     for start in range(0, len(content) - block_bytes + 1, block_bytes):
--- a/packages/standins/src/cowslipshelf_standins/internal/weight_store_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/weight_store_http.py
@@ -15,7 +15,7 @@
 
 
 class WeightStoreConfig(NamedTuple):
-    """Say how large weights are and how many loads a window allows."""
+    """Configure the size of weights and the number of loads per window."""
 
     weight_bytes: int = 65_536
     loads_per_window: int = 4
@@ -23,7 +23,7 @@
 
 
 class Served(msgspec.Struct, frozen=True):
-    """Count what the store gave out and refused."""
+    """Count the loads that were served and refused."""
 
     loads: int = 0
     bytes: int = 0
@@ -31,12 +31,12 @@
 
 
 class WeightStoreHandler(StandInHandler):
-    """Answer `GET /weights/{model}/{version}`."""
+    """Handle `GET /weights/{model}/{version}` and `GET /_served`."""
 
     server: "WeightStoreServer"
 
     def respond(self, body: bytes) -> None:  # noqa: ARG002
-        """Give out weights, or say when to come back."""
+        """Answer a request for weights or for the counters."""
         match (self.command, self.path_only.strip("/").split("/")):
             case ("GET", ["_served"]):
                 self.answer_json(200, self.server.served)
@@ -46,7 +46,7 @@
                 raise BadRequestError(404, "not_found", f"no path {self.path}")
 
     def send_weights(self) -> None:
-        """Give out weights where the limit and the grant allow it."""
+        """Send weights, or refuse the load without a grant or above the rate limit."""
         if not self.headers.get("X-Load-Grant"):
             raise BadRequestError(403, "no_grant", "a load needs a grant")
         wait = self.server.try_load()
@@ -58,7 +58,7 @@
 
 
 class WeightStoreServer(StandInServer):
-    """Be one weight store that listens."""
+    """Serve one weight store."""
 
     def __init__(self, listen_address: str, config: WeightStoreConfig) -> None:
         super().__init__(listen_address, WeightStoreHandler, FaultInjector())
@@ -71,11 +71,11 @@
     def from_config(
         cls, config: WeightStoreConfig, listen_address: str = "127.0.0.1:0"
     ) -> Self:
-        """Make a weight store that listens but does not serve yet."""
+        """Create a weight store that listens but does not serve yet."""
         return cls(listen_address, config)
 
     def try_load(self) -> float:
-        """Count a load and return zero, or return the seconds to wait."""
+        """Count a load and return 0, or return the seconds to wait."""
         with self.lock:
             now = monotonic()
             oldest = now - self.config.window_seconds
--- a/packages/standins/src/cowslipshelf_standins/weight_store.py
+++ b/packages/standins/src/cowslipshelf_standins/weight_store.py
@@ -1,7 +1,8 @@
-"""Stand in for the rate-limited weight store, over HTTP.
+"""Stand in for the rate-limited weight store over HTTP.
 
-`GET /weights/{model}/{version}` with an `X-Load-Grant` header gives zeroes, or 429 with
-`Retry-After`; `GET /_served` counts what was given; `POST /_faults` switches faults.
+`GET /weights/{model}/{version}` with an `X-Load-Grant` header returns a body of zeros,
+or 429 with `Retry-After`; `GET /_served` returns counters; `POST /_faults` sets the
+active faults.
 """
 
 from cowslipshelf_standins.internal.weight_store_http import (
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/connections.py
@@ -134,7 +134,7 @@
             return
 
     def send_pooled(self, request: UpstreamRequest, read_seconds: float) -> bytes:
-        """Send a repeatable request on a pooled connection; return the answer's body."""
+        """Send a repeatable request on a pooled connection; return the body."""
         try:
             response = self.pool.request(
                 request.method,
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
@@ -115,7 +115,7 @@
         return UpstreamPiece(self.sequence, b"data: %b\n\n" % lines, tokens)
 
     def count_tokens(self, data: bytes) -> int:
-        """Return the output tokens of a chunk; at most 1 if the engine doesn't count."""
+        """Return the output tokens of a chunk; at most 1 if they aren't counted."""
         try:
             chunk = CHUNK_DECODER.decode(data)
         except msgspec.MsgspecError as error:
--- a/tests/cover/standins/test_engine_answers.py
+++ b/tests/cover/standins/test_engine_answers.py
@@ -1,4 +1,4 @@
-"""Check the engine stand-in's answers over HTTP."""
+"""Test the engine stand-in's answers over HTTP."""
 
 from itertools import count
 
@@ -52,14 +52,14 @@
 
 
 def whole_answer(address: str, asked: HandOver) -> bytes:
-    """Return the answer as an uncut, unstreamed request gets it."""
+    """Return the answer to a non-streamed request, without faults."""
     url = f"http://{address}{asked.path}"
     headers = {"X-Request-Id": asked.request_id}
     return HTTP.request("POST", url, body=asked.body, headers=headers).data
 
 
 def whole_text(address: str, prompt: str, tokens: int, chat: bool) -> str:
-    """Return the text of an uncut, unstreamed answer."""
+    """Return the text of a non-streamed answer, without faults."""
     asked = completion(prompt, tokens, chat=chat, stream=False)
     answer = whole_answer(address, asked)
     assert msgspec.json.decode(answer)["usage"]["completion_tokens"] == tokens
@@ -71,10 +71,10 @@
 def test_cut_and_resumed_streams_give_the_whole_answer(
     engine, prompt, tokens, chat, cuts
 ):
-    """A connection to an engine is cut again and again in mid-answer.
+    """A connection to an engine is cut repeatedly in the middle of an answer.
 
-    The sidecar resumes after the last event it got. The caller must see each token
-    once, in order, and the end only at the end.
+    The sidecar resumes after the last event it received. The caller must get each token
+    once and in order, and the final marker last.
     """
     client = client_of(engine.address)
     asked = completion(prompt, tokens, chat=chat, attempt_id=fresh_id())
@@ -106,10 +106,10 @@
 def test_whole_answers_are_the_engines_own_however_often_cut(
     engine, prompt, tokens, chat, cuts
 ):
-    """A caller wants its answer whole, and the engine's connection is cut.
+    """The connection to the engine is cut during a non-streamed answer.
 
-    The client fetches it as a stream, so that it can resume; the caller must get what
-    the engine would have given it whole.
+    The client fetches the answer as a stream, so that it can resume. The caller must
+    get the answer that the engine would have sent to a non-streamed request.
     """
     client = client_of(engine.address)
     asked = completion(prompt, tokens, chat=chat, stream=False, attempt_id=fresh_id())
@@ -151,7 +151,7 @@
 def test_another_engine_continues_an_answer(
     engine, other_engine, prompt, tokens, chat, data
 ):
-    """An engine dies in mid-answer and the request goes on elsewhere."""
+    """An engine dies in the middle of an answer, and another one continues it."""
     delivered = data.draw(st.integers(1, tokens - 1))
     second = client_of(other_engine.address)
     text = whole_text(engine.address, prompt, tokens, chat)
@@ -165,10 +165,10 @@
 
 
 def test_a_lost_reader_leaves_the_memory_held_until_a_delete() -> None:
-    """A sidecar dies and takes its connection along.
+    """A sidecar dies, and its connection to the engine with it.
 
-    The engine goes on generating for nobody and its memory stays taken; only a
-    cancel frees it. This is the leak that the sidecar's inventory must find.
+    The engine continues to generate and holds the attempt's memory until a cancel. The
+    sidecar must find this leak by the engine's inventory.
     """
     slow = FAST_ENGINE._replace(decode_seconds_per_token=5.0)
     with running_engine(slow) as server:
@@ -197,7 +197,7 @@
 
 
 def test_a_known_attempt_never_starts_again(engine) -> None:
-    """A copy of a start comes late, even after the attempt was deleted."""
+    """A duplicate of a start arrives late, even after the attempt was deleted."""
     client = client_of(engine.address)
     asked = completion(attempt_id="once")
     list(client.start(asked))
@@ -220,7 +220,7 @@
 
 
 def test_a_prompt_larger_than_an_engine_runs_over_three(other_engine) -> None:
-    """A campaign ledger needs two and a half times one engine's memory."""
+    """A prompt needs more than two engines' memory and is prefilled on three."""
     small = FAST_ENGINE._replace(memory_tokens=1_100)
     prompt = "ledger " * 1_430
     asked = completion(prompt, 20, stream=True)
@@ -256,7 +256,7 @@
 
 @pytest.mark.parametrize("checks", [True, False])
 def test_orders_run_once_each_and_old_ones_only_where_unchecked(checks) -> None:
-    """Two control instances give orders; the isolated one carries an old number."""
+    """Two instances send orders; the isolated one has an old fencing number."""
     with running_engine(FAST_ENGINE._replace(checks_fencing=checks)) as server:
         client = client_of(server.address)
         newer = client.send_order(EngineOrder("b", "load_model", "small@2", 9))
--- a/tests/cover/standins/test_engine_state.py
+++ b/tests/cover/standins/test_engine_state.py
@@ -1,4 +1,4 @@
-"""Check that the engine stand-in accounts its memory and keeps its order."""
+"""Test the engine stand-in's memory accounting and serving order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -167,11 +167,11 @@
 @steady
 @given(numbers=st.lists(st.integers(1, 20)), checks=st.booleans())
 def test_only_engines_that_check_refuse_old_fencing_numbers(numbers, checks) -> None:
-    book = OrderExecutor((), checks)
+    executor = OrderExecutor((), checks)
     newest = 0
     for number in numbers:
         order = OrderBody(f"order-{number}", "change_role", "prefill", number)
-        assert book.accept(order) == (not checks or number >= newest)
+        assert executor.accept(order) == (not checks or number >= newest)
         newest = max(newest, number)
 
 
@@ -193,19 +193,19 @@
 ) -> None:
     cache = PrefixCache(max_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
     for number, choices in enumerate(prompts):
-        # A block's hash stands for all that comes before it, too.
+        # A block's hash covers all blocks before it, too.
         hashes = tuple(hash(tuple(choices[: end + 1])) for end in range(len(choices)))
         cache.store(hashes, f"{number}", now=0.0)
         assert cache.cached_tokens(hashes) == 256 * min(len(hashes), max_blocks)
         assert len(cache.blocks) <= max_blocks
-    told = cache.events_after(0, now=0.0)
+    answer = cache.events_after(0, now=0.0)
     rebuilt: set[int] = set()
-    for event in told.events:
+    for event in answer.events:
         match event.kind:
             case "stored":
                 rebuilt |= set(event.block_hashes)
             case "removed":
                 rebuilt -= set(event.block_hashes)
-    if len(told.events) == cache.sequence:
+    if len(answer.events) == cache.sequence:
         assert rebuilt == set(cache.blocks)
-    assert loss or len(told.events) == cache.sequence
+    assert loss or len(answer.events) == cache.sequence
--- a/tests/cover/standins/test_event_writer.py
+++ b/tests/cover/standins/test_event_writer.py
@@ -1,4 +1,4 @@
-"""Check that slow readers neither block an engine nor lose a byte."""
+"""Test that slow readers neither block an engine nor lose a byte."""
 
 import socket
 from threading import Thread
@@ -43,10 +43,10 @@
     )
 )
 def test_a_reader_that_stops_gets_every_byte_later_and_blocks_nobody(steps) -> None:
-    """A caller's connection takes nothing for a while.
+    """A reader accepts no data for a while.
 
-    The scheduler's thread writes for all streams; were it to block on this one, all
-    others would stand still.
+    The scheduler's thread writes to all streams. If it blocked on this one, all others
+    would stop.
     """
     attempt = new_attempt(1 + sum(n for kind, n in steps if kind == "generate"))
     ours, theirs = socket.socketpair()
@@ -56,7 +56,7 @@
     for kind, number in steps:
         if kind == "generate":
             attempt.publish(AttemptState.DECODING, attempt.generated + number)
-            # Were this to block, the example would never end: nobody reads now.
+            # If this blocked, the test would hang: nothing is being read.
             writer.push()
         else:
             theirs.setblocking(False)
@@ -66,7 +66,7 @@
                 continue
     attempt.publish(AttemptState.FINISHED, attempt.generated + 1)
     writer.push()
-    # A delete of a finished attempt pushes once more.
+    # Deleting a finished attempt pushes once more.
     writer.push()
 
     def serve() -> None:
--- a/tests/cover/upstreams/test_engine_client.py
+++ b/tests/cover/upstreams/test_engine_client.py
@@ -97,9 +97,9 @@
     """An engine that sends no tokens has a long prefill to do, or is dead."""
     with running_engine() as server:
         client = client_of(server.address, SILENCE_SECONDS)
-        patient = client_of(server.address, silence_seconds=20.0)
+        long_timeout = client_of(server.address, silence_seconds=20.0)
         server.injector.set(Faults(slow_factor=1e9))
-        stream = patient.start(completion())
+        stream = long_timeout.start(completion())
         # Keep-alive comments of a busy engine keep the reader from timing out.
         for _, comment in zip(range(3), stream.response.read_chunked(), strict=False):
             assert comment == b": keep-alive\n\n"
@@ -110,7 +110,7 @@
         with pytest.raises(UpstreamLostError):
             client.inventory()
         server.injector.set(Faults())
-        held = {item.attempt_id for item in patient.inventory().held}
+        held = {item.attempt_id for item in long_timeout.inventory().held}
         assert "attempt" in held
 
 
--- a/tests/nocover/standins/test_processes.py
+++ b/tests/nocover/standins/test_processes.py
@@ -1,4 +1,4 @@
-"""Check stand-ins as processes, and clients against processes that fail."""
+"""Test stand-ins as processes, and clients against failing processes."""
 
 import os
 import signal
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def start() -> Iterator[Start]:
-    """Start stand-ins that are killed at the end, whatever has come of them."""
+    """Start stand-ins, and kill them after the test."""
     started = []
 
     def begin(*arguments: str) -> tuple[subprocess.Popen[str], dict]:
@@ -52,34 +52,34 @@
 
 
 def test_a_stopped_engine_is_noticed_and_its_stream_goes_on_later(start) -> None:
-    """An engine's machine stalls in mid-answer and comes back.
+    """An engine's process stops in the middle of an answer and continues later.
 
-    New connections are taken by its kernel but answered by nobody. Once it is back,
-    the client gets the exact rest.
+    The kernel still accepts new connections, but nothing answers them. Once the process
+    continues, the client gets exactly the rest.
     """
     process, ready = start("engine", *SLOW_DECODE)
-    hasty = client_of(ready["address"], SILENCE_SECONDS)
-    patient = client_of(ready["address"], silence_seconds=20.0)
+    short_timeout = client_of(ready["address"], SILENCE_SECONDS)
+    long_timeout = client_of(ready["address"], silence_seconds=20.0)
     asked = completion(max_tokens=20)
-    stream = patient.start(asked)
+    stream = long_timeout.start(asked)
     pieces = [piece for _, piece in zip(range(2), stream, strict=False)]
     process.send_signal(signal.SIGSTOP)
     with pytest.raises(UpstreamLostError) as caught:
-        hasty.resume("attempt", 2)
+        short_timeout.resume("attempt", 2)
     assert (caught.value.step, caught.value.peer) == ("resume", ready["address"])
     with pytest.raises(UpstreamLostError):
-        hasty.inventory()
+        short_timeout.inventory()
     process.send_signal(signal.SIGCONT)
     delivered = sum(piece.tokens for piece in pieces)
-    pieces += patient.resume("attempt", 2, delivered)
+    pieces += long_timeout.resume("attempt", 2, delivered)
     assert sum(piece.tokens for piece in pieces) == 20
     text = "".join(text_of(piece.data) for piece in pieces)
-    again = list(patient.start(asked._replace(attempt_id="again")))
+    again = list(long_timeout.start(asked._replace(attempt_id="again")))
     assert text == "".join(text_of(piece.data) for piece in again)
 
 
 def test_a_killed_engine_ends_the_answer_with_an_error(start) -> None:
-    """An engine is killed in mid-answer; another one gives the rest."""
+    """An engine is killed in the middle of an answer; another one continues it."""
     process, ready = start("engine", *SLOW_DECODE)
     _, other = start("engine", *SLOW_DECODE)
     asked = completion(max_tokens=30)
