--- a/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from cowslipshelf_callers.errors import CallerGoneError
-from cowslipshelf_callers.internal.refusal_response import event_of, response_to
+from cowslipshelf_callers.internal.refusal_response import error_event, error_response
 from cowslipshelf_core.errors import Refusal
 from cowslipshelf_core.identifiers import RequestId
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class AnswerWriter:
-    """Send head, pieces and end over a caller's socket, each at once.
+    """Send head, chunks and end over a caller's socket, each at once.
 
     Nothing is queued: a caller that stops reading holds up its own thread, until the
     kernel's buffer is full and the time for one piece has passed.
@@ -43,16 +43,16 @@
     request_id: RequestId
     write_seconds: float
     method: str
-    takes_chunks: bool
+    allows_chunked: bool
     """False for HTTP/1.0, where the end of the connection ends the body."""
-    keeps_connection: bool
+    keep_alive: bool
     head_sent: bool = False
     ended: bool = False
     is_event_stream: bool = False
     has_body: bool = True
-    held_back: bytes = b""
+    pending_head: bytes = b""
     """The head, until there is something to send it with."""
-    waits_never: bool = False
+    is_nonblocking: bool = False
 
     def head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
         """Begin the answer; the head goes out together with what follows it."""
@@ -66,25 +66,25 @@
             for name, value in kept
         )
         self.has_body = self.method != "HEAD" and status not in STATUSES_WITHOUT_BODY
-        if self.has_body and self.takes_chunks:
+        if self.has_body and self.allows_chunked:
             kept.append(("Transfer-Encoding", "chunked"))
-        if self.has_body and not self.takes_chunks:
-            self.keeps_connection = False
-        self.held_back = self.head_bytes(status, kept)
+        if self.has_body and not self.allows_chunked:
+            self.keep_alive = False
+        self.pending_head = self.head_bytes(status, kept)
 
     def chunk(self, data: bytes) -> None:
         """Send a piece of the body."""
         if not data or not self.has_body:
             return
-        if self.takes_chunks:
+        if self.allows_chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self.send("answer", data)
 
     def end(self) -> None:
         """End a whole answer."""
         self.ended = True
-        last = LAST_CHUNK if self.has_body and self.takes_chunks else b""
-        if last or self.held_back:
+        last = LAST_CHUNK if self.has_body and self.allows_chunked else b""
+        if last or self.pending_head:
             self.send("end", last)
 
     def refusal(self, refusal: Refusal, head_sent: bool) -> None:
@@ -97,16 +97,16 @@
         if not head_sent and not self.head_sent:
             self.send_refusal(refusal)
             return
-        self.keeps_connection = False
+        self.keep_alive = False
         if self.is_event_stream:
-            self.chunk(event_of(refusal, self.request_id))
+            self.chunk(error_event(refusal, self.request_id))
             self.end()
-        elif self.held_back:
+        elif self.pending_head:
             self.send("answer", b"")
 
     def send_refusal(self, refusal: Refusal, status: int | None = None) -> None:
         """Send a refusal that is the whole answer; its reason gives the status."""
-        response = response_to(refusal, self.request_id, status)
+        response = error_response(refusal, self.request_id, status)
         headers = [*response.headers, ("Content-Length", str(len(response.body)))]
         body = b"" if self.method == "HEAD" else response.body
         self.ended = True
@@ -119,7 +119,7 @@
         lines = [f"HTTP/1.1 {status} {_phrase(status)}"]
         lines.extend(f"{name}: {value}" for name, value in headers)
         lines.append(f"X-Request-Id: {self.request_id}")
-        if not self.keeps_connection:
+        if not self.keep_alive:
             lines.append("Connection: close")
         text = "\r\n".join(lines) + "\r\n\r\n"
         return text.encode("latin-1", "replace")
@@ -131,7 +131,7 @@
         then reports a quiet caller as gone. So the timeout is put to zero first.
         """
         try:
-            self.stop_waiting()
+            self.make_nonblocking()
             return self.socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
             return False
@@ -140,34 +140,34 @@
 
     def send(self, step: str, data: bytes) -> None:
         """Send bytes, after what was held back, within the time for one piece."""
-        if self.held_back:
-            data = self.held_back + data
-            self.held_back = b""
+        if self.pending_head:
+            data = self.pending_head + data
+            self.pending_head = b""
         try:
-            self.stop_waiting()
-            sent = self.send_some(data)
+            self.make_nonblocking()
+            sent = self.send_nonblocking(data)
             if sent < len(data):
-                self.send_slowly(data[sent:])
+                self.send_blocking(data[sent:])
         except OSError as error:
-            self.keeps_connection = False
+            self.keep_alive = False
             raise CallerGoneError(step, self.peer, str(error)) from error
 
-    def stop_waiting(self) -> None:
+    def make_nonblocking(self) -> None:
         """Let the socket return at once; a timed one costs two more system calls."""
-        if not self.waits_never:
+        if not self.is_nonblocking:
             self.socket.settimeout(0.0)
-            self.waits_never = True
+            self.is_nonblocking = True
 
-    def send_some(self, data: bytes) -> int:
+    def send_nonblocking(self, data: bytes) -> int:
         """Send what the kernel's buffer takes now; nearly always that is all."""
         try:
             return self.socket.send(data)
         except BlockingIOError:
             return 0
 
-    def send_slowly(self, data: bytes) -> None:
+    def send_blocking(self, data: bytes) -> None:
         """Wait for a caller that reads slowly, but for one piece's time at most."""
-        self.waits_never = False
+        self.is_nonblocking = False
         self.socket.settimeout(self.write_seconds)
         self.socket.sendall(data)
 
--- a/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
@@ -11,8 +11,8 @@
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 
 CRLF = b"\r\n"
-MOST_LINE_BYTES = 1024
-MOST_TRAILERS = 32
+MAX_LINE_BYTES = 1024
+MAX_TRAILERS = 32
 SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(;[^\r\n]*)?\r\n")
 
 
@@ -41,15 +41,15 @@
 
 
 def _chunk_length(reader: BufferedReader) -> int:
-    match = SIZE_LINE.fullmatch(reader.readline(MOST_LINE_BYTES))
+    match = SIZE_LINE.fullmatch(reader.readline(MAX_LINE_BYTES))
     if match is None:
         raise ValueError("a chunk has no valid size")
     return int(match[1], 16)
 
 
 def _skip_trailers(reader: BufferedReader) -> None:
-    for _ in range(MOST_TRAILERS):
-        line = reader.readline(MOST_LINE_BYTES)
+    for _ in range(MAX_TRAILERS):
+        line = reader.readline(MAX_LINE_BYTES)
         if line == CRLF:
             return
         if not line.endswith(CRLF):
--- a/packages/callers/src/cowslipshelf_callers/internal/connection.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/connection.py
@@ -12,7 +12,7 @@
 
 READ_BUFFER_BYTES = 16_384
 LINGER_SECONDS = 1.0
-MOST_LINGER_BYTES = 4_194_304
+MAX_LINGER_BYTES = 4_194_304
 TIMED_OUT = "timed out"
 
 
@@ -79,7 +79,7 @@
 class CallerConnection(HTTPConnection):
     """Carry one call after another; waits between them without a thread."""
 
-    was_put_to_wait = False
+    was_registered = False
 
     def __init__(self, server, sock, _makefile=None) -> None:
         super().__init__(server, sock, make_socket_file)
@@ -101,18 +101,18 @@
         the refusal. So the rest is read away first, within bounds.
         """
         if self.linger:
-            read_away(self.socket)
+            discard_input(self.socket)
         self.linger = False
         super().close()
 
 
-def read_away(sock: socket.socket) -> None:
+def discard_input(sock: socket.socket) -> None:
     """Read and forget what a caller still sends, within bounds."""
     until = time.monotonic() + LINGER_SECONDS
     seen = 0
     try:
         sock.shutdown(socket.SHUT_WR)
-        while seen < MOST_LINGER_BYTES:
+        while seen < MAX_LINGER_BYTES:
             sock.settimeout(max(until - time.monotonic(), 0.001))
             got = len(sock.recv(READ_BUFFER_BYTES))
             if not got:
--- a/packages/callers/src/cowslipshelf_callers/internal/http_request.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/http_request.py
@@ -9,14 +9,14 @@
 from cowslipshelf_callers.errors import BadCallError, CallerGoneError
 from cowslipshelf_callers.internal.answer_writer import AnswerWriter
 from cowslipshelf_callers.internal.chunked_body import read_chunked
-from cowslipshelf_callers.internal.models_page import models_answer
+from cowslipshelf_callers.internal.model_list import write_models
 from cowslipshelf_callers.internal.routes import (
     MODELS_PATH,
     RequestLine,
     bad_request,
-    call_of,
     customer_key_of,
-    route_of,
+    find_route,
+    make_call,
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import RequestId
@@ -24,18 +24,18 @@
 LOG = logging.getLogger("cowslipshelf.callers")
 REQUEST_ID_BYTES = 12
 STATUS_TIMEOUT = 408
-NOT_ENDED = Refusal(
+ANSWER_NOT_ENDED = Refusal(
     RefusalCode.OUTCOME_UNKNOWN,
     RefusalReason.UPSTREAM_FAILED,
     "answer",
     detail="the answer was not ended",
 )
 """What a caller gets where an answer would have ended quietly, as a whole one does."""
-NEVER_REPEATED = frozenset({b"Content-Length", b"Host", b"Authorization"})
-STATUSES_OF_SIZE = frozenset({413, 414})
+SINGLE_VALUE_HEADERS = frozenset({b"Content-Length", b"Host", b"Authorization"})
+TOO_LARGE_STATUSES = frozenset({413, 414})
 
 
-def fresh_request_id() -> RequestId:
+def new_request_id() -> RequestId:
     """Draw the id that every hop and the answer carry."""
     return RequestId(f"req-{secrets.token_hex(REQUEST_ID_BYTES)}")
 
@@ -49,7 +49,7 @@
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
         """Take a header; raises ValueError where its repetition is no list."""
-        if name in self and name in NEVER_REPEATED:
+        if name in self and name in SINGLE_VALUE_HEADERS:
             raise ValueError(f"repeated header {name.decode()}")
         super().__setitem__(name, value)
 
@@ -93,8 +93,8 @@
         self.close_connection = True
         self.conn.linger = True
         refusal = _refusal_of_status(number, str(msg).rstrip(".") or str(status)[4:])
-        writer = self.writer(fresh_request_id())
-        writer.keeps_connection = False
+        writer = self.writer(new_request_id())
+        writer.keep_alive = False
         try:
             writer.send_refusal(refusal, number)
         except CallerGoneError as error:
@@ -108,14 +108,14 @@
             request_id=request_id,
             write_seconds=self.server.config.write_seconds,
             method=getattr(self, "method", b"GET").decode("latin-1"),
-            takes_chunks=self.response_protocol == "HTTP/1.1",
-            keeps_connection=not self.close_connection,
+            allows_chunked=self.response_protocol == "HTTP/1.1",
+            keep_alive=not self.close_connection,
         )
 
 
 def _refusal_of_status(status: int, detail: str) -> Refusal:
     reason = RefusalReason.BAD_REQUEST
-    if status in STATUSES_OF_SIZE:
+    if status in TOO_LARGE_STATUSES:
         reason = RefusalReason.TOO_LARGE
     if status == STATUS_TIMEOUT:
         reason = RefusalReason.DEADLINE_PASSED
@@ -123,7 +123,7 @@
     return Refusal(RefusalCode.NOT_RUN, reason, "parse", detail=detail)
 
 
-class CallersGateway(Gateway):
+class CallResponder(Gateway):
     """Answer one parsed request."""
 
     req: CallerRequestReader
@@ -134,9 +134,9 @@
         request.sent_headers = True
         if not request.server.may_keep_connections():
             request.close_connection = True
-        writer = request.writer(fresh_request_id())
+        writer = request.writer(new_request_id())
         self.answer_or_refuse(writer)
-        request.close_connection = not writer.keeps_connection
+        request.close_connection = not writer.keep_alive
         request.chunked_write = False
 
     def answer_or_refuse(self, writer: AnswerWriter) -> None:
@@ -144,7 +144,7 @@
         try:
             self.answer(writer)
         except CallerGoneError as error:
-            writer.keeps_connection = False
+            writer.keep_alive = False
             LOG.info("callers: %s", error)
             return
         except BadCallError as error:
@@ -153,11 +153,11 @@
         except Exception:
             LOG.exception("callers: %s failed", writer.request_id)
         if not writer.ended:
-            self.refuse(writer, BadCallError(NOT_ENDED))
+            self.refuse(writer, BadCallError(ANSWER_NOT_ENDED))
 
     def refuse(self, writer: AnswerWriter, error: BadCallError) -> None:
         """Refuse a call; what the caller still sends stays unread."""
-        writer.keeps_connection = False
+        writer.keep_alive = False
         self.req.conn.linger = True
         try:
             if error.status is None:
@@ -173,11 +173,11 @@
         key = customer_key_of(line.headers)
         if line.path == MODELS_PATH and line.method == "GET":
             self.read_body()
-            models_answer(self.req.server.handler.models(key), writer)
+            write_models(self.req.server.handler.models(key), writer)
             return
-        route = route_of(line)
+        route = find_route(line)
         body = self.read_body()
-        call = call_of(line, route, writer.request_id, body)
+        call = make_call(line, route, writer.request_id, body)
         self.req.server.handler.answer(call, writer)
 
     def request_line(self, peer: str) -> RequestLine:
--- a/packages/callers/src/cowslipshelf_callers/internal/model_call.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/model_call.py
@@ -72,14 +72,14 @@
 COMPLETION_DECODER = msgspec.json.Decoder(CompletionBody)
 
 
-def read_chat(body: bytes) -> ModelCallFacts:
+def parse_chat(body: bytes) -> ModelCallFacts:
     """Read a chat completion's body."""
     decoded = _decode(CHAT_DECODER, body)
     texts = [text for message in decoded.messages for text in _texts(message)]
-    return _facts(decoded, tokens_of_texts(texts), hash_of_texts(texts))
+    return _facts(decoded, estimate_tokens(texts), hash_prefix(texts))
 
 
-def read_completion(body: bytes) -> ModelCallFacts:
+def parse_completion(body: bytes) -> ModelCallFacts:
     """Read a completion's body."""
     decoded = _decode(COMPLETION_DECODER, body)
     prompt = decoded.prompt
@@ -87,10 +87,10 @@
         prompt = [prompt]
     texts = [item for item in prompt if isinstance(item, str)]
     ids = _token_ids(prompt)
-    tokens = tokens_of_texts(texts) + len(ids)
+    tokens = estimate_tokens(texts) + len(ids)
     if ids and not texts:
         texts = [" ".join(map(str, ids[:PREFIX_BYTES]))]
-    return _facts(decoded, tokens, hash_of_texts(texts))
+    return _facts(decoded, tokens, hash_prefix(texts))
 
 
 def _texts(message: ChatMessage) -> list[str]:
@@ -114,7 +114,7 @@
     return ids
 
 
-def tokens_of_texts(texts: list[str]) -> int:
+def estimate_tokens(texts: list[str]) -> int:
     """Estimate the tokens of all texts together."""
     size = sum(_byte_length(text) for text in texts)
     return -(-size // BYTES_PER_TOKEN)
@@ -124,7 +124,7 @@
     return len(text) if text.isascii() else len(text.encode())
 
 
-def hash_of_texts(texts: list[str]) -> int:
+def hash_prefix(texts: list[str]) -> int:
     """Hash the start of the prompt; the same on every instance and after restarts."""
     start = b""
     for text in texts:
--- a/packages/callers/src/cowslipshelf_callers/internal/models_page.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/model_list.py
@@ -26,7 +26,7 @@
     object: str = "list"
 
 
-def models_answer(
+def write_models(
     models: tuple[ServedModel, ...] | Refusal, writer: AnswerWriter
 ) -> None:
     """Write the list, or the refusal to list."""
--- a/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
@@ -8,7 +8,7 @@
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import RequestId
 
-LEAST_RETRY_AFTER_SECONDS = 1.0
+MIN_RETRY_AFTER_SECONDS = 1.0
 
 STATUS_BY_REASON = {
     RefusalReason.BUSY: 503,
@@ -37,7 +37,7 @@
     RefusalReason.CANCELLED: 503,
 }
 
-STATUSES_THAT_INVITE_A_RETRY = frozenset({429, 503})
+RETRYABLE_STATUSES = frozenset({429, 503})
 BAD_GATEWAY = 502
 TOO_LARGE = 413
 CONFLICT = 409
@@ -82,7 +82,7 @@
     status = STATUS_BY_REASON[refusal.reason]
     if refusal.code is RefusalCode.NOT_RUN:
         return status
-    if status in STATUSES_THAT_INVITE_A_RETRY:
+    if status in RETRYABLE_STATUSES:
         return BAD_GATEWAY
     if status == TOO_LARGE:
         # Not the request is too large but its stored answer, which a resend asks for.
@@ -90,26 +90,26 @@
     return status
 
 
-def response_to(
+def error_response(
     refusal: Refusal, request_id: RequestId, status: int | None = None
 ) -> RefusalResponse:
     """Write a refusal in place of an answer; its reason gives the status if none is."""
     status = status or status_of(refusal)
     seconds = refusal.retry_after_seconds
-    if status in STATUSES_THAT_INVITE_A_RETRY:
-        seconds = max(seconds or 0.0, LEAST_RETRY_AFTER_SECONDS)
+    if status in RETRYABLE_STATUSES:
+        seconds = max(seconds or 0.0, MIN_RETRY_AFTER_SECONDS)
     headers = [("Content-Type", "application/json")]
     if seconds is not None:
-        whole = math.ceil(max(seconds, LEAST_RETRY_AFTER_SECONDS))
+        whole = math.ceil(max(seconds, MIN_RETRY_AFTER_SECONDS))
         headers.append(("Retry-After", str(whole)))
-    if _must_not_be_repeated(refusal):
+    if _must_not_retry(refusal):
         # Published clients repeat most error statuses unless told not to.
         headers.append(("X-Should-Retry", "false"))
     body = msgspec.json.encode(_document(refusal, status, request_id, seconds))
     return RefusalResponse(status, tuple(headers), body)
 
 
-def event_of(refusal: Refusal, request_id: RequestId) -> bytes:
+def error_event(refusal: Refusal, request_id: RequestId) -> bytes:
     """Write a refusal as an event of a stream that already began."""
     status = status_of(refusal)
     seconds = refusal.retry_after_seconds
@@ -117,7 +117,7 @@
     return b"data: " + body + b"\n\n"
 
 
-def _must_not_be_repeated(refusal: Refusal) -> bool:
+def _must_not_retry(refusal: Refusal) -> bool:
     return (
         refusal.code is RefusalCode.OUTCOME_UNKNOWN
         and refusal.reason is not RefusalReason.STILL_RUNNING
--- a/packages/callers/src/cowslipshelf_callers/internal/routes.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/routes.py
@@ -10,27 +10,27 @@
 from cowslipshelf_callers.internal.call import CallerCall
 from cowslipshelf_callers.internal.model_call import (
     ModelCallFacts,
-    read_chat,
-    read_completion,
+    parse_chat,
+    parse_completion,
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import ModelName, RequestId, ServiceName
 
 MODELS_PATH = "/v1/models"
 DIGEST_BYTES = 16
-MOST_KEY_LENGTH = 255
-MOST_DEADLINE_SECONDS = 3_600.0
+MAX_KEY_LENGTH = 255
+MAX_DEADLINE_SECONDS = 3_600.0
 BEARER = "bearer "
 
-READERS: dict[str, Callable[[bytes], ModelCallFacts]] = {
-    "/v1/chat/completions": read_chat,
-    "/v1/completions": read_completion,
+BODY_PARSERS: dict[str, Callable[[bytes], ModelCallFacts]] = {
+    "/v1/chat/completions": parse_chat,
+    "/v1/completions": parse_completion,
 }
 SERVICE_PATH = re.compile(r"/services/([A-Za-z0-9][A-Za-z0-9._-]{0,127})(/[^?]*)?")
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+SERVICE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
 DOT_SEGMENTS = frozenset({".", "..", "%2e", "%2e%2e", ".%2e", "%2e."})
 
-NOT_PASSED_ON = HOP_BY_HOP | {
+NOT_FORWARDED_HEADERS = HOP_BY_HOP | {
     "authorization",
     "host",
     "expect",
@@ -78,9 +78,9 @@
     """Reads a model call's body; None for a plain service."""
 
 
-def route_of(line: RequestLine) -> Route:
+def find_route(line: RequestLine) -> Route:
     """Find what a path and method name, or refuse them."""
-    reader = READERS.get(line.path)
+    reader = BODY_PARSERS.get(line.path)
     if reader is not None:
         _require_post(line)
         return Route(_named_service(line), line.path, reader)
@@ -98,7 +98,7 @@
     path = match[2] or "/"
     if any(part.lower() in DOT_SEGMENTS for part in path.split("/")):
         raise bad_request("a path must not have '.' or '..' segments")
-    reader = READERS.get(path) if line.method == "POST" else None
+    reader = BODY_PARSERS.get(path) if line.method == "POST" else None
     return Route(ServiceName(match[1]), path, reader)
 
 
@@ -111,7 +111,7 @@
     name = line.headers.get("x-service")
     if name is None:
         return None
-    if NAME.fullmatch(name) is None:
+    if SERVICE_NAME.fullmatch(name) is None:
         raise bad_request("X-Service is not the name of a service")
     return ServiceName(name)
 
@@ -125,9 +125,9 @@
         seconds = float(text)
     except ValueError:
         seconds = 0.0
-    if not 0.0 < seconds <= MOST_DEADLINE_SECONDS:
+    if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
         raise bad_request(
-            f"X-Deadline-Seconds must be above 0 and at most {MOST_DEADLINE_SECONDS:g}"
+            f"X-Deadline-Seconds must be above 0 and at most {MAX_DEADLINE_SECONDS:g}"
         )
     return seconds
 
@@ -140,14 +140,14 @@
     key = headers.get("idempotency-key")
     if key is None:
         return None
-    if not 0 < len(key) <= MOST_KEY_LENGTH or not key.isprintable():
+    if not 0 < len(key) <= MAX_KEY_LENGTH or not key.isprintable():
         raise bad_request(
-            f"Idempotency-Key must have 1 to {MOST_KEY_LENGTH} printable characters"
+            f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} printable characters"
         )
     return key
 
 
-def call_of(
+def make_call(
     line: RequestLine, route: Route, request_id: RequestId, body: bytes
 ) -> CallerCall:
     """Build the call from its checked parts."""
@@ -161,9 +161,9 @@
         model=facts.model,
         method=line.method,
         path=path,
-        headers=_passed_on(line.headers),
+        headers=_forwarded_headers(line.headers),
         body=body,
-        body_digest=_digest(line.method, route.service or "", path, body),
+        body_digest=_call_digest(line.method, route.service or "", path, body),
         streamed=facts.streamed,
         prompt_tokens=facts.prompt_tokens,
         max_output_tokens=facts.max_output_tokens,
@@ -181,16 +181,16 @@
     return ModelCallFacts(ModelName(""), streamed, 0, 0, 0)
 
 
-def _passed_on(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
     named = {part.strip().lower() for part in headers.get("connection", "").split(",")}
     return tuple(
         (name, value)
         for name, value in headers.items()
-        if name not in NOT_PASSED_ON and name not in named
+        if name not in NOT_FORWARDED_HEADERS and name not in named
     )
 
 
-def _digest(method: str, service: str, path: str, body: bytes) -> str:
+def _call_digest(method: str, service: str, path: str, body: bytes) -> str:
     """Tell calls apart; two services may have the same path."""
     digest = blake2b(f"{method} {service} {path}\n".encode(), digest_size=DIGEST_BYTES)
     digest.update(body)
--- a/packages/callers/src/cowslipshelf_callers/internal/server.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/server.py
@@ -12,8 +12,8 @@
 from cowslipshelf_callers.internal.handler import CallersHandler
 from cowslipshelf_callers.internal.http_request import (
     CallerRequestReader,
-    CallersGateway,
-    fresh_request_id,
+    CallResponder,
+    new_request_id,
 )
 from cowslipshelf_callers.internal.server_config import CallersServerConfig
 from cowslipshelf_callers.internal.thread_pool import CallThreadPool
@@ -22,10 +22,10 @@
 LOG = logging.getLogger("cowslipshelf.callers")
 LISTEN_BACKLOG = 1024
 EXPIRY_INTERVAL_SECONDS = 0.2
-MOST_READ_AWAY_BYTES = 65_536
+MAX_DISCARD_BYTES = 65_536
 
 
-class CallerConnectionClass(CallerConnection):
+class CallerHttpConnection(CallerConnection):
     """Parse requests with our limits."""
 
     RequestHandlerClass = CallerRequestReader
@@ -34,11 +34,11 @@
 class CallersHttpServer(HTTPServer):
     """Be the library's server with limits on everything that callers can hold."""
 
-    ConnectionClass = CallerConnectionClass
+    ConnectionClass = CallerHttpConnection
 
     def __init__(self, config: CallersServerConfig, handler: CallersHandler) -> None:
         host, _, port = config.listen_address.rpartition(":")
-        super().__init__((host.strip("[]"), int(port)), CallersGateway)
+        super().__init__((host.strip("[]"), int(port)), CallResponder)
         self.config = config
         self.handler = handler
         self.draining = False
@@ -74,8 +74,8 @@
 
     def process_conn(self, conn: CallerConnection) -> None:
         """Let a new connection wait without a thread; answer one that has a call."""
-        if not conn.was_put_to_wait:
-            conn.was_put_to_wait = True
+        if not conn.was_registered:
+            conn.was_registered = True
             if self.can_add_keepalive_connection:
                 self.put_conn(conn)
             else:
@@ -99,16 +99,16 @@
         writer = AnswerWriter(
             socket=conn.socket,
             peer=f"{conn.remote_addr}:{conn.remote_port}",
-            request_id=fresh_request_id(),
+            request_id=new_request_id(),
             write_seconds=0.0,
             method="GET",
-            takes_chunks=True,
-            keeps_connection=False,
+            allows_chunked=True,
+            keep_alive=False,
         )
         try:
             writer.refusal(refusal, False)
             # Bytes left unread would reset the connection and take the refusal along.
-            conn.socket.recv(MOST_READ_AWAY_BYTES)
+            conn.socket.recv(MAX_DISCARD_BYTES)
         except (CallerGoneError, OSError) as error:
             LOG.info("callers: refused a call above the limit: %s", error)
         conn.close()
--- a/packages/callers/src/cowslipshelf_callers/internal/thread_pool.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/thread_pool.py
@@ -12,7 +12,7 @@
     def __init__(self, server, least: int, most: int) -> None:
         super().__init__(server, min=least, max=most)
         self.lock = threading.Lock()
-        self.free_threads = 0
+        self.idle_threads = 0
         """Threads that wait for a call, less the calls on their way to one."""
         self.get = self.wait_for_call
 
@@ -24,16 +24,16 @@
     def wait_for_call(self):
         """Take the next call; runs in the thread that will answer it."""
         with self.lock:
-            self.free_threads += 1
+            self.idle_threads += 1
         return self._queue.get()
 
     def put(self, connection) -> None:
         """Give a connection with a call to a free or a new thread, or raise `Full`."""
         with self.lock:
-            if self.free_threads <= 0 and len(self._threads) >= self.max:
+            if self.idle_threads <= 0 and len(self._threads) >= self.max:
                 raise Full
-            needs_thread = self.free_threads <= 0
-            self.free_threads -= 1
+            needs_thread = self.idle_threads <= 0
+            self.idle_threads -= 1
         if needs_thread:
             self.add_thread()
         self._queue.put(connection)
@@ -45,4 +45,4 @@
     def open_calls(self) -> int:
         """Count the threads that are answering."""
         with self.lock:
-            return len(self._threads) - max(self.free_threads, 0)
+            return len(self._threads) - max(self.idle_threads, 0)
--- a/packages/operators/src/cowslipshelf_operators/internal/application.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/application.py
@@ -24,11 +24,11 @@
 from cowslipshelf_operators.internal.handler import OperatorsHandler
 from cowslipshelf_operators.internal.settings import (
     DEFAULT_AUDIT_PAGE,
-    MOST_AUDIT_PAGE,
+    MAX_AUDIT_PAGE,
     OperatorKey,
 )
 
-Asked = TypeVar("Asked", PlanDocument, ConfirmDocument)
+RequestDocument = TypeVar("RequestDocument", PlanDocument, ConfirmDocument)
 Environ = dict[str, Any]
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
@@ -36,7 +36,7 @@
 EXPLAIN_KINDS = get_args(ExplainKind)
 
 
-class BrokenBodyError(OSError):
+class BodyReadError(OSError):
     """Say that the connection timed out or broke; the server below answers that."""
 
 
@@ -75,7 +75,7 @@
             return self.answer(environ)
         except HandlerError as error:
             return error_answer(error)
-        except BrokenBodyError:
+        except BodyReadError:
             raise
         except Exception as error:
             # An operator must not be left without an answer by a fault of ours, nor
@@ -125,13 +125,13 @@
 
     def get(self, environ: Environ, answer: Callable[[], HttpAnswer]) -> HttpAnswer:
         """Answer a GET."""
-        return self.only(environ, "GET", answer)
+        return self.require_method(environ, "GET", answer)
 
     def post(self, environ: Environ, answer: Callable[[], HttpAnswer]) -> HttpAnswer:
         """Answer a POST."""
-        return self.only(environ, "POST", answer)
+        return self.require_method(environ, "POST", answer)
 
-    def only(
+    def require_method(
         self, environ: Environ, method: str, answer: Callable[[], HttpAnswer]
     ) -> HttpAnswer:
         """Answer one method, and refuse all others."""
@@ -179,7 +179,7 @@
         query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
         since = query_number(query, "since", 0)
         limit = query_number(query, "limit", DEFAULT_AUDIT_PAGE)
-        return audit_answer(self.handler.audit(since, min(limit, MOST_AUDIT_PAGE)))
+        return audit_answer(self.handler.audit(since, min(limit, MAX_AUDIT_PAGE)))
 
     def explain(self, kind: ExplainKind, name: str) -> HttpAnswer:
         """Tell what happened to something."""
@@ -234,7 +234,7 @@
         detail = "the body is too large"
         raise RequestError(step, detail, status=status, code="too_large") from error
     except OSError as error:
-        raise BrokenBodyError(*error.args) from error
+        raise BodyReadError(*error.args) from error
     except (ValueError, IndexError) as error:
         raise RequestError(step, "the chunks of the body are malformed") from error
     announced = int(environ.get("CONTENT_LENGTH") or len(body))
@@ -244,7 +244,9 @@
     return body
 
 
-def decode_document(body: bytes, document_type: type[Asked]) -> Asked:
+def decode_document(
+    body: bytes, document_type: type[RequestDocument]
+) -> RequestDocument:
     """Decode a JSON document, strictly."""
     step = "read document"
     try:
--- a/packages/operators/src/cowslipshelf_operators/internal/client.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/client.py
@@ -65,7 +65,7 @@
 
     def plan(self, document: PlanDocument) -> PlanAnswer | OutdatedAnswer:
         """Ask for a plan."""
-        reply = self.ask("POST", "/v1/plans", msgspec.json.encode(document))
+        reply = self.request("POST", "/v1/plans", msgspec.json.encode(document))
         if is_outdated(reply):
             return decode(reply, OutdatedAnswer)
         return decode_success(reply, PlanAnswer)
@@ -76,49 +76,49 @@
         """Put a plan in force."""
         body = msgspec.json.encode(ConfirmDocument(change_id))
         path = f"/v1/plans/{quote(plan_id, safe='')}/confirm"
-        reply = self.ask("POST", path, body)
+        reply = self.request("POST", path, body)
         if is_outdated(reply):
             return decode(reply, OutdatedAnswer)
         return decode_success(reply, ConfirmedAnswer)
 
     def state(self) -> StateAnswer:
         """Describe the fleet."""
-        return decode_success(self.ask("GET", "/v1/state"), StateAnswer)
+        return decode_success(self.request("GET", "/v1/state"), StateAnswer)
 
     def audit(
         self, since_index: int = 0, limit: int = DEFAULT_AUDIT_PAGE
     ) -> AuditAnswer:
         """Read a page of the audit trail."""
         query = urlencode({"since": since_index, "limit": limit})
-        return decode_success(self.ask("GET", f"/v1/audit?{query}"), AuditAnswer)
+        return decode_success(self.request("GET", f"/v1/audit?{query}"), AuditAnswer)
 
     def explain(self, kind: ExplainKind, name: str) -> ExplainAnswer:
         """Tell what happened to something."""
         path = f"/v1/explain/{kind}/{quote(name, safe='')}"
-        return decode_success(self.ask("GET", path), ExplainAnswer)
+        return decode_success(self.request("GET", path), ExplainAnswer)
 
     def suspects(self) -> SuspectsAnswer:
         """List the requests under which upstreams ended."""
-        return decode_success(self.ask("GET", "/v1/suspects"), SuspectsAnswer)
+        return decode_success(self.request("GET", "/v1/suspects"), SuspectsAnswer)
 
     def release(self, digest: str) -> SuspectsAnswer:
         """Let a request go that is held back, and tell which are left."""
         path = f"/v1/suspects/{quote(digest, safe='')}/release"
-        return decode_success(self.ask("POST", path), SuspectsAnswer)
+        return decode_success(self.request("POST", path), SuspectsAnswer)
 
     def ready(self, address: str) -> HealthAnswer:
         """Tell whether one instance is ready."""
-        reply = self.ask_address(address, "GET", "/readyz", None)
+        reply = self.request_address(address, "GET", "/readyz", None)
         return decode(reply, HealthAnswer)
 
-    def ask(self, method: str, path: str, body: bytes | None = None) -> HttpReply:
+    def request(self, method: str, path: str, body: bytes | None = None) -> HttpReply:
         """Ask the addresses in turn until one answers and is ready."""
         step = f"{method} {path}"
         failures: list[str] = []
         unready: HttpReply | None = None
         for address in self.config.addresses:
             try:
-                reply = self.ask_address(address, method, path, body)
+                reply = self.request_address(address, method, path, body)
             except ClientError as error:
                 failures.append(f"{address}: {error.detail}")
                 continue
@@ -130,7 +130,7 @@
         peers = ", ".join(self.config.addresses)
         raise ClientError(step, peers, "; ".join(failures) or "no address is given")
 
-    def ask_address(
+    def request_address(
         self, address: str, method: str, path: str, body: bytes | None
     ) -> HttpReply:
         """Ask one address; `ClientError` where it can't be reached or breaks off."""
--- a/packages/operators/src/cowslipshelf_operators/internal/connections.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/connections.py
@@ -13,8 +13,8 @@
 from cowslipshelf_operators.internal.settings import ANSWER_SECONDS
 
 STATUS_DIGITS = 3
-DRAIN_SECONDS = 1.0
-DRAIN_BLOCK_BYTES = 65_536
+DISCARD_SECONDS = 1.0
+DISCARD_BLOCK_BYTES = 65_536
 TIMED_OUT = "timed out"
 """The words by which the server tells a timeout from a broken socket."""
 
@@ -44,25 +44,25 @@
 
     @contextlib.contextmanager
     def until_deadline(self) -> Iterator[None]:
-        """Shorten the socket's patience to what is left."""
-        patience = self.connection.gettimeout()
+        """Shorten the socket's timeout to what is left."""
+        timeout = self.connection.gettimeout()
         remaining = self.deadline - time.monotonic()
         if remaining <= 0:
             raise TimeoutError(TIMED_OUT)
-        self.connection.settimeout(min(remaining, patience or remaining))
+        self.connection.settimeout(min(remaining, timeout or remaining))
         try:
             yield
         finally:
             if self.connection.fileno() >= 0:
-                self.connection.settimeout(patience)
+                self.connection.settimeout(timeout)
 
 
 class DeadlineReader(StreamReader):
     """Be the server's reader over a socket with a deadline."""
 
     def __init__(self, sock: socket.socket, mode: str, buffer_size: int) -> None:
-        self.limited = DeadlineSocket(sock, mode)
-        super(StreamReader, self).__init__(self.limited, buffer_size)
+        self.deadline_socket = DeadlineSocket(sock, mode)
+        super(StreamReader, self).__init__(self.deadline_socket, buffer_size)
         self.bytes_read = 0
 
 
@@ -70,8 +70,8 @@
     """Be the server's writer over a socket with a deadline."""
 
     def __init__(self, sock: socket.socket, mode: str, buffer_size: int) -> None:
-        self.limited = DeadlineSocket(sock, mode)
-        super(StreamWriter, self).__init__(self.limited, buffer_size)
+        self.deadline_socket = DeadlineSocket(sock, mode)
+        super(StreamWriter, self).__init__(self.deadline_socket, buffer_size)
         self.bytes_written = 0
 
 
@@ -119,23 +119,23 @@
     def communicate(self) -> bool:
         """Serve one request; tell whether the connection stays open."""
         now = time.monotonic()
-        self.rfile.limited.deadline = now + self.server.timeout
-        self.wfile.limited.deadline = now + self.server.timeout + ANSWER_SECONDS
+        self.rfile.deadline_socket.deadline = now + self.server.timeout
+        self.wfile.deadline_socket.deadline = now + self.server.timeout + ANSWER_SECONDS
         keep_open = super().communicate()
         if self.answered_early:
-            self.drain()
+            self.discard_input()
         return keep_open
 
-    def drain(self) -> None:
+    def discard_input(self) -> None:
         """Read on for a moment before closing.
 
         Closing with unread bytes makes the kernel reset the connection, and the
         client, still sending its oversized body, would never see why it was refused.
         """
-        until = time.monotonic() + DRAIN_SECONDS
+        until = time.monotonic() + DISCARD_SECONDS
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
             while (remaining := until - time.monotonic()) > 0:
                 self.socket.settimeout(remaining)
-                if not self.socket.recv(DRAIN_BLOCK_BYTES):
+                if not self.socket.recv(DISCARD_BLOCK_BYTES):
                     return
--- a/packages/operators/src/cowslipshelf_operators/internal/server.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/server.py
@@ -16,9 +16,9 @@
 
 LOGGER = logging.getLogger(__name__)
 SERVER_NAME = "cowslipshelf"
-QUEUE_PATIENCE_SECONDS = 0.05
+QUEUE_TIMEOUT_SECONDS = 0.05
 """The thread that accepts connections waits no longer for a place in the queue."""
-STOP_SECONDS = 5
+STOP_TIMEOUT_SECONDS = 5
 
 
 class LimitedServer(Server):
@@ -40,9 +40,9 @@
             max=config.threads,
             server_name=SERVER_NAME,
             timeout=config.request_seconds,
-            shutdown_timeout=STOP_SECONDS,
+            shutdown_timeout=STOP_TIMEOUT_SECONDS,
             accepted_queue_size=config.max_waiting_connections,
-            accepted_queue_timeout=QUEUE_PATIENCE_SECONDS,
+            accepted_queue_timeout=QUEUE_TIMEOUT_SECONDS,
         )
         self.max_request_header_size = config.max_header_bytes
         self.max_request_body_size = config.max_body_bytes
@@ -109,4 +109,4 @@
         """Stop listening, and give running requests a few seconds."""
         self.server.stop()
         if self.thread is not None:
-            self.thread.join(STOP_SECONDS)
+            self.thread.join(STOP_TIMEOUT_SECONDS)
--- a/packages/operators/src/cowslipshelf_operators/internal/settings.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/settings.py
@@ -4,12 +4,12 @@
 
 from cowslipshelf_core.identifiers import OperatorName
 
-MOST_BODY_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 """Holds a whole wanted state of some ten thousand customers."""
-MOST_HEADER_BYTES = 16 * 1024
+MAX_HEADER_BYTES = 16 * 1024
 ANSWER_SECONDS = 30.0
 """Time for an answer to be worked out and taken by the client."""
-MOST_AUDIT_PAGE = 1_000
+MAX_AUDIT_PAGE = 1_000
 DEFAULT_AUDIT_PAGE = 100
 
 
@@ -27,8 +27,8 @@
     listen_address: str
     """IP:port; port 0 lets the kernel choose one."""
     key_hashes: tuple[OperatorKey, ...]
-    max_body_bytes: int = MOST_BODY_BYTES
-    max_header_bytes: int = MOST_HEADER_BYTES
+    max_body_bytes: int = MAX_BODY_BYTES
+    max_header_bytes: int = MAX_HEADER_BYTES
     request_seconds: float = 10.0
     """Time for a request to arrive whole; a slower client is cut off."""
     threads: int = 8
--- a/tests/common/callers_http.py
+++ b/tests/common/callers_http.py
@@ -8,7 +8,7 @@
 from cowslipshelf_callers import CallersServer, CallersServerConfig, ServedModel
 from cowslipshelf_core.errors import Refusal
 
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 CHAT = "/v1/chat/completions"
 CHAT_BODY = (
     b'{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}'
@@ -18,24 +18,24 @@
 
 @dataclass
 class RecordingHandler:
-    """Give each call the same pieces, and keep what came."""
+    """Give each call the same chunks, and keep what came."""
 
-    pieces: tuple[bytes, ...] = (b"data: 1\n\n", b"data: [DONE]\n\n")
+    chunks: tuple[bytes, ...] = (b"data: 1\n\n", b"data: [DONE]\n\n")
     headers: tuple[tuple[str, str], ...] = SSE
     refusal: Refusal | None = None
     calls: list = field(default_factory=list)
 
     def answer(self, call, writer) -> None:
-        """Write the pieces, then the end or the refusal."""
+        """Write the chunks, then the end or the refusal."""
         self.calls.append(call)
-        if self.pieces or self.refusal is None:
+        if self.chunks or self.refusal is None:
             writer.head(200, self.headers)
-        for piece in self.pieces:
+        for piece in self.chunks:
             writer.chunk(piece)
         if self.refusal is None:
             writer.end()
         else:
-            writer.refusal(self.refusal, bool(self.pieces))
+            writer.refusal(self.refusal, bool(self.chunks))
 
     def models(self, customer_key: str) -> tuple[ServedModel, ...]:
         """List one model."""
@@ -71,7 +71,7 @@
 def connect(server: CallersServer) -> socket.socket:
     """Open a connection that gives up after a long time."""
     host, port = server.address.split(":")
-    return socket.create_connection((host, int(port)), timeout=PATIENCE_SECONDS)
+    return socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
 
 
 def request_bytes(method: str, path: str, body: bytes = b"", **headers: str) -> bytes:
--- a/tests/cover/callers/conftest.py
+++ b/tests/cover/callers/conftest.py
@@ -16,6 +16,6 @@
 @pytest.fixture(scope="module")
 def refusing():
     """Serve with a handler that refuses what it is set to."""
-    handler = RecordingHandler(pieces=())
+    handler = RecordingHandler(chunks=())
     with running_server(handler) as server:
         yield server, handler
--- a/tests/cover/callers/test_callers_server.py
+++ b/tests/cover/callers/test_callers_server.py
@@ -105,24 +105,24 @@
 
 
 class BrokenHandler(RecordingHandler):
-    """Fail after the pieces, as a programming error would."""
+    """Fail after the chunks, as a programming error would."""
 
     def answer(self, _call, writer) -> None:
-        for piece in self.pieces:
+        for piece in self.chunks:
             writer.head(200, self.headers)
             writer.chunk(piece)
         raise TimeoutError("a fault of ours")
 
 
-@pytest.mark.parametrize("pieces", [(), (b"data: 1\n\n",)])
-def test_a_fault_of_ours_is_told_as_an_unknown_outcome(pieces):
+@pytest.mark.parametrize("chunks", [(), (b"data: 1\n\n",)])
+def test_a_fault_of_ours_is_told_as_an_unknown_outcome(chunks):
     """Our own code fails on a call, before or after its answer has begun.
 
     The caller must not take a quiet end for a whole answer, nor our fault for its own.
     """
-    with running_server(BrokenHandler(pieces)) as server:
+    with running_server(BrokenHandler(chunks)) as server:
         reply = ask(server, request_bytes("POST", CHAT, CHAT_BODY))
-    assert reply.status == (200 if pieces else 502)
+    assert reply.status == (200 if chunks else 502)
     assert b'"code":"outcome_unknown"' in reply.raw_body
 
 
--- a/tests/cover/callers/test_model_call.py
+++ b/tests/cover/callers/test_model_call.py
@@ -7,8 +7,8 @@
 
 from cowslipshelf_callers.internal.model_call import (
     PREFIX_BYTES,
-    read_chat,
-    read_completion,
+    parse_chat,
+    parse_completion,
 )
 
 TEXTS = st.text(st.characters(codec="utf-8"), max_size=60)
@@ -23,8 +23,8 @@
     chat = {"model": "m", "messages": messages, "max_tokens": most, "other": [1]}
     completion = {"model": "m", "prompt": texts, "max_tokens": most}
     for facts in (
-        read_chat(json.dumps(chat).encode()),
-        read_completion(json.dumps(completion).encode()),
+        parse_chat(json.dumps(chat).encode()),
+        parse_completion(json.dumps(completion).encode()),
     ):
         assert 4 * facts.prompt_tokens - 3 <= size <= 4 * facts.prompt_tokens
         assert facts.max_output_tokens == most
@@ -34,7 +34,7 @@
 @settings(deadline=None, derandomize=True)
 def test_token_ids_are_counted_exactly(ids, nested):
     body = {"model": "m", "prompt": [ids] if nested else ids}
-    assert read_completion(json.dumps(body).encode()).prompt_tokens == len(ids)
+    assert parse_completion(json.dumps(body).encode()).prompt_tokens == len(ids)
 
 
 @given(TEXTS, TEXTS)
@@ -42,7 +42,9 @@
 def test_prompts_share_a_hash_where_they_share_their_start(one, other):
     start = "s" * PREFIX_BYTES
     hashes = {
-        read_completion(json.dumps({"model": "m", "prompt": text}).encode()).prefix_hash
+        parse_completion(
+            json.dumps({"model": "m", "prompt": text}).encode()
+        ).prefix_hash
         for text in (start + one, start + other)
     }
     assert len(hashes) == 1
--- a/tests/cover/callers/test_slow_callers.py
+++ b/tests/cover/callers/test_slow_callers.py
@@ -7,7 +7,7 @@
 from common.callers_http import (
     CHAT,
     CHAT_BODY,
-    PATIENCE_SECONDS,
+    TIMEOUT_SECONDS,
     RecordingHandler,
     ask,
     connect,
@@ -54,7 +54,7 @@
 
 def _wait_until_idle(server) -> None:
     waited = threading.Event()
-    for _ in range(int(PATIENCE_SECONDS / 0.02)):
+    for _ in range(int(TIMEOUT_SECONDS / 0.02)):
         if server.open_calls() == 0:
             return
         waited.wait(0.02)
@@ -122,7 +122,7 @@
         running = [connect(server) for _ in range(3)]
         for connection in running:
             connection.sendall(request_bytes("POST", CHAT, CHAT_BODY))
-        for _ in range(int(PATIENCE_SECONDS / 0.02)):
+        for _ in range(int(TIMEOUT_SECONDS / 0.02)):
             if server.open_calls() == 3:
                 break
             handler.left.wait(0.02)
@@ -154,7 +154,7 @@
     with running_server(handler) as server:
         with connect(server) as connection:
             connection.sendall(request_bytes("POST", CHAT, CHAT_BODY))
-        assert handler.left.wait(PATIENCE_SECONDS)
+        assert handler.left.wait(TIMEOUT_SECONDS)
         _wait_until_idle(server)
 
 
