--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -199,7 +199,7 @@
         request = UpstreamRequest("read orders", "GET", "/v1/orders")
         return self.ask_for(request, EngineOrders)
 
-    def give_order(self, order: EngineOrder) -> OrderResult:
+    def send_order(self, order: EngineOrder) -> OrderResult:
         """Give an order and wait until it is done or refused as old."""
         body = msgspec.json.encode(order)
         request = UpstreamRequest("order", "POST", "/v1/orders", body=body)
@@ -244,9 +244,9 @@
             peer = self.connections.peer
             raise UpstreamLostError(request.step, peer, str(error)) from error
 
-    def is_gone(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Tell whether nothing listens at the upstream's address any more."""
-        return self.connections.is_refused()
+        return self.connections.refuses_connections()
 
     def close(self) -> None:
         """Close idle connections; streams that run are not touched."""
