--- a/packages/callers/src/cowslipshelf_callers/__init__.py
+++ b/packages/callers/src/cowslipshelf_callers/__init__.py
@@ -1,4 +1,4 @@
-"""Serve the callers over HTTP."""
+"""Serve callers over HTTP."""
 
 from cowslipshelf_callers.errors import BadCallError, CallerGoneError
 from cowslipshelf_callers.internal.answer_writer import AnswerWriter
--- a/packages/callers/src/cowslipshelf_callers/errors.py
+++ b/packages/callers/src/cowslipshelf_callers/errors.py
@@ -1,10 +1,10 @@
-"""Define the errors that arise towards callers."""
+"""Define the errors of the interface that callers use."""
 
 from cowslipshelf_core.errors import Refusal
 
 
 class CallerGoneError(Exception):
-    """Say that a caller closed its connection, or stopped reading its answer."""
+    """Report that a caller closed its connection or stopped reading its answer."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step}: caller {peer}: {detail}")
@@ -14,10 +14,10 @@
 
 
 class BadCallError(Exception):
-    """Say what is wrong with a call, as the refusal that its caller gets."""
+    """Carry the refusal to send for a call that cannot be accepted."""
 
     def __init__(self, refusal: Refusal, status: int | None = None) -> None:
         super().__init__(f"{refusal.step}: {refusal.detail}")
         self.refusal = refusal
         self.status = status
-        """HTTP status where the refusal's reason does not give it."""
+        """HTTP status, if it is not the one that the refusal's reason gives."""
--- a/packages/callers/src/cowslipshelf_callers/internal/__init__.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the public modules of the package export."""
+"""Contain the implementation; import from `cowslipshelf_callers` instead."""
--- a/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
@@ -1,4 +1,4 @@
-"""Write one answer to one caller, as it comes."""
+"""Write the answer to one call to the caller's socket."""
 
 import socket
 from dataclasses import dataclass
@@ -26,36 +26,38 @@
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 EVENT_STREAM = "text/event-stream"
 LINE_BREAKS = frozenset("\r\n")
-"""A header that holds one could forge others."""
+"""A header value that contains one could inject other headers."""
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 @dataclass(slots=True)
 class AnswerWriter:
-    """Send head, chunks and end over a caller's socket, each at once.
+    """Write the head, chunks and end of an answer without queueing them.
 
-    Nothing is queued: a caller that stops reading holds up its own thread, until the
-    kernel's buffer is full and the time for one piece has passed.
+    A caller that stops reading blocks only its own thread: the kernel's buffer fills
+    up, then the time limit for one chunk passes.
     """
 
     socket: socket.socket
     peer: str
     request_id: RequestId
     write_seconds: float
+    """Time limit for the caller to take one chunk."""
     method: str
     allows_chunked: bool
-    """False for HTTP/1.0, where the end of the connection ends the body."""
+    """False for HTTP/1.0, where closing the connection ends the body."""
     keep_alive: bool
     head_sent: bool = False
     ended: bool = False
     is_event_stream: bool = False
     has_body: bool = True
     pending_head: bytes = b""
-    """The head, until there is something to send it with."""
+    """The encoded head, until it is sent together with the first data."""
     is_nonblocking: bool = False
+    """Whether the timeout of the socket is zero."""
 
     def head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        """Begin the answer; the head goes out together with what follows it."""
+        """Start the answer; its head is sent together with the data that follows."""
         kept = [
             (name, value)
             for name, value in headers
@@ -73,7 +75,7 @@
         self.pending_head = self.head_bytes(status, kept)
 
     def chunk(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send one chunk of the body."""
         if not data or not self.has_body:
             return
         if self.allows_chunked:
@@ -81,17 +83,17 @@
         self.send("answer", data)
 
     def end(self) -> None:
-        """End a whole answer."""
+        """End a complete answer."""
         self.ended = True
         last = LAST_CHUNK if self.has_body and self.allows_chunked else b""
         if last or self.pending_head:
             self.send("end", last)
 
     def refusal(self, refusal: Refusal, head_sent: bool) -> None:
-        """Send a refusal, in place of the answer or inside the one that began.
+        """Send a refusal in place of the answer, or within one that has started.
 
-        A body of events ends with an event that says what happened. Other bodies have
-        no place for that: they are cut, which every HTTP client reports as an error.
+        An event stream ends with an error event. Other bodies have no place for an
+        error: they are truncated, which every HTTP client reports as an error.
         """
         self.ended = True
         if not head_sent and not self.head_sent:
@@ -105,7 +107,7 @@
             self.send("answer", b"")
 
     def send_refusal(self, refusal: Refusal, status: int | None = None) -> None:
-        """Send a refusal that is the whole answer; its reason gives the status."""
+        """Send a refusal as the whole answer; its reason gives a missing status."""
         response = error_response(refusal, self.request_id, status)
         headers = [*response.headers, ("Content-Length", str(len(response.body)))]
         body = b"" if self.method == "HEAD" else response.body
@@ -114,7 +116,7 @@
         self.send("refusal", head + body)
 
     def head_bytes(self, status: int, headers: list[tuple[str, str]]) -> bytes:
-        """Write the status line and the headers."""
+        """Encode the status line and the headers, and record the head as sent."""
         self.head_sent = True
         lines = [f"HTTP/1.1 {status} {_phrase(status)}"]
         lines.extend(f"{name}: {value}" for name, value in headers)
@@ -125,10 +127,11 @@
         return text.encode("latin-1", "replace")
 
     def caller_gone(self) -> bool:
-        """Look, without waiting, whether the caller has closed its connection.
+        """Tell, without waiting, whether the caller has closed its connection.
 
-        A socket with a timeout waits for it even where a flag asks it not to, and
-        then reports a quiet caller as gone. So the timeout is put to zero first.
+        A socket with a timeout waits for that long in `recv`, even with a flag not to
+        wait, and then raises: a caller that sends nothing would count as gone. So the
+        timeout is set to zero first.
         """
         try:
             self.make_nonblocking()
@@ -139,7 +142,7 @@
             return True
 
     def send(self, step: str, data: bytes) -> None:
-        """Send bytes, after what was held back, within the time for one piece."""
+        """Send the pending head and the data within the time limit for one chunk."""
         if self.pending_head:
             data = self.pending_head + data
             self.pending_head = b""
@@ -153,20 +156,20 @@
             raise CallerGoneError(step, self.peer, str(error)) from error
 
     def make_nonblocking(self) -> None:
-        """Let the socket return at once; a timed one costs two more system calls."""
+        """Set the timeout to zero; any other costs two more system calls."""
         if not self.is_nonblocking:
             self.socket.settimeout(0.0)
             self.is_nonblocking = True
 
     def send_nonblocking(self, data: bytes) -> int:
-        """Send what the kernel's buffer takes now; nearly always that is all."""
+        """Send what fits in the kernel's buffer, which is nearly always all."""
         try:
             return self.socket.send(data)
         except BlockingIOError:
             return 0
 
     def send_blocking(self, data: bytes) -> None:
-        """Wait for a caller that reads slowly, but for one piece's time at most."""
+        """Wait for a slow caller, up to the time limit for one chunk."""
         self.is_nonblocking = False
         self.socket.settimeout(self.write_seconds)
         self.socket.sendall(data)
--- a/packages/callers/src/cowslipshelf_callers/internal/call.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/call.py
@@ -1,4 +1,4 @@
-"""Describe a call as it was parsed, before anybody decided about it."""
+"""Define a call as it was parsed, before authentication and admission."""
 
 from typing import NamedTuple
 
@@ -7,13 +7,13 @@
 
 
 class CallerCall(NamedTuple):
-    """Be one call of a caller; its key is not checked yet."""
+    """Hold one call of a caller; its key has not been checked yet."""
 
     request_id: RequestId
     customer_key: str
-    """The key as it was sent; compare its hash, and never log it."""
+    """The key as sent; compare only its hash, and never log it."""
     service: ServiceName | None
-    """None where neither the path nor a header names one."""
+    """None if neither the path nor a header names one."""
     kind: ServiceKind
     model: ModelName
     """Empty for a plain service."""
@@ -21,19 +21,19 @@
     path: str
     """Path and query for the upstream."""
     headers: tuple[tuple[str, str], ...]
-    """Headers for the upstream; the customer's key is not among them."""
+    """Headers for the upstream, without the customer's key."""
     body: bytes
     body_digest: str
     """Hex BLAKE2b of method, service, path and body."""
     streamed: bool
     prompt_tokens: int
-    """Estimated from the prompt's size; zero for a plain service."""
+    """Estimated from the size of the prompt; zero for a plain service."""
     max_output_tokens: int
     prefix_hash: int
-    """Stable 64-bit hash of the start of the prompt; zero without one."""
+    """Stable 64-bit hash of the start of the prompt; zero without a prompt."""
     idempotency_key: str | None
     deadline_seconds: float | None
-    """None where the service's default holds."""
+    """None for the default of the service."""
     peer: str
     """Address of the caller."""
 
--- a/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
@@ -1,7 +1,7 @@
-"""Read a body in chunks, with a bound on everything that a caller can send.
+"""Read a body with chunked encoding, with a limit on every part of it.
 
-The HTTP library's own reader bounds the data but not the lines between: a line without
-an end would grow in memory for as long as its caller cares to send it.
+The HTTP library's own reader limits the data but not the lines between the chunks: a
+line without an end would grow in memory for as long as its caller keeps sending.
 """
 
 import re
@@ -17,7 +17,7 @@
 
 
 def too_large(limit: int) -> BadCallError:
-    """Refuse a body above the limit."""
+    """Return the error for a body above the limit."""
     detail = f"a body may have {limit} bytes"
     return BadCallError(
         Refusal(RefusalCode.NOT_RUN, RefusalReason.TOO_LARGE, "parse", detail=detail)
@@ -25,7 +25,7 @@
 
 
 def read_chunked(reader: BufferedReader, limit: int) -> bytes:
-    """Read to the end of the body; raises ValueError where its form is wrong."""
+    """Read the body to its end; raises ValueError if it is malformed."""
     parts: list[bytes] = []
     size = 0
     while length := _chunk_length(reader):
--- a/packages/callers/src/cowslipshelf_callers/internal/connection.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/connection.py
@@ -1,7 +1,7 @@
-"""Read callers' sockets with a deadline for each call as a whole.
+"""Read callers' sockets with one deadline for each whole call.
 
-A timeout for each read alone would let a caller that sends one byte now and then hold
-a thread for ever. The time counts from the first byte of a call to its last.
+With a timeout for each read, a caller that sends a byte now and then could hold a
+thread forever. The time runs from the first byte of a call to its last.
 """
 
 import io
@@ -17,20 +17,21 @@
 
 
 class DeadlineSocketReader(io.RawIOBase):
-    """Be the read side of a socket, until a deadline that moves with each call."""
+    """Read from a socket until a deadline, which is set anew for each call."""
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__()
         self.sock = sock
         self.deadline = float("inf")
         self.may_read = True
+        """False while `has_data` looks at the buffer alone."""
 
     def readable(self) -> bool:
-        """Tell that this can be read."""
+        """Return True, since the stream supports reading."""
         return True
 
     def readinto(self, buffer) -> int | None:
-        """Read what has arrived, or wait for it until the deadline."""
+        """Read what has arrived, or wait for data until the deadline."""
         if not self.may_read:
             return None
         left = self.deadline - time.monotonic()
@@ -41,13 +42,13 @@
 
 
 class CallReader(io.BufferedReader):
-    """Buffer a caller's socket."""
+    """Buffer what is read from a caller's socket."""
 
     bytes_read = 0
-    """Asked for by the server's statistics, which stay off."""
+    """Required by the statistics of the HTTP library, which stay off."""
 
     def has_data(self) -> bool:
-        """Tell whether bytes of a next call are in the buffer already."""
+        """Tell whether the buffer already holds data of a next call."""
         self.raw.may_read = False
         try:
             return bool(self.peek(1))
@@ -56,7 +57,7 @@
 
 
 class SocketWriter:
-    """Be the write side that the HTTP library needs for its interim answers."""
+    """Write the interim answers of the HTTP library to a socket."""
 
     bytes_written = 0
 
@@ -64,22 +65,23 @@
         self.sock = sock
 
     def write(self, data: bytes) -> int:
-        """Send bytes at once."""
+        """Send all of the data."""
         self.sock.sendall(data)
         return len(data)
 
 
 def make_socket_file(sock: socket.socket, mode: str, _buffer_size: int = 0):
-    """Make the reading or the writing side of a socket."""
+    """Return the reader or the writer of a socket."""
     if "r" in mode:
         return CallReader(DeadlineSocketReader(sock), READ_BUFFER_BYTES)
     return SocketWriter(sock)
 
 
 class CallerConnection(HTTPConnection):
-    """Carry one call after another; waits between them without a thread."""
+    """Serve one call after another; waiting between calls takes no thread."""
 
     was_registered = False
+    """Whether the server has registered it to wait for its first call."""
 
     def __init__(self, server, sock, _makefile=None) -> None:
         super().__init__(server, sock, make_socket_file)
@@ -88,17 +90,18 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
 
     def communicate(self) -> bool:
-        """Read one call and answer it; True where the connection may carry more."""
+        """Read and answer one call; return whether the connection may serve more."""
         limit = self.server.config.request_seconds
         self.rfile.raw.deadline = time.monotonic() + limit
         return super().communicate()
 
     def close(self) -> None:
-        """Close so that the caller can still read what it was last sent.
+        """Close so that the caller can still read the last answer.
 
-        Closing a socket with unread bytes resets the connection, and the reset
+        Closing a socket with unread data resets the connection, and the reset
         overtakes the answer: a caller refused while it still sends would never see
-        the refusal. So the rest is read away first, within bounds.
+        the refusal. So the rest of the input is read and discarded first, within
+        limits of time and size.
         """
         if self.linger:
             discard_input(self.socket)
@@ -107,7 +110,7 @@
 
 
 def discard_input(sock: socket.socket) -> None:
-    """Read and forget what a caller still sends, within bounds."""
+    """Read and discard what a caller still sends, up to a time and size limit."""
     until = time.monotonic() + LINGER_SECONDS
     seen = 0
     try:
--- a/packages/callers/src/cowslipshelf_callers/internal/handler.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/handler.py
@@ -1,4 +1,4 @@
-"""Say what the server needs from whoever decides about calls."""
+"""Define the interface through which the server has calls answered."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
     """Answer calls; called from many threads at once, one for each open call."""
 
     def answer(self, call: CallerCall, writer: AnswerWriter) -> None:
-        """Write the call's one answer, and return when it is ended."""
+        """Write the one answer to the call, and return when it has ended."""
 
     def models(self, customer_key: str) -> tuple[ServedModel, ...] | Refusal:
         """List the models that the customer may use."""
--- a/packages/callers/src/cowslipshelf_callers/internal/http_request.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/http_request.py
@@ -1,4 +1,4 @@
-"""Check one HTTP request, answer it through the handler, or refuse it."""
+"""Parse one HTTP request, and answer it through the handler or refuse it."""
 
 import logging
 import secrets
@@ -30,35 +30,36 @@
     "answer",
     detail="the answer was not ended",
 )
-"""What a caller gets where an answer would have ended quietly, as a whole one does."""
+"""Sent if an answer would otherwise stop without an error and look complete."""
 SINGLE_VALUE_HEADERS = frozenset({b"Content-Length", b"Host", b"Authorization"})
 TOO_LARGE_STATUSES = frozenset({413, 414})
 
 
 def new_request_id() -> RequestId:
-    """Draw the id that every hop and the answer carry."""
+    """Return a new random id, which every hop and the answer carry."""
     return RequestId(f"req-{secrets.token_hex(REQUEST_ID_BYTES)}")
 
 
 class CallHeaders(dict):
-    """Hold the headers of a call; refuse a second length.
+    """Hold the headers of a call; reject repeated headers that must be unique.
 
-    A balancer may go by the first and we by the last: then bytes that it takes for
-    the body of one caller's call would begin another call here.
+    A load balancer may use the first Content-Length and this server the last. Then
+    bytes that the balancer takes for the body of one caller's call would be parsed
+    here as another call (request smuggling).
     """
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
-        """Take a header; raises ValueError where its repetition is no list."""
+        """Set a header; raises ValueError if it repeats one that must be unique."""
         if name in self and name in SINGLE_VALUE_HEADERS:
             raise ValueError(f"repeated header {name.decode()}")
         super().__setitem__(name, value)
 
 
 class CallerRequestReader(HTTPRequest):
-    """Parse a request line and headers; refuse in the published error shape."""
+    """Parse the request line and headers; send errors in the published shape."""
 
     def read_request_line(self) -> bool:
-        """Read the request line; a malformed one is the caller's fault."""
+        """Read the request line; answer 400 to a malformed one."""
         try:
             return super().read_request_line()
         except ValueError as error:
@@ -66,14 +67,14 @@
             return False
 
     def read_request_headers(self) -> bool:
-        """Read the headers; refuse what two servers could read in two ways."""
+        """Read the headers; refuse what two servers could interpret differently."""
         self.inheaders = CallHeaders()
         try:
             if not super().read_request_headers():
                 return False
         except UnboundLocalError:
-            # The library takes a continuation line without a header before it for a
-            # fault of its own, and would answer with 500.
+            # The library fails on a continuation line without a header before it, and
+            # would answer 500.
             self.simple_response("400 Bad Request", "a header begins with white space")
             return False
         length = self.inheaders.get(b"Content-Length")
@@ -88,7 +89,7 @@
         return True
 
     def simple_response(self, status, msg="") -> None:
-        """Refuse with the JSON that callers get for every other refusal."""
+        """Refuse with the JSON shape that all refusals have; the library calls this."""
         number = int(str(status)[:3])
         self.close_connection = True
         self.conn.linger = True
@@ -101,7 +102,7 @@
             LOG.debug("callers: %s", error)
 
     def writer(self, request_id: RequestId) -> AnswerWriter:
-        """Make the writer for this request's one answer."""
+        """Return the writer for the one answer to this request."""
         return AnswerWriter(
             socket=self.conn.socket,
             peer=f"{self.conn.remote_addr}:{self.conn.remote_port}",
@@ -124,12 +125,12 @@
 
 
 class CallResponder(Gateway):
-    """Answer one parsed request."""
+    """Answer one parsed request, in the role that the HTTP library calls gateway."""
 
     req: CallerRequestReader
 
     def respond(self) -> None:
-        """Answer, and decide whether the connection can carry another call."""
+        """Answer, and decide whether the connection can serve another call."""
         request = self.req
         request.sent_headers = True
         if not request.server.may_keep_connections():
@@ -140,7 +141,7 @@
         request.chunked_write = False
 
     def answer_or_refuse(self, writer: AnswerWriter) -> None:
-        """Answer; whatever happens, the caller gets one explicit end."""
+        """Answer the call; on any failure, the caller still gets one explicit end."""
         try:
             self.answer(writer)
         except CallerGoneError as error:
@@ -156,7 +157,7 @@
             self.refuse(writer, BadCallError(ANSWER_NOT_ENDED))
 
     def refuse(self, writer: AnswerWriter, error: BadCallError) -> None:
-        """Refuse a call; what the caller still sends stays unread."""
+        """Refuse a call and close its connection without parsing the rest."""
         writer.keep_alive = False
         self.req.conn.linger = True
         try:
@@ -168,7 +169,7 @@
             LOG.info("callers: %s", gone)
 
     def answer(self, writer: AnswerWriter) -> None:
-        """Parse the call and give it to the handler."""
+        """Parse the call and pass it to the handler."""
         line = self.request_line(writer.peer)
         key = customer_key_of(line.headers)
         if line.path == MODELS_PATH and line.method == "GET":
@@ -181,7 +182,7 @@
         self.req.server.handler.answer(call, writer)
 
     def request_line(self, peer: str) -> RequestLine:
-        """Give the request line and headers as text."""
+        """Return the request line and the headers as text."""
         request = self.req
         uri = urllib.parse.urlsplit(request.uri.decode("latin-1"))
         headers = {
@@ -192,7 +193,7 @@
         return RequestLine(method, uri.path, uri.query, headers, peer)
 
     def read_body(self) -> bytes:
-        """Read the whole body, within the limits of size and time."""
+        """Read the whole body within the limits on size and time."""
         request = self.req
         limit = request.server.config.max_body_bytes
         try:
@@ -206,7 +207,7 @@
             raise bad_request(f"malformed chunked body: {error}") from error
 
     def read_known_length(self) -> bytes:
-        """Read as many bytes as were announced."""
+        """Read a body with the length that Content-Length gives."""
         length = int(self.req.inheaders.get(b"Content-Length", b"0"))
         if not length:
             return b""
--- a/packages/callers/src/cowslipshelf_callers/internal/model_call.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/model_call.py
@@ -1,6 +1,6 @@
-"""Read what routing needs from the body of a model call.
+"""Parse what routing needs from the body of a model call.
 
-Only the needed fields are decoded; the body goes to the engine as it came.
+Only the needed fields are decoded; the body is forwarded to the engine unchanged.
 """
 
 from hashlib import blake2b
@@ -13,10 +13,10 @@
 from cowslipshelf_core.identifiers import ModelName
 
 BYTES_PER_TOKEN = 4
-"""Common estimate for text; the engine counts exactly."""
+"""Usual estimate for text; the engine counts exactly."""
 DEFAULT_OUTPUT_TOKENS = 256
 PREFIX_BYTES = 2048
-"""How much of a prompt tells which cached prefix it may share."""
+"""Length of the start of a prompt that identifies the cached prefix it may share."""
 HASH_BYTES = 8
 
 PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=16_777_216)]
@@ -24,20 +24,20 @@
 
 
 class ContentPart(msgspec.Struct):
-    """Be a part of a message; parts other than text count nothing."""
+    """Hold one part of a message; parts other than text are not counted."""
 
     text: str = ""
 
 
 class ChatMessage(msgspec.Struct):
-    """Be one message of a conversation."""
+    """Hold one message of a conversation."""
 
     role: str
     content: str | list[ContentPart] | None = None
 
 
 class ModelCallBody(msgspec.Struct):
-    """Hold the fields that both model calls share."""
+    """Hold the fields that both kinds of model calls share."""
 
     model: ModelField
     stream: bool | None = None
@@ -47,19 +47,19 @@
 
 
 class ChatBody(ModelCallBody, kw_only=True):
-    """Be the body of a chat completion."""
+    """Hold the body of a chat completion."""
 
     messages: Annotated[list[ChatMessage], msgspec.Meta(min_length=1)]
 
 
 class CompletionBody(ModelCallBody, kw_only=True):
-    """Be the body of a completion; a prompt is text, texts or lists of token ids."""
+    """Hold the body of a completion; a prompt is text, texts or lists of token ids."""
 
     prompt: str | list[str | int | list[int]]
 
 
 class ModelCallFacts(NamedTuple):
-    """Be what routing needs to know of a model call."""
+    """Hold what routing needs to know about a model call."""
 
     model: ModelName
     streamed: bool
@@ -73,14 +73,14 @@
 
 
 def parse_chat(body: bytes) -> ModelCallFacts:
-    """Read a chat completion's body."""
+    """Parse the body of a chat completion."""
     decoded = _decode(CHAT_DECODER, body)
     texts = [text for message in decoded.messages for text in _texts(message)]
     return _facts(decoded, estimate_tokens(texts), hash_prefix(texts))
 
 
 def parse_completion(body: bytes) -> ModelCallFacts:
-    """Read a completion's body."""
+    """Parse the body of a completion."""
     decoded = _decode(COMPLETION_DECODER, body)
     prompt = decoded.prompt
     if isinstance(prompt, str):
@@ -115,7 +115,7 @@
 
 
 def estimate_tokens(texts: list[str]) -> int:
-    """Estimate the tokens of all texts together."""
+    """Estimate the number of tokens of all texts together."""
     size = sum(_byte_length(text) for text in texts)
     return -(-size // BYTES_PER_TOKEN)
 
@@ -125,7 +125,7 @@
 
 
 def hash_prefix(texts: list[str]) -> int:
-    """Hash the start of the prompt; the same on every instance and after restarts."""
+    """Hash the start of the prompt; stable across instances and restarts."""
     start = b""
     for text in texts:
         if len(start) >= PREFIX_BYTES:
@@ -138,18 +138,18 @@
 
 
 def _facts(body: ModelCallBody, tokens: int, prefix_hash: int) -> ModelCallFacts:
-    most = body.max_completion_tokens or body.max_tokens or DEFAULT_OUTPUT_TOKENS
+    max_tokens = body.max_completion_tokens or body.max_tokens or DEFAULT_OUTPUT_TOKENS
     return ModelCallFacts(
         model=ModelName(body.model),
         streamed=bool(body.stream),
         prompt_tokens=tokens,
-        max_output_tokens=most * (body.n or 1),
+        max_output_tokens=max_tokens * (body.n or 1),
         prefix_hash=prefix_hash,
     )
 
 
 def _decode(decoder: msgspec.json.Decoder, body: bytes) -> ModelCallBody:
-    """Decode, or say at which byte or in which field the body is wrong."""
+    """Decode the body; the error names the byte or field that is wrong."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/packages/callers/src/cowslipshelf_callers/internal/model_list.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/model_list.py
@@ -1,4 +1,4 @@
-"""List the models that a customer may use, in the published shape."""
+"""List the models that a customer may use, in the published JSON shape."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class ListedModel(msgspec.Struct, frozen=True):
-    """Be one model of the list; `owned_by` names its service."""
+    """Describe one model; `owned_by` is the name of its service."""
 
     id: str
     owned_by: str
@@ -20,7 +20,7 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """Be the list as the published interface gives it."""
+    """Hold the list of models in the published JSON shape."""
 
     data: tuple[ListedModel, ...]
     object: str = "list"
@@ -29,7 +29,7 @@
 def write_models(
     models: tuple[ServedModel, ...] | Refusal, writer: AnswerWriter
 ) -> None:
-    """Write the list, or the refusal to list."""
+    """Write the list of models, or the refusal in place of it."""
     if isinstance(models, Refusal):
         writer.refusal(models, False)
         return
--- a/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
@@ -1,4 +1,4 @@
-"""Put refusals into the published error shape, with a status by their reason."""
+"""Convert refusals to the published error shape; their reason gives the status."""
 
 import math
 from typing import NamedTuple
@@ -52,7 +52,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Be the error object of the published shape."""
+    """Hold the error object of the published shape."""
 
     message: str
     type: str
@@ -70,7 +70,7 @@
 
 
 class RefusalResponse(NamedTuple):
-    """Be a refusal as it goes over HTTP."""
+    """Hold a refusal as an HTTP response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -78,14 +78,14 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Choose the HTTP status; only "not run" invites a retry by its status."""
+    """Return the HTTP status; only for "not run" is it one that invites a retry."""
     status = STATUS_BY_REASON[refusal.reason]
     if refusal.code is RefusalCode.NOT_RUN:
         return status
     if status in RETRYABLE_STATUSES:
         return BAD_GATEWAY
     if status == TOO_LARGE:
-        # Not the request is too large but its stored answer, which a resend asks for.
+        # The stored answer that a resend asks for is too large, not the request.
         return CONFLICT
     return status
 
@@ -93,24 +93,24 @@
 def error_response(
     refusal: Refusal, request_id: RequestId, status: int | None = None
 ) -> RefusalResponse:
-    """Write a refusal in place of an answer; its reason gives the status if none is."""
+    """Return a refusal as a response; its reason gives a missing status."""
     status = status or status_of(refusal)
     seconds = refusal.retry_after_seconds
     if status in RETRYABLE_STATUSES:
         seconds = max(seconds or 0.0, MIN_RETRY_AFTER_SECONDS)
     headers = [("Content-Type", "application/json")]
     if seconds is not None:
-        whole = math.ceil(max(seconds, MIN_RETRY_AFTER_SECONDS))
-        headers.append(("Retry-After", str(whole)))
+        whole_seconds = math.ceil(max(seconds, MIN_RETRY_AFTER_SECONDS))
+        headers.append(("Retry-After", str(whole_seconds)))
     if _must_not_retry(refusal):
-        # Published clients repeat most error statuses unless told not to.
+        # Published clients retry most error statuses unless told not to.
         headers.append(("X-Should-Retry", "false"))
     body = msgspec.json.encode(_document(refusal, status, request_id, seconds))
     return RefusalResponse(status, tuple(headers), body)
 
 
 def error_event(refusal: Refusal, request_id: RequestId) -> bytes:
-    """Write a refusal as an event of a stream that already began."""
+    """Encode a refusal as an event of a stream that has already started."""
     status = status_of(refusal)
     seconds = refusal.retry_after_seconds
     body = msgspec.json.encode(_document(refusal, status, request_id, seconds))
@@ -144,10 +144,10 @@
 
 
 def _message(refusal: Refusal) -> str:
-    claims = {
+    summaries = {
         RefusalCode.NOT_RUN: "The request did not run",
         RefusalCode.OUTCOME_UNKNOWN: "The request may have run",
         RefusalCode.FAILED: "The request did not finish",
     }
-    why = refusal.detail or refusal.reason.value.replace("_", " ")
-    return f"{claims[refusal.code]}: {why}."
+    cause = refusal.detail or refusal.reason.value.replace("_", " ")
+    return f"{summaries[refusal.code]}: {cause}."
--- a/packages/callers/src/cowslipshelf_callers/internal/routes.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/routes.py
@@ -1,4 +1,4 @@
-"""Turn a request line, headers and a body into a call."""
+"""Parse a request line, headers and a body into a call."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -40,7 +40,7 @@
 
 
 class RequestLine(NamedTuple):
-    """Be a request as HTTP gives it, before its body is read."""
+    """Hold the request line and the headers, before the body is read."""
 
     method: str
     path: str
@@ -51,14 +51,14 @@
 
 
 def bad_request(detail: str) -> BadCallError:
-    """Refuse a call that is wrong in itself."""
+    """Return the error for a malformed call."""
     return BadCallError(
         Refusal(RefusalCode.NOT_RUN, RefusalReason.BAD_REQUEST, "parse", detail=detail)
     )
 
 
 def customer_key_of(headers: Mapping[str, str]) -> str:
-    """Take the customer's key from its header."""
+    """Return the customer's key from the Authorization header."""
     value = headers.get("authorization", "")
     key = value[len(BEARER) :].strip()
     if not value.lower().startswith(BEARER) or not key:
@@ -70,20 +70,20 @@
 
 
 class Route(NamedTuple):
-    """Tell where a path leads."""
+    """Hold the service, the path and the body parser that a path leads to."""
 
     service: ServiceName | None
     path: str
-    reader: Callable[[bytes], ModelCallFacts] | None
-    """Reads a model call's body; None for a plain service."""
+    body_parser: Callable[[bytes], ModelCallFacts] | None
+    """Parses the body of a model call; None for a plain service."""
 
 
 def find_route(line: RequestLine) -> Route:
-    """Find what a path and method name, or refuse them."""
-    reader = BODY_PARSERS.get(line.path)
-    if reader is not None:
+    """Find the route for a path and method, or refuse the call."""
+    body_parser = BODY_PARSERS.get(line.path)
+    if body_parser is not None:
         _require_post(line)
-        return Route(_named_service(line), line.path, reader)
+        return Route(_named_service(line), line.path, body_parser)
     match = SERVICE_PATH.fullmatch(line.path)
     if match is None:
         detail = f"no such path: {line.path[:200]}"
@@ -98,8 +98,8 @@
     path = match[2] or "/"
     if any(part.lower() in DOT_SEGMENTS for part in path.split("/")):
         raise bad_request("a path must not have '.' or '..' segments")
-    reader = BODY_PARSERS.get(path) if line.method == "POST" else None
-    return Route(ServiceName(match[1]), path, reader)
+    body_parser = BODY_PARSERS.get(path) if line.method == "POST" else None
+    return Route(ServiceName(match[1]), path, body_parser)
 
 
 def _require_post(line: RequestLine) -> None:
@@ -117,7 +117,7 @@
 
 
 def deadline_of(headers: Mapping[str, str]) -> float | None:
-    """Read the caller's deadline, in seconds from now."""
+    """Return the caller's deadline in seconds from now, or None without one."""
     text = headers.get("x-deadline-seconds")
     if text is None:
         return None
@@ -133,9 +133,9 @@
 
 
 def idempotency_key_of(headers: Mapping[str, str]) -> str | None:
-    """Read the key that makes resending safe.
+    """Return the idempotency key, which makes resending safe, or None without one.
 
-    An empty key is refused: the caller believes itself protected and would not be.
+    An empty key is refused: the caller would rely on a protection that it lacks.
     """
     key = headers.get("idempotency-key")
     if key is None:
@@ -150,14 +150,14 @@
 def make_call(
     line: RequestLine, route: Route, request_id: RequestId, body: bytes
 ) -> CallerCall:
-    """Build the call from its checked parts."""
+    """Build the call from its parsed parts."""
     facts = _facts_of(line, route, body)
     path = f"{route.path}?{line.query}" if line.query else route.path
     return CallerCall(
         request_id=request_id,
         customer_key=customer_key_of(line.headers),
         service=route.service,
-        kind="plain" if route.reader is None else "model",
+        kind="plain" if route.body_parser is None else "model",
         model=facts.model,
         method=line.method,
         path=path,
@@ -175,8 +175,8 @@
 
 
 def _facts_of(line: RequestLine, route: Route, body: bytes) -> ModelCallFacts:
-    if route.reader is not None:
-        return route.reader(body)
+    if route.body_parser is not None:
+        return route.body_parser(body)
     streamed = EVENT_STREAM in line.headers.get("accept", "")
     return ModelCallFacts(ModelName(""), streamed, 0, 0, 0)
 
@@ -191,7 +191,7 @@
 
 
 def _call_digest(method: str, service: str, path: str, body: bytes) -> str:
-    """Tell calls apart; two services may have the same path."""
+    """Return a digest of the call; includes the service, as two may share a path."""
     digest = blake2b(f"{method} {service} {path}\n".encode(), digest_size=DIGEST_BYTES)
     digest.update(body)
     return digest.hexdigest()
--- a/packages/callers/src/cowslipshelf_callers/internal/server.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/server.py
@@ -26,13 +26,13 @@
 
 
 class CallerHttpConnection(CallerConnection):
-    """Parse requests with our limits."""
+    """Parse requests with `CallerRequestReader`."""
 
     RequestHandlerClass = CallerRequestReader
 
 
 class CallersHttpServer(HTTPServer):
-    """Be the library's server with limits on everything that callers can hold."""
+    """Limit all resources that callers can hold in the HTTP library's server."""
 
     ConnectionClass = CallerHttpConnection
 
@@ -51,19 +51,19 @@
         self.keep_alive_conn_limit = config.max_idle_connections
 
     def may_keep_connections(self) -> bool:
-        """Tell whether a connection may wait for another call."""
+        """Tell whether a connection may stay open for another call."""
         return not self.draining and self.can_add_keepalive_connection
 
     def stop_listening(self) -> None:
-        """Close the listening socket, after taking what the kernel accepted.
+        """Close the listening socket after accepting the connections in its backlog.
 
-        A connection that still waits in the kernel may carry a call already; closing
-        would reset it, and a graceful shutdown cuts no call.
+        A connection in the backlog may already carry a call. Closing the socket would
+        reset it, and a graceful shutdown must abort no call.
         """
         listening = self.socket
         if listening is None:
             return
-        # There is no public way to stop listening without stopping to serve.
+        # The library has no public way to stop listening and keep serving.
         manager = self._connections
         manager._selector.unregister(listening.fileno())
         listening.settimeout(0.0)
@@ -73,13 +73,13 @@
         listening.close()
 
     def process_conn(self, conn: CallerConnection) -> None:
-        """Let a new connection wait without a thread; answer one that has a call."""
+        """Let a new connection wait without a thread; answer one with a call."""
         if not conn.was_registered:
             conn.was_registered = True
             if self.can_add_keepalive_connection:
                 self.put_conn(conn)
             else:
-                # Given a thread, silent connections would take them all.
+                # With a thread each, silent connections would take all threads.
                 self.refuse_at_once(conn)
             return
         try:
@@ -88,7 +88,7 @@
             self.refuse_at_once(conn)
 
     def refuse_at_once(self, conn: CallerConnection) -> None:
-        """Refuse a call above the limit, without waiting for the caller."""
+        """Refuse a call above the limit without waiting for the caller."""
         refusal = Refusal(
             RefusalCode.NOT_RUN,
             RefusalReason.OVERLOADED,
@@ -107,19 +107,19 @@
         )
         try:
             writer.refusal(refusal, False)
-            # Bytes left unread would reset the connection and take the refusal along.
+            # Closing with unread data would reset the connection and lose the refusal.
             conn.socket.recv(MAX_DISCARD_BYTES)
         except (CallerGoneError, OSError) as error:
             LOG.info("callers: refused a call above the limit: %s", error)
         conn.close()
 
     def error_log(self, msg="", level=logging.INFO, traceback=False) -> None:
-        """Log what the library has to say."""
+        """Log a message of the HTTP library."""
         LOG.log(level, "callers: %s", msg, exc_info=traceback)
 
 
 class CallersServer:
-    """Serve callers on one address, with a thread for each open call."""
+    """Serve callers on one address, with one thread for each open call."""
 
     def __init__(self, server: CallersHttpServer) -> None:
         self.server = server
@@ -129,13 +129,13 @@
     def from_config(
         cls, config: CallersServerConfig, handler: CallersHandler
     ) -> "CallersServer":
-        """Prepare to serve; nothing is bound before `start`."""
+        """Create the server; the address is not bound before `start`."""
         return cls(CallersHttpServer(config, handler))
 
     def start(self) -> None:
-        """Bind the address and serve in threads of its own.
+        """Bind the address and serve in background threads.
 
-        Raises OSError where the address can't be bound.
+        Raises OSError if the address cannot be bound.
         """
         self.server.prepare()
         self.thread = threading.Thread(
@@ -145,21 +145,21 @@
 
     @property
     def address(self) -> str:
-        """Give the bound IP:port."""
+        """Return the bound IP:port."""
         host, port = self.server.bind_addr[:2]
         return f"{host}:{port}"
 
     def open_calls(self) -> int:
-        """Count the calls that are being answered."""
+        """Return the number of calls that are being answered."""
         return self.server.requests.open_calls()
 
     def drain(self) -> None:
-        """Take no new connection and keep none for another call; open calls go on."""
+        """Accept no new connection and no further call on one; open calls go on."""
         self.server.draining = True
         self.server.stop_listening()
 
     def stop(self, grace_seconds: float) -> None:
-        """Wait for open calls at most the given time, then cut them."""
+        """Wait for open calls for at most `grace_seconds`, then abort them."""
         self.server.draining = True
         self.server.shutdown_timeout = grace_seconds
         self.server.stop()
--- a/packages/callers/src/cowslipshelf_callers/internal/thread_pool.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/thread_pool.py
@@ -1,4 +1,4 @@
-"""Give every open call a thread of its own, and never let a call wait for one."""
+"""Give every open call a thread of its own, so that no call waits for one."""
 
 import threading
 from queue import Full
@@ -7,28 +7,29 @@
 
 
 class CallThreadPool(ThreadPool):
-    """Grow with the open calls up to a limit, and refuse what comes above it."""
+    """Add threads as calls arrive, up to a limit; refuse the calls above it."""
 
-    def __init__(self, server, least: int, most: int) -> None:
-        super().__init__(server, min=least, max=most)
+    def __init__(self, server, min_threads: int, max_threads: int) -> None:
+        super().__init__(server, min=min_threads, max=max_threads)
         self.lock = threading.Lock()
         self.idle_threads = 0
-        """Threads that wait for a call, less the calls on their way to one."""
+        """Threads that wait for a call, minus the calls queued for one."""
+        # The worker threads of the library call `get`.
         self.get = self.wait_for_call
 
     def start(self) -> None:
-        """Start the least number of threads."""
+        """Start the minimum number of threads."""
         for _ in range(self.min):
             self.add_thread()
 
     def wait_for_call(self):
-        """Take the next call; runs in the thread that will answer it."""
+        """Return the next call; runs in the thread that will answer it."""
         with self.lock:
             self.idle_threads += 1
         return self._queue.get()
 
     def put(self, connection) -> None:
-        """Give a connection with a call to a free or a new thread, or raise `Full`."""
+        """Pass a connection with a call to an idle or a new thread, or raise `Full`."""
         with self.lock:
             if self.idle_threads <= 0 and len(self._threads) >= self.max:
                 raise Full
@@ -39,10 +40,10 @@
         self._queue.put(connection)
 
     def add_thread(self) -> None:
-        """Start a thread; it takes a call as soon as it runs."""
+        """Start a thread, which takes a call from the queue as soon as it runs."""
         self._threads.append(self._spawn_worker())
 
     def open_calls(self) -> int:
-        """Count the threads that are answering."""
+        """Return the number of threads that are answering calls."""
         with self.lock:
             return len(self._threads) - max(self.idle_threads, 0)
--- a/packages/operators/src/cowslipshelf_operators/__init__.py
+++ b/packages/operators/src/cowslipshelf_operators/__init__.py
@@ -1,4 +1,4 @@
-"""Serve the operators over HTTP, and call that interface."""
+"""Serve operators over HTTP, and provide the client for them."""
 
 from cowslipshelf_operators.internal.answers import order_status
 from cowslipshelf_operators.internal.client import OperatorsClient
--- a/packages/operators/src/cowslipshelf_operators/errors.py
+++ b/packages/operators/src/cowslipshelf_operators/errors.py
@@ -1,10 +1,10 @@
-"""Define the errors between the operators' interface and its two ends."""
+"""Define the errors of the operators' interface, of its server and its client."""
 
 from http import HTTPStatus
 
 
 class OperatorsError(Exception):
-    """Be an error with the step and the peer at which it arose."""
+    """Carry the step and the peer at which an error occurred."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step} ({peer}): {detail}")
@@ -14,7 +14,7 @@
 
 
 class HandlerError(OperatorsError):
-    """Say why a handler cannot answer; the server passes it on to the operator."""
+    """Report why a handler cannot answer; the server sends it to the operator."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
 
 
 class RequestError(HandlerError):
-    """Say what is wrong with an operator's request."""
+    """Report what is wrong with an operator's request."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
 
 
 class ClientError(OperatorsError):
-    """Say why the client has no answer: no address answered, or not in our format."""
+    """Report that no address answered, or that an answer could not be decoded."""
 
 
 class HttpStatusError(ClientError):
-    """Say that the server answered with an error."""
+    """Report that the server answered with an error."""
 
     def __init__(
         self,
--- a/packages/operators/src/cowslipshelf_operators/internal/__init__.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the package re-exports; import from `cowslipshelf_operators` instead."""
+"""Contain the implementation; import from `cowslipshelf_operators` instead."""
--- a/packages/operators/src/cowslipshelf_operators/internal/answers.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/answers.py
@@ -1,4 +1,4 @@
-"""Write answers to operators as JSON."""
+"""Encode the answers to operators as JSON."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -34,7 +34,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """Be an answer ready to be written."""
+    """Hold an encoded answer."""
 
     status: HTTPStatus
     body: bytes
@@ -43,20 +43,20 @@
 
 
 def json_answer(document: Document, status: HTTPStatus = HTTPStatus.OK) -> HttpAnswer:
-    """Write a document."""
+    """Return a document as an answer."""
     return HttpAnswer(status, msgspec.json.encode(document))
 
 
 def encode_error(
     code: str, message: str, step: str, peer: str, reasons: tuple[str, ...] = ()
 ) -> bytes:
-    """Write an error."""
+    """Encode an error."""
     answer = ErrorAnswer(code, message, step, peer, reasons)
     return msgspec.json.encode(ErrorEnvelope(answer))
 
 
 def error_answer(error: HandlerError) -> HttpAnswer:
-    """Write an error with the step and the peer at which it arose."""
+    """Return an error as an answer, with the step and peer at which it occurred."""
     headers: tuple[tuple[str, str], ...] = ()
     if error.retry_after_seconds is not None:
         headers = (("Retry-After", str(max(1, round(error.retry_after_seconds)))),)
@@ -67,7 +67,7 @@
 def outcome_answer(
     outcome: PlanRecorded | PlanConfirmed | PlanOutdated | PlanUnknown | PlanRefused,
 ) -> HttpAnswer:
-    """Write what became of a change."""
+    """Return the outcome of a plan or its confirmation as an answer."""
     match outcome:
         case PlanRecorded(plan=plan):
             return json_answer(PlanAnswer(plan))
@@ -107,6 +107,6 @@
 
 
 def audit_answer(records: tuple[AuditRecord, ...]) -> HttpAnswer:
-    """Write a page of the audit trail."""
+    """Return a page of the audit trail as an answer."""
     entries = tuple(AuditEntry(*record) for record in records)
     return json_answer(AuditAnswer(entries))
--- a/packages/operators/src/cowslipshelf_operators/internal/application.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/application.py
@@ -1,4 +1,4 @@
-"""Check operators' requests, and pass them to the handler."""
+"""Authenticate and check operators' requests, and pass them to the handler."""
 
 import hmac
 from collections.abc import Callable, Iterable
@@ -37,11 +37,11 @@
 
 
 class BodyReadError(OSError):
-    """Say that the connection timed out or broke; the server below answers that."""
+    """Report that the connection timed out or broke; the HTTP library handles it."""
 
 
 class OperatorsApplication:
-    """Be the WSGI application behind the operators' server."""
+    """Implement the WSGI application of the operators' server."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Answer one request, as WSGI defines it."""
         answer = self.answer_or_error(environ)
         start_response(
             f"{answer.status.value} {answer.status.phrase}",
@@ -70,7 +70,7 @@
         return [answer.body]
 
     def answer_or_error(self, environ: Environ) -> HttpAnswer:
-        """Answer, whatever the handler does."""
+        """Answer a request; turn any failure of the handler into an error answer."""
         try:
             return self.answer(environ)
         except HandlerError as error:
@@ -78,8 +78,8 @@
         except BodyReadError:
             raise
         except Exception as error:
-            # An operator must not be left without an answer by a fault of ours, nor
-            # be shown our insides.
+            # After an internal error, the operator must still get an answer, without
+            # internal details.
             self.report(f"answer operator: {error!r}")
             detail = "the request met a fault in this process; see its log"
             status = HTTPStatus.INTERNAL_SERVER_ERROR
@@ -89,7 +89,7 @@
             return error_answer(fault)
 
     def answer(self, environ: Environ) -> HttpAnswer:
-        """Route a request; three paths need no key."""
+        """Route a request; health, readiness and metrics need no key."""
         segments = tuple(environ["PATH_INFO"].strip("/").split("/"))
         match segments:
             case ("healthz",):
@@ -134,7 +134,7 @@
     def require_method(
         self, environ: Environ, method: str, answer: Callable[[], HttpAnswer]
     ) -> HttpAnswer:
-        """Answer one method, and refuse all others."""
+        """Answer a request with this method, and refuse all other methods."""
         if environ["REQUEST_METHOD"] == method:
             return answer()
         raise RequestError(
@@ -145,7 +145,7 @@
         )
 
     def authenticate(self, environ: Environ) -> OperatorName:
-        """Find the operator whose key this is, in the same time for every key."""
+        """Return the operator with this key; takes the same time for every key."""
         header = environ.get("HTTP_AUTHORIZATION", "")
         key = header[len(BEARER) :] if header.lower().startswith(BEARER) else ""
         found: OperatorName | None = None
@@ -163,26 +163,26 @@
         return found
 
     def plan(self, operator: OperatorName, environ: Environ) -> HttpAnswer:
-        """Ask for a plan."""
+        """Record a plan for a change."""
         document = decode_document(read_body(environ), PlanDocument)
         return outcome_answer(self.handler.plan(operator, document))
 
     def confirm(
         self, operator: OperatorName, plan_id: PlanId, environ: Environ
     ) -> HttpAnswer:
-        """Confirm a plan."""
+        """Confirm a plan, which puts it in force."""
         document = decode_document(read_body(environ) or b"{}", ConfirmDocument)
         return outcome_answer(self.handler.confirm(operator, plan_id, document))
 
     def audit(self, environ: Environ) -> HttpAnswer:
-        """Read a page of the audit trail."""
+        """Return a page of the audit trail."""
         query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
         since = query_number(query, "since", 0)
         limit = query_number(query, "limit", DEFAULT_AUDIT_PAGE)
         return audit_answer(self.handler.audit(since, min(limit, MAX_AUDIT_PAGE)))
 
     def explain(self, kind: ExplainKind, name: str) -> HttpAnswer:
-        """Tell what happened to something."""
+        """Explain what happened to a request, an upstream or a change."""
         answer = self.handler.explain(kind, name)
         if answer is not None:
             return json_answer(answer)
@@ -194,7 +194,7 @@
         )
 
     def release(self, operator: OperatorName, digest: str) -> HttpAnswer:
-        """Let a request go, and tell which are left."""
+        """Release a request that is held back; return the remaining ones."""
         if self.handler.release(operator, digest):
             return json_answer(self.handler.suspects())
         raise RequestError(
@@ -205,27 +205,27 @@
         )
 
     def health(self) -> HttpAnswer:
-        """Tell whether the process works."""
+        """Return whether the process is healthy."""
         return health_answer(self.handler.health())
 
     def ready(self) -> HttpAnswer:
-        """Tell whether the process should get callers."""
+        """Return whether the process should receive callers' requests."""
         return health_answer(self.handler.ready())
 
     def metrics(self) -> HttpAnswer:
-        """Write the metrics."""
+        """Return the metrics in the Prometheus text format."""
         text = self.handler.metrics_text().encode()
         return HttpAnswer(HTTPStatus.OK, text, METRICS_TYPE)
 
 
 def health_answer(health: HealthAnswer) -> HttpAnswer:
-    """Answer 503 where a process is not well."""
+    """Return the health as an answer, with status 503 if it is not ok."""
     status = HTTPStatus.OK if health.ok else HTTPStatus.SERVICE_UNAVAILABLE
     return json_answer(health, status)
 
 
 def read_body(environ: Environ) -> bytes:
-    """Read the whole body, or refuse it."""
+    """Read the whole body, or refuse the request."""
     step = "read body"
     try:
         body = environ["wsgi.input"].read()
@@ -239,7 +239,7 @@
         raise RequestError(step, "the chunks of the body are malformed") from error
     announced = int(environ.get("CONTENT_LENGTH") or len(body))
     if len(body) < announced:
-        # A client that died half-way must not have half of its document taken.
+        # Half of a document, from a client that died, must not be accepted.
         raise RequestError(step, f"{announced} bytes announced, {len(body)} came")
     return body
 
@@ -247,7 +247,7 @@
 def decode_document(
     body: bytes, document_type: type[RequestDocument]
 ) -> RequestDocument:
-    """Decode a JSON document, strictly."""
+    """Decode a JSON document; refuse unknown fields and unencodable values."""
     step = "read document"
     try:
         document = msgspec.json.decode(body, type=document_type)
@@ -256,14 +256,14 @@
     try:
         msgspec.msgpack.encode(document)
     except (OverflowError, UnicodeEncodeError) as error:
-        # JSON has numbers of any size, the log has not; the operator would be told
-        # of a fault in this process.
+        # JSON numbers have any size, but the replicated log can't store them all.
+        # Unchecked, the operator would get an internal error.
         raise RequestError(step, f"a value can't be kept: {error}") from error
     return document
 
 
 def query_number(query: dict[str, str], name: str, default: int) -> int:
-    """Read a whole number from the query."""
+    """Return a whole number from the query."""
     text = query.get(name, str(default))
     if not (text.isascii() and text.isdigit()):
         detail = f"`{name}` must be a whole number, found {text!r}"
--- a/packages/operators/src/cowslipshelf_operators/internal/client.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/client.py
@@ -1,4 +1,4 @@
-"""Call the operators' interface."""
+"""Provide the client of the operators' interface."""
 
 from http import HTTPStatus
 from typing import NamedTuple, TypeVar
@@ -33,7 +33,7 @@
 
 
 class HttpReply(NamedTuple):
-    """Be what an address answered."""
+    """Hold the response of one address."""
 
     address: str
     status: int
@@ -42,11 +42,11 @@
 
 
 class OperatorsClient:
-    """Ask one of several entry instances.
+    """Send requests to one of several entry instances.
 
-    The next address is asked where one can't be reached, breaks off or isn't ready.
-    An answer may be lost after the change was taken; resending is safe since changes
-    carry a change id and plans an id, under which the first answer is kept.
+    If an address can't be reached, breaks off or isn't ready, the next one is tried.
+    An answer may be lost after the change was accepted. Resending is safe: the first
+    answer is stored under the id of the change or the plan, and returned again.
     """
 
     def __init__(self, config: OperatorsClientConfig) -> None:
@@ -60,11 +60,11 @@
 
     @classmethod
     def from_config(cls, config: OperatorsClientConfig) -> "OperatorsClient":
-        """Build a client; it connects when it is first used."""
+        """Create a client, which connects when it is first used."""
         return cls(config)
 
     def plan(self, document: PlanDocument) -> PlanAnswer | OutdatedAnswer:
-        """Ask for a plan."""
+        """Request a plan for a change."""
         reply = self.request("POST", "/v1/plans", msgspec.json.encode(document))
         if is_outdated(reply):
             return decode(reply, OutdatedAnswer)
@@ -73,7 +73,7 @@
     def confirm(
         self, plan_id: PlanId, change_id: ChangeId | None = None
     ) -> ConfirmedAnswer | OutdatedAnswer:
-        """Put a plan in force."""
+        """Confirm a plan, which puts it in force."""
         body = msgspec.json.encode(ConfirmDocument(change_id))
         path = f"/v1/plans/{quote(plan_id, safe='')}/confirm"
         reply = self.request("POST", path, body)
@@ -82,37 +82,37 @@
         return decode_success(reply, ConfirmedAnswer)
 
     def state(self) -> StateAnswer:
-        """Describe the fleet."""
+        """Fetch a description of the fleet."""
         return decode_success(self.request("GET", "/v1/state"), StateAnswer)
 
     def audit(
         self, since_index: int = 0, limit: int = DEFAULT_AUDIT_PAGE
     ) -> AuditAnswer:
-        """Read a page of the audit trail."""
+        """Fetch a page of the audit trail."""
         query = urlencode({"since": since_index, "limit": limit})
         return decode_success(self.request("GET", f"/v1/audit?{query}"), AuditAnswer)
 
     def explain(self, kind: ExplainKind, name: str) -> ExplainAnswer:
-        """Tell what happened to something."""
+        """Explain what happened to a request, an upstream or a change."""
         path = f"/v1/explain/{kind}/{quote(name, safe='')}"
         return decode_success(self.request("GET", path), ExplainAnswer)
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests under which upstreams ended."""
+        """List the requests that upstreams exited under."""
         return decode_success(self.request("GET", "/v1/suspects"), SuspectsAnswer)
 
     def release(self, digest: str) -> SuspectsAnswer:
-        """Let a request go that is held back, and tell which are left."""
+        """Release a request that is held back; return the remaining ones."""
         path = f"/v1/suspects/{quote(digest, safe='')}/release"
         return decode_success(self.request("POST", path), SuspectsAnswer)
 
     def ready(self, address: str) -> HealthAnswer:
-        """Tell whether one instance is ready."""
+        """Fetch whether one instance is ready."""
         reply = self.request_address(address, "GET", "/readyz", None)
         return decode(reply, HealthAnswer)
 
     def request(self, method: str, path: str, body: bytes | None = None) -> HttpReply:
-        """Ask the addresses in turn until one answers and is ready."""
+        """Send a request to the addresses in turn until one answers and is ready."""
         step = f"{method} {path}"
         failures: list[str] = []
         unready: HttpReply | None = None
@@ -133,7 +133,7 @@
     def request_address(
         self, address: str, method: str, path: str, body: bytes | None
     ) -> HttpReply:
-        """Ask one address; `ClientError` where it can't be reached or breaks off."""
+        """Send a request to one address; raises `ClientError` if it does not answer."""
         headers = {"Authorization": f"Bearer {self.config.key}"}
         if body is not None:
             headers["Content-Type"] = "application/json"
@@ -147,17 +147,17 @@
         return HttpReply(address, response.status, response.data, retry_after)
 
     def close(self) -> None:
-        """Close pooled connections."""
+        """Close the pooled connections."""
         self.pool.clear()
 
 
 def is_outdated(reply: HttpReply) -> bool:
-    """Tell whether another change came first."""
+    """Tell whether the reply reports that another change came first."""
     return reply.status == HTTPStatus.CONFLICT
 
 
 def decode_success(reply: HttpReply, answer_type: type[Answer]) -> Answer:
-    """Decode an answer, or raise the error that came in its place."""
+    """Decode an answer, or raise the error that was sent in its place."""
     if reply.status == HTTPStatus.OK:
         return decode(reply, answer_type)
     error = decode(reply, ErrorEnvelope).error
@@ -173,7 +173,7 @@
 
 
 def decode(reply: HttpReply, answer_type: type[Answer]) -> Answer:
-    """Decode an answer; `ClientError` where it isn't one of ours."""
+    """Decode an answer; raises `ClientError` if it has another format."""
     try:
         return msgspec.json.decode(reply.body, type=answer_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/packages/operators/src/cowslipshelf_operators/internal/connections.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/connections.py
@@ -1,4 +1,4 @@
-"""Bound what a slow or broken client costs, and answer it in JSON."""
+"""Limit what a slow or broken client costs, and answer it in JSON."""
 
 import contextlib
 import socket
@@ -16,15 +16,15 @@
 DISCARD_SECONDS = 1.0
 DISCARD_BLOCK_BYTES = 65_536
 TIMED_OUT = "timed out"
-"""The words by which the server tells a timeout from a broken socket."""
+"""The text by which the HTTP library distinguishes a timeout from a broken socket."""
 
 
 class DeadlineSocket(socket.SocketIO):
     """Read from or write to a socket until a deadline.
 
-    The server's own timeout counts from the last byte: a client that sends, or takes,
-    one byte every few seconds would hold a thread for hours, and a handful of them
-    the whole server. Here everything in one request shares a single deadline.
+    The timeout of the HTTP library restarts with each byte: a client that sends or
+    reads one byte every few seconds would hold a thread for hours, and a few of them
+    would block the whole server. Here a whole request shares one deadline.
     """
 
     def __init__(self, sock: socket.socket, mode: str) -> None:
@@ -33,18 +33,18 @@
         self.deadline = float("inf")
 
     def readinto(self, buffer: memoryview) -> int | None:
-        """Read what has arrived; `TimeoutError` at the deadline."""
+        """Read what has arrived; raises `TimeoutError` at the deadline."""
         with self.until_deadline():
             return super().readinto(buffer)
 
     def write(self, data: bytes) -> int | None:
-        """Write what the client takes; `TimeoutError` at the deadline."""
+        """Write what the client accepts; raises `TimeoutError` at the deadline."""
         with self.until_deadline():
             return super().write(data)
 
     @contextlib.contextmanager
     def until_deadline(self) -> Iterator[None]:
-        """Shorten the socket's timeout to what is left."""
+        """Limit the socket's timeout to the time left until the deadline."""
         timeout = self.connection.gettimeout()
         remaining = self.deadline - time.monotonic()
         if remaining <= 0:
@@ -58,7 +58,7 @@
 
 
 class DeadlineReader(StreamReader):
-    """Be the server's reader over a socket with a deadline."""
+    """Provide the HTTP library's reader over a socket with a deadline."""
 
     def __init__(self, sock: socket.socket, mode: str, buffer_size: int) -> None:
         self.deadline_socket = DeadlineSocket(sock, mode)
@@ -67,7 +67,7 @@
 
 
 class DeadlineWriter(StreamWriter):
-    """Be the server's writer over a socket with a deadline."""
+    """Provide the HTTP library's writer over a socket with a deadline."""
 
     def __init__(self, sock: socket.socket, mode: str, buffer_size: int) -> None:
         self.deadline_socket = DeadlineSocket(sock, mode)
@@ -78,16 +78,16 @@
 def make_file(
     sock: socket.socket, mode: str, buffer_size: int
 ) -> DeadlineReader | DeadlineWriter:
-    """Make one of the two file objects of a connection."""
+    """Return the reader or the writer of a connection."""
     file_class = DeadlineReader if "r" in mode else DeadlineWriter
     return file_class(sock, mode, buffer_size)
 
 
 class JsonRequest(HTTPRequest):
-    """Answer in JSON also those requests that never reach the application."""
+    """Send errors in JSON for requests that never reach the application, too."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Write an error answer, after which the connection closes."""
+        """Send an error answer, after which the connection closes."""
         number = HTTPStatus(int(str(status)[:STATUS_DIGITS]))
         code = number.phrase.lower().replace(" ", "_")
         body = encode_error(code, msg or number.phrase, "read request", "operator")
@@ -99,13 +99,13 @@
         )
         self.close_connection = True
         self.conn.answered_early = True
-        # A client that is gone can't be told; there is nothing else to do for it.
+        # A client that has disconnected can't be sent the error.
         with contextlib.suppress(OSError):
             self.conn.wfile.write(head.encode("ascii") + body)
 
 
 class LimitedConnection(HTTPConnection):
-    """Serve the requests of one connection, each within its time."""
+    """Serve the requests of one connection, each with a time limit."""
 
     RequestHandlerClass = JsonRequest
 
@@ -117,7 +117,7 @@
         self.answered_early = False
 
     def communicate(self) -> bool:
-        """Serve one request; tell whether the connection stays open."""
+        """Serve one request; return whether the connection stays open."""
         now = time.monotonic()
         self.rfile.deadline_socket.deadline = now + self.server.timeout
         self.wfile.deadline_socket.deadline = now + self.server.timeout + ANSWER_SECONDS
@@ -127,10 +127,10 @@
         return keep_open
 
     def discard_input(self) -> None:
-        """Read on for a moment before closing.
+        """Read and discard input for a moment before closing.
 
-        Closing with unread bytes makes the kernel reset the connection, and the
-        client, still sending its oversized body, would never see why it was refused.
+        Closing with unread data makes the kernel reset the connection. The client,
+        still sending its oversized body, would never see why it was refused.
         """
         until = time.monotonic() + DISCARD_SECONDS
         with contextlib.suppress(OSError):
--- a/packages/operators/src/cowslipshelf_operators/internal/documents.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/documents.py
@@ -1,4 +1,4 @@
-"""Define the JSON documents that the operators' interface answers with."""
+"""Define the JSON documents in the answers of the operators' interface."""
 
 from typing import Literal
 
@@ -21,7 +21,7 @@
 
 
 class PlanAnswer(Document, frozen=True):
-    """Carry a plan that waits for its confirmation."""
+    """Carry a plan that awaits confirmation."""
 
     plan: Plan
 
@@ -37,7 +37,7 @@
 
 
 class ConfirmedAnswer(Document, frozen=True):
-    """Tell under which version a plan is in force, and which orders it opened."""
+    """Report the version in which a plan is in force, and the orders it opened."""
 
     plan_id: PlanId
     change_id: ChangeId
@@ -46,7 +46,7 @@
 
 
 class OutdatedAnswer(Document, frozen=True):
-    """Tell that another change came first; confirm the fresh plan in place of it."""
+    """Report that another change came first; confirm the fresh plan instead."""
 
     code: Literal["outdated"]
     newer_version: ConfigurationVersion
@@ -55,7 +55,7 @@
 
 
 class ErrorAnswer(Document, frozen=True):
-    """Tell what went wrong, at which step and peer, and what to do about it."""
+    """Describe an error: what failed, at which step and peer, and what to do."""
 
     code: str
     message: str
@@ -65,7 +65,7 @@
 
 
 class ErrorEnvelope(Document, frozen=True):
-    """Carry an error, told apart from any other answer by its one field."""
+    """Carry an error; its one field distinguishes it from other answers."""
 
     error: ErrorAnswer
 
@@ -100,7 +100,7 @@
 
 
 class StateAnswer(Document, frozen=True):
-    """Describe the fleet: what is wanted, and what there is."""
+    """Describe the fleet: its configuration and its actual state."""
 
     configuration: FleetConfiguration
     answered_by: InstanceId
@@ -108,11 +108,11 @@
     upstreams: tuple[UpstreamStatus, ...] = ()
     open_orders: tuple[OrderStatus, ...] = ()
     notes: tuple[str, ...] = ()
-    """Anything an operator should know, as that there is no quorum."""
+    """Remarks for the operator, such as that there is no quorum."""
 
 
 class AuditEntry(Document, frozen=True):
-    """Be one record of the audit trail."""
+    """Hold one record of the audit trail."""
 
     index: int
     at: float
@@ -125,13 +125,13 @@
 
 
 class AuditAnswer(Document, frozen=True):
-    """Carry a page of the audit trail; ask again with its last index for more."""
+    """Carry a page of the audit trail; request the next with its last index."""
 
     records: tuple[AuditEntry, ...]
 
 
 class ExplainAnswer(Document, frozen=True):
-    """Tell in lines of text what happened, the oldest first."""
+    """Explain in lines of text what happened, oldest first."""
 
     kind: ExplainKind
     name: str
@@ -139,29 +139,29 @@
 
 
 class SuspectStatus(Document, frozen=True):
-    """Describe a request under which upstreams ended."""
+    """Describe a request that upstreams exited under."""
 
     digest: str
-    """Names customer, method, service, path and body, as logs do."""
+    """Digest of customer, method, service, path and body, as in the logs."""
     upstreams: tuple[UpstreamId, ...]
-    """Those whose ends speak against it."""
+    """The upstreams that exited under it."""
     last_end_seconds: float
-    """Age of the last end or trial."""
+    """Time since the last exit or trial."""
     held: bool
-    """Whether it is refused."""
+    """Whether the request is refused."""
     probe_in_seconds: float
-    """Time until the answering instance may try it again; zero where it runs."""
+    """Time until the answering instance may try it again; zero if it is not held."""
 
 
 class SuspectsAnswer(Document, frozen=True):
-    """List the requests under which upstreams ended, the worst first."""
+    """List the requests that upstreams exited under, most suspect first."""
 
     answered_by: InstanceId
     suspects: tuple[SuspectStatus, ...]
 
 
 class HealthAnswer(Document, frozen=True):
-    """Tell whether a process is healthy, or ready, and why not."""
+    """Report whether a process is healthy, or ready, and if not, why."""
 
     ok: bool
     reasons: tuple[str, ...] = ()
--- a/packages/operators/src/cowslipshelf_operators/internal/handler.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/handler.py
@@ -1,4 +1,4 @@
-"""Define what stands behind the operators' server."""
+"""Define the interface through which the server has operators answered."""
 
 from typing import Protocol
 
@@ -28,33 +28,33 @@
     def plan(
         self, operator: OperatorName, document: PlanDocument
     ) -> PlanRecorded | PlanOutdated | PlanRefused:
-        """Record a plan through the replicated state."""
+        """Record a plan in the replicated control state."""
 
     def confirm(
         self, operator: OperatorName, plan_id: PlanId, document: ConfirmDocument
     ) -> PlanConfirmed | PlanOutdated | PlanUnknown | PlanRefused:
-        """Put a plan in force through the replicated state."""
+        """Put a plan in force in the replicated control state."""
 
     def state(self) -> StateAnswer:
-        """Describe the fleet as this process knows it."""
+        """Return a description of the fleet as this process knows it."""
 
     def audit(self, since_index: int, limit: int) -> tuple[AuditRecord, ...]:
-        """Read the audit trail."""
+        """Return a page of the audit trail."""
 
     def explain(self, kind: ExplainKind, name: str) -> ExplainAnswer | None:
-        """Tell what happened to a request, an upstream or a change; None if unknown."""
+        """Explain a request, an upstream or a change; None if it is unknown."""
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests under which upstreams ended."""
+        """List the requests that upstreams exited under."""
 
     def release(self, operator: OperatorName, digest: str) -> bool:
-        """Let a request go that is held back; false where none is known."""
+        """Release a request that is held back; return False if it is unknown."""
 
     def health(self) -> HealthAnswer:
-        """Tell whether the process works at all."""
+        """Return whether the process is healthy."""
 
     def ready(self) -> HealthAnswer:
-        """Tell whether the process should get callers."""
+        """Return whether the process should receive callers' requests."""
 
     def metrics_text(self) -> str:
-        """Write the metrics in the Prometheus text format."""
+        """Return the metrics in the Prometheus text format."""
--- a/packages/operators/src/cowslipshelf_operators/internal/server.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/server.py
@@ -1,4 +1,4 @@
-"""Serve the operators over HTTP."""
+"""Serve operators over HTTP."""
 
 import logging
 import threading
@@ -17,12 +17,12 @@
 LOGGER = logging.getLogger(__name__)
 SERVER_NAME = "cowslipshelf"
 QUEUE_TIMEOUT_SECONDS = 0.05
-"""The thread that accepts connections waits no longer for a place in the queue."""
+"""Time limit for the accepting thread to wait for a place in the queue."""
 STOP_TIMEOUT_SECONDS = 5
 
 
 class LimitedServer(Server):
-    """Be an HTTP server on which idle connections hold no thread."""
+    """Run an HTTP server in which idle connections hold no thread."""
 
     ConnectionClass = LimitedConnection
 
@@ -50,10 +50,10 @@
         self.report = report
 
     def process_conn(self, conn: HTTPConnection) -> None:
-        """Wait for a new connection's first byte without a thread.
+        """Let a new connection wait for its first byte without a thread.
 
-        Otherwise as many connections as there are threads, opened and left silent,
-        would keep every other operator out until they time out.
+        Otherwise as many silent connections as there are threads would lock all other
+        operators out until they time out.
         """
         if conn.is_new and self.can_add_keepalive_connection:
             conn.is_new = False
@@ -62,14 +62,14 @@
             super().process_conn(conn)
 
     def error_log(self, msg: str = "", level: int = 0, traceback: bool = False) -> None:
-        """Pass the server's own messages on, from warnings upwards."""
+        """Report messages of the HTTP library at level WARNING and above."""
         if level >= logging.WARNING:
             detail = f"\n{format_exc()}" if traceback else ""
             self.report(f"operators server: {msg}{detail}")
 
 
 class OperatorsServer:
-    """Serve the operators on a thread pool of its own."""
+    """Serve operators with a thread pool of its own."""
 
     def __init__(self, server: LimitedServer) -> None:
         self.server = server
@@ -82,12 +82,12 @@
         handler: OperatorsHandler,
         report: Callable[[str], None] = LOGGER.error,
     ) -> "OperatorsServer":
-        """Build a server; `report` gets faults that no operator is told of."""
+        """Create a server; `report` gets the errors that are not sent to operators."""
         application = OperatorsApplication(config.key_hashes, handler, report)
         return cls(LimitedServer(config, application, report))
 
     def start(self) -> None:
-        """Listen and serve; `OperatorsError` where the address can't be had."""
+        """Listen and serve; raises `OperatorsError` if the address can't be bound."""
         try:
             self.server.prepare()
         except OSError as error:
@@ -101,12 +101,12 @@
 
     @property
     def address(self) -> str:
-        """The IP:port on which the started server listens."""
+        """Return the IP:port on which the started server listens."""
         host, port = self.server.bind_addr[:2]
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        """Stop listening, and give running requests a few seconds."""
+        """Stop listening, and wait a few seconds for running requests."""
         self.server.stop()
         if self.thread is not None:
             self.thread.join(STOP_TIMEOUT_SECONDS)
