--- a/packages/operators/src/cowslipshelf_operators/internal/documents.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/documents.py
@@ -144,7 +144,7 @@
     digest: str
     """Digest of customer, method, service, path and body, as in the logs."""
     upstreams: tuple[UpstreamId, ...]
-    """The upstreams that exited under it."""
+    """The upstreams whose exits under it have not been cleared."""
     last_end_seconds: float
     """Time since the last exit or trial."""
     held: bool
--- a/tests/common/callers_http.py
+++ b/tests/common/callers_http.py
@@ -1,4 +1,4 @@
-"""Call a server over plain sockets, so that a test can misbehave."""
+"""Call a callers' server over plain sockets, so that tests can send invalid data."""
 
 import json
 import socket
@@ -18,7 +18,7 @@
 
 @dataclass
 class RecordingHandler:
-    """Give each call the same chunks, and keep what came."""
+    """Answer each call with the same chunks, and record the calls."""
 
     chunks: tuple[bytes, ...] = (b"data: 1\n\n", b"data: [DONE]\n\n")
     headers: tuple[tuple[str, str], ...] = SSE
@@ -26,12 +26,12 @@
     calls: list = field(default_factory=list)
 
     def answer(self, call, writer) -> None:
-        """Write the chunks, then the end or the refusal."""
+        """Write the chunks, then the end or the refusal of the answer."""
         self.calls.append(call)
         if self.chunks or self.refusal is None:
             writer.head(200, self.headers)
-        for piece in self.chunks:
-            writer.chunk(piece)
+        for chunk in self.chunks:
+            writer.chunk(chunk)
         if self.refusal is None:
             writer.end()
         else:
@@ -56,7 +56,7 @@
 
 @dataclass
 class Reply:
-    """Hold a reply as it was read to its end."""
+    """Hold a reply that was read to its end."""
 
     status: int
     headers: dict[str, str]
@@ -64,18 +64,18 @@
 
     @property
     def error(self) -> dict:
-        """Give the error object of a refusal."""
+        """Return the error object of a refusal."""
         return json.loads(self.raw_body)["error"]
 
 
 def connect(server: CallersServer) -> socket.socket:
-    """Open a connection that gives up after a long time."""
+    """Open a connection with a long timeout."""
     host, port = server.address.split(":")
     return socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
 
 
 def request_bytes(method: str, path: str, body: bytes = b"", **headers: str) -> bytes:
-    """Write a request that closes its connection after the reply."""
+    """Return the bytes of a request that closes its connection after the reply."""
     lines = [f"{method} {path} HTTP/1.1", "Host: x", "Connection: close"]
     named = {"authorization": "Bearer key", **headers}
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in named.items()]
@@ -85,10 +85,10 @@
 
 
 def read_reply(connection: socket.socket) -> Reply:
-    """Read to the end of the connection."""
+    """Read a reply until the server closes the connection."""
     data = b""
-    while piece := connection.recv(65_536):
-        data += piece
+    while received := connection.recv(65_536):
+        data += received
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:])
@@ -96,7 +96,7 @@
 
 
 def ask(server: CallersServer, data: bytes) -> Reply:
-    """Send bytes and read the reply."""
+    """Send bytes on a new connection and return the reply."""
     with connect(server) as connection:
         connection.sendall(data)
         return read_reply(connection)
--- a/tests/common/operators.py
+++ b/tests/common/operators.py
@@ -1,4 +1,4 @@
-"""Put a control state behind a real operators' server."""
+"""Serve a control state through a real operators' server."""
 
 import threading
 from collections.abc import Iterator
@@ -35,7 +35,7 @@
 
 @dataclass
 class StateHandler:
-    """Answer operators from one control state, in place of a quorum."""
+    """Answer operators from one control state, without a quorum."""
 
     state_machine: ControlState = field(default_factory=ControlState)
     lock: threading.Lock = field(default_factory=threading.Lock)
@@ -101,7 +101,7 @@
 def serving(
     handler: StateHandler, request_seconds: float = 10.0, threads: int = 4
 ) -> Iterator[OperatorsServer]:
-    """Run a server on a port of the kernel's choice."""
+    """Run a server on a free port until the block ends."""
     keys = (OperatorKey(OperatorName("rita"), hash_key(OPERATOR_KEY)),)
     config = OperatorsServerConfig(
         LOOPBACK,
--- a/tests/cover/callers/test_answer_writer.py
+++ b/tests/cover/callers/test_answer_writer.py
@@ -1,4 +1,4 @@
-"""Check what the answer writer sees of its caller."""
+"""Check that the answer writer notices whether its caller is gone."""
 
 import socket
 
@@ -15,11 +15,11 @@
     )
 
 
-def test_a_quiet_caller_is_not_taken_for_gone():
-    """A caller waits for the first token of a long prompt and says nothing.
+def test_a_silent_caller_is_not_reported_as_gone():
+    """A caller sends nothing while it waits for the first token of a long prompt.
 
-    The entry looks whether it is still there; the socket has the timeout of the last
-    write, waits for that long and raises. The caller saw its request cancelled.
+    The check whether it is still connected ran with the socket timeout of the last
+    write, waited for that long and raised, so the caller's request was cancelled.
     """
     here, there = socket.socketpair()
     with here, there:
--- a/tests/cover/callers/test_callers_server.py
+++ b/tests/cover/callers/test_callers_server.py
@@ -1,4 +1,4 @@
-"""Call the server as good callers do, and read its refusals."""
+"""Check answers and refusals of the callers' server for well-formed calls."""
 
 import json
 
@@ -35,7 +35,7 @@
 
 def test_a_plain_service_gets_method_path_query_and_body_but_no_key(shared):
     server, handler = shared
-    asked = request_bytes(
+    data = request_bytes(
         "PUT",
         "/services/postroom/notices/7%2F8?copy=1",
         b"\x00\xff",
@@ -43,7 +43,7 @@
         x_deadline_seconds="2.5",
         x_other="yes",
     )
-    assert ask(server, asked).status == 200
+    assert ask(server, data).status == 200
     call = handler.calls[-1]
     assert (call.method, call.path) == ("PUT", "/notices/7%2F8?copy=1")
     assert (call.service, call.kind, call.body) == ("postroom", "plain", b"\x00\xff")
@@ -54,9 +54,9 @@
 
 
 def test_one_key_for_two_services_is_not_one_call(shared):
-    """A client uses a key at two services that have the same path.
+    """A client uses one idempotency key for two services with the same path.
 
-    Were the calls alike, the second would get the first one's stored answer.
+    With equal digests, the second call would get the stored answer of the first.
     """
     server, handler = shared
     for service in ("gate", "post"):
@@ -88,10 +88,10 @@
 
 @pytest.mark.parametrize("headers", [RecordingHandler.headers, ()])
 def test_an_answer_that_breaks_off_never_looks_whole(headers):
-    """An engine is lost in mid-answer and nobody can continue.
+    """An engine is lost in the middle of an answer, which nothing can continue.
 
-    A quiet end would make half a summary look whole: a body of events ends with an
-    error event, any other is cut before its last chunk.
+    A normal end would make half an answer look complete. An event stream must end
+    with an error event, any other body must be truncated before its last chunk.
     """
     handler = RecordingHandler((b"data: 1\n\n",), headers, LOST)
     with running_server(handler) as server:
@@ -105,20 +105,20 @@
 
 
 class BrokenHandler(RecordingHandler):
-    """Fail after the chunks, as a programming error would."""
+    """Fail after writing the chunks, as a programming error would."""
 
     def answer(self, _call, writer) -> None:
-        for piece in self.chunks:
+        for chunk in self.chunks:
             writer.head(200, self.headers)
-            writer.chunk(piece)
-        raise TimeoutError("a fault of ours")
+            writer.chunk(chunk)
+        raise TimeoutError("internal error")
 
 
 @pytest.mark.parametrize("chunks", [(), (b"data: 1\n\n",)])
-def test_a_fault_of_ours_is_told_as_an_unknown_outcome(chunks):
-    """Our own code fails on a call, before or after its answer has begun.
+def test_an_internal_error_is_reported_as_an_unknown_outcome(chunks):
+    """The handler fails on a call, before or after its answer has started.
 
-    The caller must not take a quiet end for a whole answer, nor our fault for its own.
+    The caller must neither see a complete answer nor an error blamed on its request.
     """
     with running_server(BrokenHandler(chunks)) as server:
         reply = ask(server, request_bytes("POST", CHAT, CHAT_BODY))
@@ -127,9 +127,9 @@
 
 
 def test_a_connection_carries_call_after_call(shared):
-    """A client keeps its connection, as published clients do.
+    """A client keeps its connection alive, as published clients do.
 
-    What it sent with one call must never be taken for a part of the next.
+    No data of one call may be parsed as part of the next.
     """
     server, handler = shared
     before = len(handler.calls)
--- a/tests/cover/callers/test_malformed_calls.py
+++ b/tests/cover/callers/test_malformed_calls.py
@@ -1,4 +1,4 @@
-"""Send what is no proper call; each gets one clear error."""
+"""Check that each malformed call gets one clear error."""
 
 import socket
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "status", "says"),
+    ("data", "status", "message"),
     [
         (request_bytes("POST", CHAT, b'{"model": "m", }'), 400, "byte 15"),
         (request_bytes("POST", CHAT, b'{"model": 7}'), 400, "$.model"),
@@ -36,21 +36,21 @@
         (b"nonsense\r\n\r\n", 400, "Malformed"),
     ],
 )
-def test_a_wrong_call_gets_a_clear_error_and_reaches_nobody(
-    shared, asked, status, says
+def test_a_malformed_call_gets_a_clear_error_and_no_handler_sees_it(
+    shared, data, status, message
 ):
     server, handler = shared
     before = len(handler.calls)
-    reply = ask(server, asked)
+    reply = ask(server, data)
     assert reply.status == status
-    assert says in reply.error["message"]
+    assert message in reply.error["message"]
     assert reply.error["code"] == "not_run"
     assert reply.error["request_id"] == reply.headers["x-request-id"]
     assert len(handler.calls) == before
 
 
 def test_an_oversized_body_is_refused_before_it_is_read(shared):
-    """A caller announces a body above the limit, and waits before it sends it."""
+    """A caller announces a body above the limit, but does not send it yet."""
     server, _ = shared
     with connect(server) as connection:
         connection.sendall(request_bytes("POST", CHAT, content_length="999999999"))
@@ -59,7 +59,7 @@
 
 
 def test_an_endless_chunked_body_is_cut_at_the_limit(shared):
-    """A caller never says how much it sends, and does not stop."""
+    """A caller sends chunks without end and announces no length."""
     server, _ = shared
     with connect(server) as connection:
         connection.sendall(request_bytes("POST", CHAT, transfer_encoding="chunked"))
@@ -71,7 +71,7 @@
 @given(st.lists(st.binary(min_size=1, max_size=50), max_size=9), st.integers(1, 60))
 @settings(max_examples=60, deadline=None, derandomize=True)
 def test_a_chunked_body_arrives_as_it_was_sent(shared, parts, cut):
-    """Callers cut a body where they like, and the network cuts it elsewhere."""
+    """Callers chunk a body at any place, and the network splits it at others."""
     server, handler = shared
     chunks = [b"%x;a=b\r\n%b\r\n" % (len(part), part) for part in parts]
     sent = b"".join([*chunks, b"0\r\nX-Trailer: y\r\n\r\n"])
@@ -86,9 +86,9 @@
 
 
 def test_a_chunk_line_without_an_end_is_refused(shared):
-    """A hostile caller sends the size of a chunk and never ends its line.
+    """A malicious caller sends a chunk size line that never ends.
 
-    Read to its end, the line would fill the instance's memory.
+    Without a limit, reading the line would fill the instance's memory.
     """
     server, _ = shared
     with connect(server) as connection:
@@ -128,20 +128,20 @@
 @example([b"GET / HTTP/1.1", b" folded"], b"\r\n")
 @example([LINES[1], b"Content-Length: 3", b"Content-Length: 3", b"", b"abc"], b"\r\n")
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_no_bytes_look_like_a_fault_of_ours(shared, lines, end):
+def test_no_bytes_cause_a_server_error(shared, lines, end):
     server, _ = shared
     with connect(server) as connection:
         connection.sendall(end.join([*lines, b""]))
         connection.shutdown(socket.SHUT_WR)
         data = b"".join(iter(lambda: connection.recv(65_536), b""))
     statuses = {part.split()[0] for part in data.split(b"HTTP/1.1 ")[1:]}
-    faults_of_ours = {b"500", b"502", b"503", b"504"}
-    assert not statuses & faults_of_ours
+    server_errors = {b"500", b"502", b"503", b"504"}
+    assert not statuses & server_errors
     assert not data or b"X-Request-Id: req-" in data
 
 
 def test_two_lengths_are_refused(shared):
-    """A balancer that goes by the first length would see other calls than we do."""
+    """A load balancer that uses the first length would see other calls than this."""
     server, _ = shared
     twice = request_bytes("POST", CHAT, CHAT_BODY, content_length="1")
     assert ask(server, twice).status == 400
--- a/tests/cover/callers/test_model_call.py
+++ b/tests/cover/callers/test_model_call.py
@@ -1,4 +1,4 @@
-"""Check what routing learns of a model call from its body."""
+"""Check what is parsed for routing from the body of a model call."""
 
 import json
 
@@ -16,18 +16,18 @@
 
 @given(st.lists(TEXTS, min_size=1, max_size=5), st.integers(1, 5000))
 @settings(deadline=None, derandomize=True)
-def test_a_prompt_counts_a_token_for_four_bytes_however_it_is_sent(texts, most):
+def test_a_prompt_counts_a_token_for_four_bytes_however_it_is_sent(texts, max_tokens):
     size = sum(len(text.encode()) for text in texts)
     parts = [{"type": "text", "text": text} for text in texts[1:]]
     messages = [{"role": "user", "content": texts[0]}, {"role": "x", "content": parts}]
-    chat = {"model": "m", "messages": messages, "max_tokens": most, "other": [1]}
-    completion = {"model": "m", "prompt": texts, "max_tokens": most}
+    chat = {"model": "m", "messages": messages, "max_tokens": max_tokens, "other": [1]}
+    completion = {"model": "m", "prompt": texts, "max_tokens": max_tokens}
     for facts in (
         parse_chat(json.dumps(chat).encode()),
         parse_completion(json.dumps(completion).encode()),
     ):
         assert 4 * facts.prompt_tokens - 3 <= size <= 4 * facts.prompt_tokens
-        assert facts.max_output_tokens == most
+        assert facts.max_output_tokens == max_tokens
 
 
 @given(st.lists(st.integers(0, 200_000), min_size=1), st.booleans())
--- a/tests/cover/callers/test_slow_callers.py
+++ b/tests/cover/callers/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Call too slowly, too much at once, or leave; it costs a bounded amount."""
+"""Check that slow, too many and disconnecting callers have a bounded cost."""
 
 import threading
 
@@ -26,10 +26,10 @@
         request_bytes("POST", CHAT, transfer_encoding="chunked") + b"fffff\r\n",
     ],
 )
-def test_a_half_sent_request_is_ended_though_bytes_keep_coming(begun):
-    """A broken client sends one byte now and then, each before a read would time out.
+def test_an_incomplete_request_times_out_though_bytes_keep_arriving(begun):
+    """A broken client sends one byte now and then, each before a read times out.
 
-    With a timeout for each read alone it would hold its thread for ever.
+    With only a timeout for each read, it would hold its thread forever.
     """
     with running_server(RecordingHandler(), request_seconds=0.3) as server:
         with connect(server) as connection:
@@ -62,7 +62,7 @@
 
 
 class EndlessHandler(RecordingHandler):
-    """Write until the caller is gone, and keep how that was told."""
+    """Write until the caller is gone, and record the error that reports it."""
 
     gone: CallerGoneError | None = None
     written = 0
@@ -79,10 +79,10 @@
 
 
 def test_a_client_that_stops_reading_costs_a_bounded_amount():
-    """A caller asks for a long stream and stops reading without closing.
+    """A caller requests a long stream and stops reading without closing.
 
-    Its thread must come free within the time for one piece, and no more may wait
-    for it than the kernel's buffers hold.
+    Its thread must become free within the time limit for one chunk, and no more data
+    may be buffered for it than the kernel's buffers hold.
     """
     handler = EndlessHandler()
     limits = {"write_seconds": 0.3}
@@ -96,26 +96,26 @@
 
 
 class WaitingHandler(RecordingHandler):
-    """Hold each call until it is let go; see whether its caller has left."""
+    """Block each call until `released` is set; record whether its caller has left."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.let_go = threading.Event()
-        self.left = threading.Event()
+        self.released = threading.Event()
+        self.caller_left = threading.Event()
 
     def answer(self, call, writer) -> None:
-        while not self.let_go.wait(0.01):
+        while not self.released.wait(0.01):
             if writer.caller_gone():
-                self.left.set()
+                self.caller_left.set()
                 return
         super().answer(call, writer)
 
 
 def test_calls_above_the_limit_are_refused_at_once():
-    """More callers come than the instance may carry.
+    """More calls arrive than the limit of the instance allows.
 
-    One that waited unseen would use up its deadline; told at once, it can go
-    elsewhere. The calls that run are not touched.
+    A call that waited in a queue would use up its deadline; refused at once, its
+    caller can use another instance. Running calls must not be affected.
     """
     handler = WaitingHandler()
     with running_server(handler, min_threads=1, max_open_calls=3) as server:
@@ -125,17 +125,17 @@
         for _ in range(int(TIMEOUT_SECONDS / 0.02)):
             if server.open_calls() == 3:
                 break
-            handler.left.wait(0.02)
+            handler.caller_left.wait(0.02)
         reply = ask(server, request_bytes("POST", CHAT, CHAT_BODY))
         assert (reply.status, reply.error["code"]) == (503, "not_run")
-        handler.let_go.set()
+        handler.released.set()
         for connection in running:
             with connection:
                 assert read_reply(connection).status == 200
 
 
 def test_silent_connections_take_no_thread_and_have_a_limit():
-    """A balancer opens many connections ahead of need and says nothing on them."""
+    """A load balancer opens many connections in advance and sends nothing on them."""
     handler = RecordingHandler()
     limits = {"max_idle_connections": 3, "max_open_calls": 2, "min_threads": 1}
     with running_server(handler, **limits) as server:
@@ -149,24 +149,24 @@
 
 
 def test_a_caller_that_leaves_while_it_waits_is_noticed():
-    """A caller closes before the first token; nothing is written that could fail."""
+    """A caller closes before the first token, so no write can fail."""
     handler = WaitingHandler()
     with running_server(handler) as server:
         with connect(server) as connection:
             connection.sendall(request_bytes("POST", CHAT, CHAT_BODY))
-        assert handler.left.wait(TIMEOUT_SECONDS)
+        assert handler.caller_left.wait(TIMEOUT_SECONDS)
         _wait_until_idle(server)
 
 
 def test_open_calls_finish_after_the_server_is_told_to_drain():
-    """An instance is shut down gracefully while a summary is being written."""
+    """An instance is shut down gracefully while an answer is being written."""
     handler = WaitingHandler()
     with running_server(handler) as server, connect(server) as connection:
         connection.sendall(request_bytes("POST", CHAT, CHAT_BODY))
         while server.open_calls() == 0:
-            handler.left.wait(0.01)
+            handler.caller_left.wait(0.01)
         server.drain()
         with pytest.raises(OSError):
             connect(server)
-        handler.let_go.set()
+        handler.released.set()
         assert read_reply(connection).status == 200
--- a/tests/cover/operators/test_documents.py
+++ b/tests/cover/operators/test_documents.py
@@ -1,4 +1,4 @@
-"""Check that no document, however odd, is answered with a fault of ours."""
+"""Check that no document, however unusual, causes an internal error."""
 
 import io
 import json
@@ -14,14 +14,14 @@
 NUMBERS = st.sampled_from([0, 1, -1, 2**31, 2**63, 2**64, 10**30, 1e308, 0.5])
 TEXTS = st.sampled_from(["wide", "scribe", "", "é", "a" * 200, "\x00", "\ud800"])
 NAMES = st.lists(TEXTS, max_size=2)
-ODD = NUMBERS | TEXTS | NAMES | st.none()
+ANY_VALUE = NUMBERS | TEXTS | NAMES | st.none()
 
 
 def entries(**fields: st.SearchStrategy) -> st.SearchStrategy:
-    """Build lists of entries, any field of which may be odd or absent."""
+    """Build lists of entries, any field of which may be missing or of another type."""
     return st.lists(
         st.fixed_dictionaries(
-            {}, optional={name: value | ODD for name, value in fields.items()}
+            {}, optional={name: value | ANY_VALUE for name, value in fields.items()}
         ),
         max_size=2,
     )
@@ -49,7 +49,11 @@
     },
 )
 DOCUMENTS = st.fixed_dictionaries(
-    {"change_id": TEXTS, "based_on": st.just(0) | NUMBERS, "change": CHANGES | ODD}
+    {
+        "change_id": TEXTS,
+        "based_on": st.just(0) | NUMBERS,
+        "change": CHANGES | ANY_VALUE,
+    }
 )
 
 
@@ -73,10 +77,10 @@
         },
         lambda status, _headers: statuses.append(status),
     )
-    told = json.loads(b"".join(answer))
+    answered = json.loads(b"".join(answer))
     assert int(statuses[0][:3]) in (200, 400, 422), (statuses, reports)
-    if "error" in told:
-        assert told["error"]["message"]
+    if "error" in answered:
+        assert answered["error"]["message"]
         assert handler.state().configuration.version == 0
     snapshot = handler.state_machine.to_snapshot()
     assert ControlState.from_snapshot(snapshot).to_snapshot() == snapshot
--- a/tests/cover/operators/test_server.py
+++ b/tests/cover/operators/test_server.py
@@ -44,7 +44,7 @@
 
 
 def exchange(server: OperatorsServer, data: bytes, *, end: bool = False) -> bytes:
-    """Send bytes as they are, and read until the server closes."""
+    """Send raw bytes, and read until the server closes the connection."""
     host, _, port = server.address.rpartition(":")
     with socket.create_connection((host, int(port)), WAIT_SECONDS) as connection:
         connection.sendall(data)
@@ -98,10 +98,10 @@
 
 
 def test_operators_that_race_get_one_winner_and_a_fresh_plan_for_the_other() -> None:
-    """Two operators plan changes on version 0; both get a plan, both confirm.
+    """Two operators plan changes based on version 0, and both confirm their plans.
 
-    One must be told that it lost, and what its change would do now; confirming that
-    fresh plan puts its change in force without undoing the winner's.
+    One must get the answer that its plan is outdated, with a fresh plan. Confirming
+    that plan puts its change in force without undoing the other change.
     """
     with serving(StateHandler()) as server:
         client = client_of(server)
@@ -130,10 +130,10 @@
 
 
 def test_a_change_resent_to_another_instance_gets_its_first_answer() -> None:
-    """The instance that took the change dies before its answer arrives.
+    """The instance that recorded the change crashes before its answer arrives.
 
-    The client sends the change to the next address, and must get the plan that the
-    first instance made, not a second one beside it.
+    The client sends the change to the next address and must get the plan that the
+    first instance recorded, not a second one.
     """
     handler = StateHandler()
     document = change_document("once", 0, put_models=(Model("wide", "7"),))
@@ -149,7 +149,7 @@
         assert unreachable.value.peer == addresses[0]
 
 
-def test_only_an_operators_key_opens_the_interface(server: OperatorsServer) -> None:
+def test_only_an_operators_key_is_accepted(server: OperatorsServer) -> None:
     for key in (CUSTOMER_KEY, "", OPERATOR_KEY + "x", "\xe9"):
         with pytest.raises(HttpStatusError) as refused:
             client_of(server, key=key).state()
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "end", "status", "words"),
+    ("data", "end", "status", "message"),
     [
         (request_bytes("/v1/plans", b"{"), False, 400, "truncated"),
         (request_bytes("/v1/plans", b'{"change_id": "a"}'), False, 400, "based_on"),
@@ -186,13 +186,13 @@
         (b"GET /healthz HTTP/1.1\r\nbroken header\r\n\r\n", False, 400, ""),
     ],
 )
-def test_a_bad_request_gets_a_clear_error_and_leaves_nothing(
-    server: OperatorsServer, data: bytes, end: bool, status: int, words: str
+def test_a_bad_request_gets_a_clear_error_and_changes_nothing(
+    server: OperatorsServer, data: bytes, end: bool, status: int, message: str
 ) -> None:
     before = client_of(server).audit()
     found, error = status_and_error(exchange(server, data, end=end))
     assert found == status
-    assert words in error["message"]
+    assert message in error["message"]
     assert error["code"] and error["step"] and error["peer"]
     assert client_of(server).audit() == before
 
@@ -204,27 +204,33 @@
         request_bytes("/v1/plans", length=10_000),
     ],
 )
-def test_a_client_that_drips_bytes_is_cut_off_in_time(beginning: bytes) -> None:
-    """A client sends its head, or its body, byte by byte, each within the timeout.
+def test_a_client_that_sends_byte_by_byte_is_disconnected_in_time(
+    beginning: bytes,
+) -> None:
+    """A client sends its head or body byte by byte, each byte within the timeout.
 
-    With a timeout that counts from the last byte it holds its thread for as long as
-    it likes, and a handful of such clients shut every operator out.
+    With a timeout that restarts at each byte, it would hold its thread without limit,
+    and a few such clients would lock all operators out.
     """
     with serving(StateHandler(), request_seconds=0.6, threads=1) as server:
         host, _, port = server.address.rpartition(":")
-        with socket.create_connection((host, int(port)), WAIT_SECONDS) as dripping:
+        with socket.create_connection((host, int(port)), WAIT_SECONDS) as connection:
             stopped = threading.Event()
-            thread = threading.Thread(target=drip, args=(dripping, beginning, stopped))
+            thread = threading.Thread(
+                target=send_slowly, args=(connection, beginning, stopped)
+            )
             thread.start()
-            answer = dripping.recv(65_536)
+            answer = connection.recv(65_536)
             stopped.set()
             thread.join(WAIT_SECONDS)
         assert status_and_error(answer)[0] == 408
         assert client_of(server).state().configuration.version == 0
 
 
-def drip(connection: socket.socket, beginning: bytes, stopped: threading.Event) -> None:
-    """Send a request that never ends, byte by byte."""
+def send_slowly(
+    connection: socket.socket, beginning: bytes, stopped: threading.Event
+) -> None:
+    """Send the start of a request, then single bytes without end."""
     try:
         connection.sendall(beginning)
         while not stopped.wait(0.1):
@@ -233,10 +239,10 @@
         return
 
 
-def test_silent_connections_do_not_keep_operators_out() -> None:
-    """Connections are opened to the only thread's server, and nothing is sent.
+def test_silent_connections_do_not_block_operators() -> None:
+    """Connections on which nothing is sent are opened to a server with one thread.
 
-    An operator who comes after them must be answered before they time out.
+    A later request of an operator must be answered before they time out.
     """
     with ExitStack() as stack:
         server = stack.enter_context(
@@ -250,7 +256,7 @@
 
 
 def test_a_failing_handler_is_answered_with_its_step_and_peer() -> None:
-    """The leader is cut off; the operator must see at which step, and when to retry."""
+    """Without a leader, the operator must see the failed step and when to retry."""
     handler = StateHandler()
     document = change_document("late", 0, put_models=(Model("wide", "7"),))
     with serving(handler) as server:
