--- a/packages/callers/src/cowslipshelf_callers/internal/routes.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/routes.py
@@ -1,4 +1,4 @@
-"""Turn a request line, headers and a body into a call."""
+"""Parse a request line, headers and a body into a call."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -10,27 +10,27 @@
 from cowslipshelf_callers.internal.call import CallerCall
 from cowslipshelf_callers.internal.model_call import (
     ModelCallFacts,
-    read_chat,
-    read_completion,
+    parse_chat,
+    parse_completion,
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import ModelName, RequestId, ServiceName
 
 MODELS_PATH = "/v1/models"
 DIGEST_BYTES = 16
-MOST_KEY_LENGTH = 255
-MOST_DEADLINE_SECONDS = 3_600.0
+MAX_KEY_LENGTH = 255
+MAX_DEADLINE_SECONDS = 3_600.0
 BEARER = "bearer "
 
-READERS: dict[str, Callable[[bytes], ModelCallFacts]] = {
-    "/v1/chat/completions": read_chat,
-    "/v1/completions": read_completion,
+BODY_PARSERS: dict[str, Callable[[bytes], ModelCallFacts]] = {
+    "/v1/chat/completions": parse_chat,
+    "/v1/completions": parse_completion,
 }
 SERVICE_PATH = re.compile(r"/services/([A-Za-z0-9][A-Za-z0-9._-]{0,127})(/[^?]*)?")
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+SERVICE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
 DOT_SEGMENTS = frozenset({".", "..", "%2e", "%2e%2e", ".%2e", "%2e."})
 
-NOT_PASSED_ON = HOP_BY_HOP | {
+NOT_FORWARDED_HEADERS = HOP_BY_HOP | {
     "authorization",
     "host",
     "expect",
@@ -40,7 +40,7 @@
 
 
 class RequestLine(NamedTuple):
-    """Be a request as HTTP gives it, before its body is read."""
+    """Hold the request line and the headers, before the body is read."""
 
     method: str
     path: str
@@ -51,14 +51,14 @@
 
 
 def bad_request(detail: str) -> BadCallError:
-    """Refuse a call that is wrong in itself."""
+    """Return the error for a malformed call."""
     return BadCallError(
         Refusal(RefusalCode.NOT_RUN, RefusalReason.BAD_REQUEST, "parse", detail=detail)
     )
 
 
 def customer_key_of(headers: Mapping[str, str]) -> str:
-    """Take the customer's key from its header."""
+    """Return the customer's key from the Authorization header."""
     value = headers.get("authorization", "")
     key = value[len(BEARER) :].strip()
     if not value.lower().startswith(BEARER) or not key:
@@ -70,20 +70,20 @@
 
 
 class Route(NamedTuple):
-    """Tell where a path leads."""
+    """Hold the service, the path and the body parser that a path leads to."""
 
     service: ServiceName | None
     path: str
-    reader: Callable[[bytes], ModelCallFacts] | None
-    """Reads a model call's body; None for a plain service."""
+    body_parser: Callable[[bytes], ModelCallFacts] | None
+    """Parses the body of a model call; None for a plain service."""
 
 
-def route_of(line: RequestLine) -> Route:
-    """Find what a path and method name, or refuse them."""
-    reader = READERS.get(line.path)
-    if reader is not None:
+def find_route(line: RequestLine) -> Route:
+    """Find the route for a path and method, or refuse the call."""
+    body_parser = BODY_PARSERS.get(line.path)
+    if body_parser is not None:
         _require_post(line)
-        return Route(_named_service(line), line.path, reader)
+        return Route(_named_service(line), line.path, body_parser)
     match = SERVICE_PATH.fullmatch(line.path)
     if match is None:
         detail = f"no such path: {line.path[:200]}"
@@ -98,8 +98,8 @@
     path = match[2] or "/"
     if any(part.lower() in DOT_SEGMENTS for part in path.split("/")):
         raise bad_request("a path must not have '.' or '..' segments")
-    reader = READERS.get(path) if line.method == "POST" else None
-    return Route(ServiceName(match[1]), path, reader)
+    body_parser = BODY_PARSERS.get(path) if line.method == "POST" else None
+    return Route(ServiceName(match[1]), path, body_parser)
 
 
 def _require_post(line: RequestLine) -> None:
@@ -111,13 +111,13 @@
     name = line.headers.get("x-service")
     if name is None:
         return None
-    if NAME.fullmatch(name) is None:
+    if SERVICE_NAME.fullmatch(name) is None:
         raise bad_request("X-Service is not the name of a service")
     return ServiceName(name)
 
 
 def deadline_of(headers: Mapping[str, str]) -> float | None:
-    """Read the caller's deadline, in seconds from now."""
+    """Return the caller's deadline in seconds from now, or None without one."""
     text = headers.get("x-deadline-seconds")
     if text is None:
         return None
@@ -125,45 +125,45 @@
         seconds = float(text)
     except ValueError:
         seconds = 0.0
-    if not 0.0 < seconds <= MOST_DEADLINE_SECONDS:
+    if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
         raise bad_request(
-            f"X-Deadline-Seconds must be above 0 and at most {MOST_DEADLINE_SECONDS:g}"
+            f"X-Deadline-Seconds must be above 0 and at most {MAX_DEADLINE_SECONDS:g}"
         )
     return seconds
 
 
 def idempotency_key_of(headers: Mapping[str, str]) -> str | None:
-    """Read the key that makes resending safe.
+    """Return the idempotency key, which makes resending safe, or None without one.
 
-    An empty key is refused: the caller believes itself protected and would not be.
+    An empty key is refused: the caller would rely on a protection that it lacks.
     """
     key = headers.get("idempotency-key")
     if key is None:
         return None
-    if not 0 < len(key) <= MOST_KEY_LENGTH or not key.isprintable():
+    if not 0 < len(key) <= MAX_KEY_LENGTH or not key.isprintable():
         raise bad_request(
-            f"Idempotency-Key must have 1 to {MOST_KEY_LENGTH} printable characters"
+            f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} printable characters"
         )
     return key
 
 
-def call_of(
+def make_call(
     line: RequestLine, route: Route, request_id: RequestId, body: bytes
 ) -> CallerCall:
-    """Build the call from its checked parts."""
+    """Build the call from its parsed parts."""
     facts = _facts_of(line, route, body)
     path = f"{route.path}?{line.query}" if line.query else route.path
     return CallerCall(
         request_id=request_id,
         customer_key=customer_key_of(line.headers),
         service=route.service,
-        kind="plain" if route.reader is None else "model",
+        kind="plain" if route.body_parser is None else "model",
         model=facts.model,
         method=line.method,
         path=path,
-        headers=_passed_on(line.headers),
+        headers=_forwarded_headers(line.headers),
         body=body,
-        body_digest=_digest(line.method, route.service or "", path, body),
+        body_digest=_call_digest(line.method, route.service or "", path, body),
         streamed=facts.streamed,
         prompt_tokens=facts.prompt_tokens,
         max_output_tokens=facts.max_output_tokens,
@@ -175,23 +175,23 @@
 
 
 def _facts_of(line: RequestLine, route: Route, body: bytes) -> ModelCallFacts:
-    if route.reader is not None:
-        return route.reader(body)
+    if route.body_parser is not None:
+        return route.body_parser(body)
     streamed = EVENT_STREAM in line.headers.get("accept", "")
     return ModelCallFacts(ModelName(""), streamed, 0, 0, 0)
 
 
-def _passed_on(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
     named = {part.strip().lower() for part in headers.get("connection", "").split(",")}
     return tuple(
         (name, value)
         for name, value in headers.items()
-        if name not in NOT_PASSED_ON and name not in named
+        if name not in NOT_FORWARDED_HEADERS and name not in named
     )
 
 
-def _digest(method: str, service: str, path: str, body: bytes) -> str:
-    """Tell calls apart; two services may have the same path."""
+def _call_digest(method: str, service: str, path: str, body: bytes) -> str:
+    """Return a digest of the call; includes the service, as two may share a path."""
     digest = blake2b(f"{method} {service} {path}\n".encode(), digest_size=DIGEST_BYTES)
     digest.update(body)
     return digest.hexdigest()
