--- a/packages/standins/src/cowslipshelf_standins/internal/configuration.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/configuration.py
@@ -26,7 +26,7 @@
     keep_alive_seconds: float = 1.0
     """Time, not scaled, without an event after which a stream sends a comment."""
     tick_seconds: float = 0.002
-    """Minimum time, not scaled, that one wake-up of the scheduler covers."""
+    """Minimum time, not scaled, that one wake-up of the engine loop covers."""
     time_scale: float = 1.0
     """Real seconds per second of the engine."""
     checks_fencing: bool = True
--- a/packages/standins/src/cowslipshelf_standins/internal/engine.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine.py
@@ -102,7 +102,7 @@
         self.record_load()
 
     def cache_prompt(self, attempt: Attempt, now: float) -> None:
-        """Cache a prefilled prompt's blocks, unless some of it is on other engines."""
+        """Cache a prefilled prompt's blocks, unless its start is on another engine."""
         if attempt.range_start or attempt.imported_tokens:
             return
         blocks = attempt.range_end // TOKENS_PER_BLOCK
--- a/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
@@ -1,7 +1,7 @@
 """Write an attempt's events to a connection as soon as they exist.
 
 Waking a thread for every event costs several times the CPU time of the write itself. So
-the scheduler's thread writes new events to the socket without blocking, and the
+the engine loop's thread writes new events to the socket without blocking, and the
 connection's thread only writes comments and what a slow reader has not yet taken.
 """
 
@@ -43,7 +43,7 @@
         self.cut = False
 
     def push(self) -> None:
-        """Write new events without blocking; called on the scheduler's thread."""
+        """Write new events without blocking; called on the engine loop's thread."""
         # With a slow reader, the connection's thread may hold the lock for long. It
         # checks for new events after it has released the lock, so none is missed.
         if not self.lock.acquire(blocking=False):
--- a/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/http_serving.py
@@ -111,26 +111,20 @@
     def read_body(self) -> bytes:
         """Return the whole body of the request."""
         if self.headers.get("Transfer-Encoding"):
-            raise self.unread_body_error(
-                411, "length_required", "send a Content-Length"
-            )
+            raise self.body_error(411, "length_required", "send a Content-Length")
         text = self.headers.get("Content-Length", "0")
         if not text.isdecimal():
-            raise self.unread_body_error(
-                400, "bad_request", "Content-Length is no number"
-            )
+            raise self.body_error(400, "bad_request", "Content-Length is no number")
         length = int(text)
         if length > MAX_BODY_BYTES:
-            raise self.unread_body_error(413, "too_large", "the body is too large")
+            raise self.body_error(413, "too_large", "the body is too large")
         body = self.rfile.read(length)
         if len(body) < length:
             raise ConnectionResetError("the request body is truncated")
         return body
 
-    def unread_body_error(
-        self, status: int, code: str, message: str
-    ) -> BadRequestError:
-        """Return the error for an unread body, and close its connection."""
+    def body_error(self, status: int, code: str, message: str) -> BadRequestError:
+        """Return the error for an unread body; its connection can't be reused."""
         self.close_connection = True
         return BadRequestError(status, code, message)
 
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
@@ -1,8 +1,9 @@
 """Assemble a non-streamed answer from an engine's stream.
 
 An engine sends nothing of a non-streamed answer until it is complete, so a dead engine
-would be detected only at the deadline, and a truncated answer could not be resumed. A
-live engine never pauses a stream for long, and what arrived before a cut is kept.
+would be detected only at the deadline, and a truncated answer could not be resumed. So
+a stream is requested instead: a live engine never pauses one for long, and what arrived
+before a cut is kept.
 """
 
 from collections.abc import Callable, Iterator
--- a/tests/cover/standins/test_engine_answers.py
+++ b/tests/cover/standins/test_engine_answers.py
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("extra", [{"n": 1}, {"logprobs": 2}, {"tools": []}])
-def test_a_whole_answer_of_unusual_shape_passes_as_it_is(engine, extra) -> None:
+def test_a_whole_answer_of_unusual_shape_passes_unchanged(engine, extra) -> None:
     asked = completion(stream=False, attempt_id=fresh_id())
     body = msgspec.json.encode(msgspec.json.decode(asked.body) | extra)
     pieces = list(client_of(engine.address).start(asked._replace(body=body)))
--- a/tests/cover/standins/test_engine_state.py
+++ b/tests/cover/standins/test_engine_state.py
@@ -147,7 +147,7 @@
     linear=st.floats(1e-6, 1e-2),
     quadratic=st.floats(0, 1e-5),
 )
-def test_prefill_time_does_not_hang_on_the_chunk(
+def test_prefill_time_does_not_depend_on_the_chunk_size(
     tokens: int, chunk: int, linear: float, quadratic: float
 ) -> None:
     config = EngineConfig(
@@ -188,7 +188,7 @@
     max_blocks=st.integers(1, 8),
     loss=st.sampled_from([0.0, 0.5]),
 )
-def test_cache_events_tell_the_cache_but_for_visible_gaps(
+def test_cache_events_reproduce_the_cache_except_for_visible_gaps(
     prompts, max_blocks, loss
 ) -> None:
     cache = PrefixCache(max_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
--- a/tests/cover/standins/test_event_writer.py
+++ b/tests/cover/standins/test_event_writer.py
@@ -45,8 +45,8 @@
 def test_a_reader_that_stops_gets_every_byte_later_and_blocks_nobody(steps) -> None:
     """A reader accepts no data for a while.
 
-    The scheduler's thread writes to all streams. If it blocked on this one, all others
-    would stop.
+    The engine loop's thread writes to all streams. If it blocked on this one, all
+    others would stop.
     """
     attempt = new_attempt(1 + sum(n for kind, n in steps if kind == "generate"))
     ours, theirs = socket.socketpair()
@@ -83,18 +83,18 @@
 
 
 @steady
-@given(events=st.integers(0, 6), most=st.integers(0, 6))
-def test_a_stream_is_cut_after_as_many_events_as_the_fault_says(events, most) -> None:
+@given(events=st.integers(0, 6), limit=st.integers(0, 6))
+def test_a_stream_is_cut_after_as_many_events_as_the_fault_says(events, limit) -> None:
     attempt = new_attempt(events + 1)
     ours, theirs = socket.socketpair()
     injector = FaultInjector()
-    injector.set(Faults(drop_after_events=most))
+    injector.set(Faults(drop_after_events=limit))
     writer = EventWriter(ours, attempt, 0, injector)
     for number in range(events):
         attempt.publish(AttemptState.DECODING, number + 1)
         writer.push()
     attempt.publish(AttemptState.FINISHED, events + 1)
-    whole = most >= events + 2
+    whole = limit >= events + 2
     if whole:
         writer.run(QUIET_SECONDS)
     else:
@@ -103,5 +103,5 @@
     ours.close()
     received = read_to_end(theirs)
     theirs.close()
-    assert received.count(b"id: ") == min(most, events + 2)
+    assert received.count(b"id: ") == min(limit, events + 2)
     assert received.endswith(b"0\r\n\r\n") == whole
--- a/tests/cover/upstreams/test_engine_client.py
+++ b/tests/cover/upstreams/test_engine_client.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", HEAD, HEAD + event(1, "gate")])
-def test_a_silent_connection_is_given_up_at_every_step(sent: bytes) -> None:
+def test_a_silent_connection_times_out_at_every_step(sent: bytes) -> None:
     """A middlebox drops the state of an open connection, and no packet arrives."""
     release = Event()
 
@@ -114,7 +114,7 @@
         assert "attempt" in held
 
 
-def test_a_frozen_engine_shows_long_before_the_deadline_of_a_whole_answer() -> None:
+def test_a_frozen_engine_is_detected_before_the_deadline_of_a_whole_answer() -> None:
     """An engine freezes before a non-streamed answer with a deadline of an hour.
 
     Nothing of such an answer is sent until it is complete. Without fetching it as a
@@ -172,7 +172,7 @@
     assert error.step == "stream"
 
 
-def test_an_error_that_the_engine_streams_is_told_apart() -> None:
+def test_an_error_in_the_stream_is_reported_as_a_failure() -> None:
     data = b'id: 1\ndata: {"error": {"message": "out of memory"}}\n\n'
     with scripted_peer(lambda p: p.sendall(HEAD + chunk(data) + DONE)) as address:
         _, error = collect(address)
@@ -180,7 +180,7 @@
     assert "out of memory" in error.detail
 
 
-def test_an_unreachable_engine_surely_has_not_got_the_request() -> None:
+def test_an_unreachable_engine_has_not_received_the_request() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     _, error = collect(f"{host}:{port}")
@@ -226,7 +226,7 @@
         assert len(errors) == 1
 
 
-def test_a_caller_cannot_speak_in_the_name_of_another_attempt() -> None:
+def test_a_caller_cannot_set_the_headers_that_control_an_attempt() -> None:
     """A caller sends the headers by which the client controls an engine."""
     with running_engine() as server:
         client = client_of(server.address)
--- a/tests/cover/upstreams/test_plain_client.py
+++ b/tests/cover/upstreams/test_plain_client.py
@@ -79,7 +79,7 @@
     assert [call["idempotency_key"] for call in calls] == ["payment-7"]
 
 
-def test_a_frozen_service_is_given_up_at_the_deadline(service) -> None:
+def test_a_call_to_a_frozen_service_times_out_at_the_deadline(service) -> None:
     service.injector.set(Faults(freeze=True))
     with pytest.raises(UpstreamLostError) as caught:
         client = client_of(service.address, silence_seconds=0.1)
@@ -87,7 +87,7 @@
     assert caught.value.may_have_arrived
 
 
-def test_a_call_that_could_not_connect_surely_did_not_run() -> None:
+def test_a_call_that_could_not_connect_did_not_run() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     with pytest.raises(UpstreamLostError) as caught:
--- a/tests/cover/weightstore/test_client.py
+++ b/tests/cover/weightstore/test_client.py
@@ -55,7 +55,7 @@
 
 @steady
 @given(header=st.text(st.characters(min_codepoint=33, max_codepoint=126), max_size=8))
-def test_any_retry_after_gives_a_wait_within_reason(header: str) -> None:
+def test_any_retry_after_gives_a_bounded_wait(header: str) -> None:
     wire = f"HTTP/1.1 429 No\r\nRetry-After: {header}\r\nContent-Length: 0\r\n\r\n"
     with scripted_peer(lambda peer: peer.sendall(wire.encode())) as address:
         result = client_of(address).load("small", "1", "grant")
