--- a/packages/callers/src/cowslipshelf_callers/internal/connection.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/connection.py
@@ -1,6 +1,6 @@
 """Read callers' sockets with one deadline for each whole call.
 
-With a timeout for each read, a caller that sends a byte now and then could hold a
+With only a timeout for each read, a caller that sends a byte now and then could hold a
 thread forever. The time runs from the first byte of a call to its last.
 """
 
--- a/packages/callers/src/cowslipshelf_callers/internal/http_request.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/http_request.py
@@ -59,7 +59,7 @@
     """Parse the request line and headers; send errors in the published shape."""
 
     def read_request_line(self) -> bool:
-        """Read the request line; answer 400 to a malformed one."""
+        """Read the request line; answer a malformed one with 400, not 500."""
         try:
             return super().read_request_line()
         except ValueError as error:
--- a/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
@@ -78,7 +78,7 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Return the HTTP status; only for "not run" is it one that invites a retry."""
+    """Return the HTTP status; only "not run" gets one that invites a retry."""
     status = STATUS_BY_REASON[refusal.reason]
     if refusal.code is RefusalCode.NOT_RUN:
         return status
--- a/tests/cover/callers/test_slow_callers.py
+++ b/tests/cover/callers/test_slow_callers.py
@@ -19,21 +19,21 @@
 
 
 @pytest.mark.parametrize(
-    "begun",
+    "beginning",
     [
         b"POST /v1/completions HTTP/1.1\r\nX-Slow: ",
         request_bytes("POST", CHAT, content_length="4000000"),
         request_bytes("POST", CHAT, transfer_encoding="chunked") + b"fffff\r\n",
     ],
 )
-def test_an_incomplete_request_times_out_though_bytes_keep_arriving(begun):
+def test_an_incomplete_request_times_out_though_bytes_keep_arriving(beginning):
     """A broken client sends one byte now and then, each before a read times out.
 
     With only a timeout for each read, it would hold its thread forever.
     """
     with running_server(RecordingHandler(), request_seconds=0.3) as server:
         with connect(server) as connection:
-            connection.sendall(begun)
+            connection.sendall(beginning)
             stop = threading.Event()
             trickle = threading.Thread(target=_trickle, args=(connection, stop))
             trickle.start()
