--- a/packages/callers/src/cowslipshelf_callers/internal/http_request.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/http_request.py
@@ -1,4 +1,4 @@
-"""Check one HTTP request, answer it through the handler, or refuse it."""
+"""Parse one HTTP request, and answer it through the handler or refuse it."""
 
 import logging
 import secrets
@@ -9,14 +9,14 @@
 from cowslipshelf_callers.errors import BadCallError, CallerGoneError
 from cowslipshelf_callers.internal.answer_writer import AnswerWriter
 from cowslipshelf_callers.internal.chunked_body import read_chunked
-from cowslipshelf_callers.internal.models_page import models_answer
+from cowslipshelf_callers.internal.model_list import write_models
 from cowslipshelf_callers.internal.routes import (
     MODELS_PATH,
     RequestLine,
     bad_request,
-    call_of,
     customer_key_of,
-    route_of,
+    find_route,
+    make_call,
 )
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import RequestId
@@ -24,41 +24,42 @@
 LOG = logging.getLogger("cowslipshelf.callers")
 REQUEST_ID_BYTES = 12
 STATUS_TIMEOUT = 408
-NOT_ENDED = Refusal(
+ANSWER_NOT_ENDED = Refusal(
     RefusalCode.OUTCOME_UNKNOWN,
     RefusalReason.UPSTREAM_FAILED,
     "answer",
     detail="the answer was not ended",
 )
-"""What a caller gets where an answer would have ended quietly, as a whole one does."""
-NEVER_REPEATED = frozenset({b"Content-Length", b"Host", b"Authorization"})
-STATUSES_OF_SIZE = frozenset({413, 414})
+"""Sent if an answer would otherwise stop without an error and look complete."""
+SINGLE_VALUE_HEADERS = frozenset({b"Content-Length", b"Host", b"Authorization"})
+TOO_LARGE_STATUSES = frozenset({413, 414})
 
 
-def fresh_request_id() -> RequestId:
-    """Draw the id that every hop and the answer carry."""
+def new_request_id() -> RequestId:
+    """Return a new random id, which every hop and the answer carry."""
     return RequestId(f"req-{secrets.token_hex(REQUEST_ID_BYTES)}")
 
 
 class CallHeaders(dict):
-    """Hold the headers of a call; refuse a second length.
+    """Hold the headers of a call; reject repeated headers that must be unique.
 
-    A balancer may go by the first and we by the last: then bytes that it takes for
-    the body of one caller's call would begin another call here.
+    A load balancer may use the first Content-Length and this server the last. Then
+    bytes that the balancer takes for the body of one caller's call would be parsed
+    here as another call (request smuggling).
     """
 
     def __setitem__(self, name: bytes, value: bytes) -> None:
-        """Take a header; raises ValueError where its repetition is no list."""
-        if name in self and name in NEVER_REPEATED:
+        """Set a header; raises ValueError if it repeats one that must be unique."""
+        if name in self and name in SINGLE_VALUE_HEADERS:
             raise ValueError(f"repeated header {name.decode()}")
         super().__setitem__(name, value)
 
 
 class CallerRequestReader(HTTPRequest):
-    """Parse a request line and headers; refuse in the published error shape."""
+    """Parse the request line and headers; send errors in the published shape."""
 
     def read_request_line(self) -> bool:
-        """Read the request line; a malformed one is the caller's fault."""
+        """Read the request line; answer a malformed one with 400, not 500."""
         try:
             return super().read_request_line()
         except ValueError as error:
@@ -66,14 +67,14 @@
             return False
 
     def read_request_headers(self) -> bool:
-        """Read the headers; refuse what two servers could read in two ways."""
+        """Read the headers; refuse what two servers could interpret differently."""
         self.inheaders = CallHeaders()
         try:
             if not super().read_request_headers():
                 return False
         except UnboundLocalError:
-            # The library takes a continuation line without a header before it for a
-            # fault of its own, and would answer with 500.
+            # The library fails on a continuation line without a header before it, and
+            # would answer 500.
             self.simple_response("400 Bad Request", "a header begins with white space")
             return False
         length = self.inheaders.get(b"Content-Length")
@@ -88,34 +89,34 @@
         return True
 
     def simple_response(self, status, msg="") -> None:
-        """Refuse with the JSON that callers get for every other refusal."""
+        """Refuse with the JSON shape that all refusals have; the library calls this."""
         number = int(str(status)[:3])
         self.close_connection = True
         self.conn.linger = True
         refusal = _refusal_of_status(number, str(msg).rstrip(".") or str(status)[4:])
-        writer = self.writer(fresh_request_id())
-        writer.keeps_connection = False
+        writer = self.writer(new_request_id())
+        writer.keep_alive = False
         try:
             writer.send_refusal(refusal, number)
         except CallerGoneError as error:
             LOG.debug("callers: %s", error)
 
     def writer(self, request_id: RequestId) -> AnswerWriter:
-        """Make the writer for this request's one answer."""
+        """Return the writer for the one answer to this request."""
         return AnswerWriter(
             socket=self.conn.socket,
             peer=f"{self.conn.remote_addr}:{self.conn.remote_port}",
             request_id=request_id,
             write_seconds=self.server.config.write_seconds,
             method=getattr(self, "method", b"GET").decode("latin-1"),
-            takes_chunks=self.response_protocol == "HTTP/1.1",
-            keeps_connection=not self.close_connection,
+            allows_chunked=self.response_protocol == "HTTP/1.1",
+            keep_alive=not self.close_connection,
         )
 
 
 def _refusal_of_status(status: int, detail: str) -> Refusal:
     reason = RefusalReason.BAD_REQUEST
-    if status in STATUSES_OF_SIZE:
+    if status in TOO_LARGE_STATUSES:
         reason = RefusalReason.TOO_LARGE
     if status == STATUS_TIMEOUT:
         reason = RefusalReason.DEADLINE_PASSED
@@ -123,28 +124,28 @@
     return Refusal(RefusalCode.NOT_RUN, reason, "parse", detail=detail)
 
 
-class CallersGateway(Gateway):
-    """Answer one parsed request."""
+class CallResponder(Gateway):
+    """Answer one parsed request, in the role that the HTTP library calls gateway."""
 
     req: CallerRequestReader
 
     def respond(self) -> None:
-        """Answer, and decide whether the connection can carry another call."""
+        """Answer, and decide whether the connection can serve another call."""
         request = self.req
         request.sent_headers = True
         if not request.server.may_keep_connections():
             request.close_connection = True
-        writer = request.writer(fresh_request_id())
+        writer = request.writer(new_request_id())
         self.answer_or_refuse(writer)
-        request.close_connection = not writer.keeps_connection
+        request.close_connection = not writer.keep_alive
         request.chunked_write = False
 
     def answer_or_refuse(self, writer: AnswerWriter) -> None:
-        """Answer; whatever happens, the caller gets one explicit end."""
+        """Answer the call; on any failure, the caller still gets one explicit end."""
         try:
             self.answer(writer)
         except CallerGoneError as error:
-            writer.keeps_connection = False
+            writer.keep_alive = False
             LOG.info("callers: %s", error)
             return
         except BadCallError as error:
@@ -153,11 +154,11 @@
         except Exception:
             LOG.exception("callers: %s failed", writer.request_id)
         if not writer.ended:
-            self.refuse(writer, BadCallError(NOT_ENDED))
+            self.refuse(writer, BadCallError(ANSWER_NOT_ENDED))
 
     def refuse(self, writer: AnswerWriter, error: BadCallError) -> None:
-        """Refuse a call; what the caller still sends stays unread."""
-        writer.keeps_connection = False
+        """Refuse a call and close its connection without parsing the rest."""
+        writer.keep_alive = False
         self.req.conn.linger = True
         try:
             if error.status is None:
@@ -168,20 +169,20 @@
             LOG.info("callers: %s", gone)
 
     def answer(self, writer: AnswerWriter) -> None:
-        """Parse the call and give it to the handler."""
+        """Parse the call and pass it to the handler."""
         line = self.request_line(writer.peer)
         key = customer_key_of(line.headers)
         if line.path == MODELS_PATH and line.method == "GET":
             self.read_body()
-            models_answer(self.req.server.handler.models(key), writer)
+            write_models(self.req.server.handler.models(key), writer)
             return
-        route = route_of(line)
+        route = find_route(line)
         body = self.read_body()
-        call = call_of(line, route, writer.request_id, body)
+        call = make_call(line, route, writer.request_id, body)
         self.req.server.handler.answer(call, writer)
 
     def request_line(self, peer: str) -> RequestLine:
-        """Give the request line and headers as text."""
+        """Return the request line and the headers as text."""
         request = self.req
         uri = urllib.parse.urlsplit(request.uri.decode("latin-1"))
         headers = {
@@ -192,7 +193,7 @@
         return RequestLine(method, uri.path, uri.query, headers, peer)
 
     def read_body(self) -> bytes:
-        """Read the whole body, within the limits of size and time."""
+        """Read the whole body within the limits on size and time."""
         request = self.req
         limit = request.server.config.max_body_bytes
         try:
@@ -206,7 +207,7 @@
             raise bad_request(f"malformed chunked body: {error}") from error
 
     def read_known_length(self) -> bytes:
-        """Read as many bytes as were announced."""
+        """Read a body with the length that Content-Length gives."""
         length = int(self.req.inheaders.get(b"Content-Length", b"0"))
         if not length:
             return b""
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_loop.py
@@ -1,7 +1,7 @@
 """Run all engines of a process on one thread.
 
-Threads of their own would hand the interpreter's lock back and forth at every write to
-a socket, and wait for it longer than they work.
+With a thread each, the engines would pass the GIL back and forth at every socket write,
+and wait for it longer than they work.
 """
 
 from heapq import heappop, heappush
@@ -11,42 +11,42 @@
 from typing import Protocol
 
 
-class Advancing(Protocol):
-    """Be something that has to be run at certain moments."""
+class Schedulable(Protocol):
+    """Run at times that it chooses."""
 
     def advance(self, now: float) -> float | None:
-        """Do what is due; return the next moment, or none while there is no work."""
+        """Do the due work; return the time of the next run, or None if idle."""
 
 
 class EngineLoop:
-    """Run each engine when it is due, and sleep while none is."""
+    """Run each engine when it is due."""
 
     def __init__(self) -> None:
         self.changed = Condition()
-        self.due: list[tuple[float, int, Advancing]] = []
-        self.order = count()
+        self.due: list[tuple[float, int, Schedulable]] = []
+        self.tie_breaker = count()
 
     def start(self) -> None:
-        """Run on a thread of its own."""
+        """Start the loop on a daemon thread."""
         Thread(target=self.run, daemon=True).start()
 
-    def schedule(self, engine: Advancing, at: float) -> None:
-        """Run an engine at a moment; the caller sees to it that it is in here once."""
+    def schedule(self, engine: Schedulable, at: float) -> None:
+        """Schedule a run; the caller must not schedule an engine twice."""
         with self.changed:
-            heappush(self.due, (at, next(self.order), engine))
+            heappush(self.due, (at, next(self.tie_breaker), engine))
             if self.due[0][2] is engine:
                 self.changed.notify()
 
     def run(self) -> None:
-        """Run whoever is due next, for as long as the process lives."""
+        """Run the engines that are due, until the process exits."""
         while True:
             engine = self.next_engine()
             again = engine.advance(monotonic())
             if again is not None:
                 self.schedule(engine, again)
 
-    def next_engine(self) -> Advancing:
-        """Wait for the next engine to be due."""
+    def next_engine(self) -> Schedulable:
+        """Wait until an engine is due, and return it."""
         with self.changed:
             while True:
                 wait = self.due[0][0] - monotonic() if self.due else None
--- a/tests/cover/standins/test_engine_state.py
+++ b/tests/cover/standins/test_engine_state.py
@@ -1,4 +1,4 @@
-"""Check that the engine stand-in accounts its memory and keeps its order."""
+"""Test the engine stand-in's memory accounting and serving order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,10 +10,10 @@
 from cowslipshelf_standins.internal.engine import Engine
 from cowslipshelf_standins.internal.engine_documents import StartOptions
 from cowslipshelf_standins.internal.engine_loop import EngineLoop
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import BadRequestError
 from cowslipshelf_standins.internal.kv_parts import merged_length
-from cowslipshelf_standins.internal.orders import OrderBody, OrderBook
+from cowslipshelf_standins.internal.orders import OrderBody, OrderExecutor
 from cowslipshelf_standins.internal.prefix_cache import PrefixCache
 from cowslipshelf_standins.internal.prompts import Prompt
 
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.engine = Engine(SMALL_ENGINE, FaultSwitch(), EngineLoop())
+        self.engine = Engine(SMALL_ENGINE, FaultInjector(), EngineLoop())
         self.submitted: dict[str, int] = {}
 
     @rule(
@@ -126,7 +126,7 @@
 )
 def test_first_tokens_come_in_order_of_priority_then_arrival(prompts) -> None:
     engine = Engine(
-        SMALL_ENGINE._replace(memory_tokens=10_000), FaultSwitch(), EngineLoop()
+        SMALL_ENGINE._replace(memory_tokens=10_000), FaultInjector(), EngineLoop()
     )
     for number, (tokens, priority) in enumerate(prompts):
         engine.submit(prompt_of(tokens, 2), options_of(f"{number}", priority))
@@ -147,7 +147,7 @@
     linear=st.floats(1e-6, 1e-2),
     quadratic=st.floats(0, 1e-5),
 )
-def test_prefill_time_does_not_hang_on_the_chunk(
+def test_prefill_time_does_not_depend_on_the_chunk_size(
     tokens: int, chunk: int, linear: float, quadratic: float
 ) -> None:
     config = EngineConfig(
@@ -156,7 +156,7 @@
         prefill_seconds_per_token_squared=quadratic,
         tick_seconds=1e9,
     )
-    engine = Engine(config, FaultSwitch(), EngineLoop())
+    engine = Engine(config, FaultInjector(), EngineLoop())
     engine.submit(prompt_of(tokens, 1), options_of("only"))
     seconds, progress = engine.batch.run_tick(1.0)
     expected = linear * tokens + quadratic * tokens * tokens
@@ -167,11 +167,11 @@
 @steady
 @given(numbers=st.lists(st.integers(1, 20)), checks=st.booleans())
 def test_only_engines_that_check_refuse_old_fencing_numbers(numbers, checks) -> None:
-    book = OrderBook((), checks)
+    executor = OrderExecutor((), checks)
     newest = 0
     for number in numbers:
         order = OrderBody(f"order-{number}", "change_role", "prefill", number)
-        assert book.accepts(order) == (not checks or number >= newest)
+        assert executor.accept(order) == (not checks or number >= newest)
         newest = max(newest, number)
 
 
@@ -185,27 +185,27 @@
 @steady
 @given(
     prompts=st.lists(st.lists(st.integers(0, 3), max_size=6), max_size=12),
-    most_blocks=st.integers(1, 8),
+    max_blocks=st.integers(1, 8),
     loss=st.sampled_from([0.0, 0.5]),
 )
-def test_cache_events_tell_the_cache_but_for_visible_gaps(
-    prompts, most_blocks, loss
+def test_cache_events_reproduce_the_cache_except_for_visible_gaps(
+    prompts, max_blocks, loss
 ) -> None:
-    cache = PrefixCache(most_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
+    cache = PrefixCache(max_blocks * 256, delay_seconds=0.0, loss=loss, seed=7)
     for number, choices in enumerate(prompts):
-        # A block's hash stands for all that comes before it, too.
+        # A block's hash covers all blocks before it, too.
         hashes = tuple(hash(tuple(choices[: end + 1])) for end in range(len(choices)))
         cache.store(hashes, f"{number}", now=0.0)
-        assert cache.cached_tokens(hashes) == 256 * min(len(hashes), most_blocks)
-        assert len(cache.blocks) <= most_blocks
-    told = cache.events_after(0, now=0.0)
+        assert cache.cached_tokens(hashes) == 256 * min(len(hashes), max_blocks)
+        assert len(cache.blocks) <= max_blocks
+    answer = cache.events_after(0, now=0.0)
     rebuilt: set[int] = set()
-    for event in told.events:
+    for event in answer.events:
         match event.kind:
             case "stored":
                 rebuilt |= set(event.block_hashes)
             case "removed":
                 rebuilt -= set(event.block_hashes)
-    if len(told.events) == cache.sequence:
+    if len(answer.events) == cache.sequence:
         assert rebuilt == set(cache.blocks)
-    assert loss or len(told.events) == cache.sequence
+    assert loss or len(answer.events) == cache.sequence
