--- a/packages/cli/src/cowslipshelf_cli/__init__.py
+++ b/packages/cli/src/cowslipshelf_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Give operators a command line."""
+"""Provide the command line for operators."""
--- a/packages/cli/src/cowslipshelf_cli/exit_codes.py
+++ b/packages/cli/src/cowslipshelf_cli/exit_codes.py
@@ -1,10 +1,10 @@
-"""Fix the exit codes of the command line; scripts rely on them."""
+"""Define the exit codes of the command line, which scripts rely on."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """Tell a script how a command ended."""
+    """Enumerate how a command can end."""
 
     DONE = 0
     FAULT = 1
@@ -31,5 +31,5 @@
 
 
 def meanings_text() -> str:
-    """Write all exit codes and their meanings in one sentence."""
+    """List all exit codes and their meanings in one sentence."""
     return "; ".join(f"{code.value} {meaning}" for code, meaning in MEANINGS.items())
--- a/packages/cli/src/cowslipshelf_cli/internal/__init__.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the program is made of."""
+"""Contain the modules of the program."""
--- a/packages/cli/src/cowslipshelf_cli/internal/check_command.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/check_command.py
@@ -1,4 +1,4 @@
-"""Check settings files, each by itself and together."""
+"""Implement the command `check`: settings files alone and as one fleet."""
 
 from collections.abc import Sequence
 
@@ -15,7 +15,7 @@
 
 
 def check(files: Sequence[str], writer: Writer) -> ExitCode:
-    """Check files and print every problem in them."""
+    """Check files and show every problem in them."""
     problems: list[SettingsProblem] = []
     sound: list[LoadedSettings] = []
     for file in files:
--- a/packages/cli/src/cowslipshelf_cli/internal/command_context.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/command_context.py
@@ -1,4 +1,4 @@
-"""Name what a command takes from the world around it, so that tests can replace it."""
+"""Define the external dependencies of commands, which tests can replace."""
 
 import os
 import sys
@@ -30,10 +30,10 @@
 
 
 class OperatorsApi(Protocol):
-    """Be what commands ask of entry instances."""
+    """Define the requests that commands send to entry instances."""
 
     def plan(self, document: PlanDocument) -> PlanAnswer | OutdatedAnswer:
-        """Ask for a plan."""
+        """Request a plan."""
 
     def confirm(
         self, plan_id: PlanId, change_id: ChangeId | None = None
@@ -47,17 +47,17 @@
         """Read a page of the audit trail."""
 
     def explain(self, kind: ExplainKind, name: str) -> ExplainAnswer:
-        """Tell what happened to something."""
+        """Explain what happened to a request, an upstream or a change."""
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests under which upstreams ended."""
+        """List the requests during which upstreams exited."""
 
     def release(self, digest: str) -> SuspectsAnswer:
-        """Let a request go that is held back."""
+        """Release a request that is held back."""
 
 
 class CommandContext(NamedTuple):
-    """Be the environment, the streams and the way to the fleet."""
+    """Hold the environment, the standard streams and the client factory."""
 
     environment: Mapping[str, str]
     input: TextIO
@@ -67,7 +67,7 @@
 
     @classmethod
     def from_process(cls) -> "CommandContext":
-        """Take those of this process."""
+        """Create the context of this process."""
         return cls(
             os.environ,
             sys.stdin,
@@ -78,14 +78,14 @@
 
 
 class FleetClients(NamedTuple):
-    """Be the way to a fleet: through any instance, and to each alone."""
+    """Hold clients of a fleet: one for any instance, and one for each."""
 
     any_instance: OperatorsApi
     each_instance: tuple[OperatorsApi, ...]
 
 
 def connect(program: Program, context: CommandContext) -> FleetClients:
-    """Find out which instances to ask with which key."""
+    """Create clients from the addresses and the key that were given."""
     addresses = entry_addresses(program, context)
     key = operator_key(program, context)
     config = OperatorsClientConfig(addresses, key)
@@ -111,7 +111,7 @@
 
 
 def check_address(address: str) -> None:
-    """Refuse a text that is no IP:PORT."""
+    """Refuse an address that is not IP:PORT."""
     try:
         parse_address(address)
     except AddressError as error:
@@ -123,7 +123,7 @@
 def operator_key(program: Program, context: CommandContext) -> str:
     """Read the operator's key from a file or the environment.
 
-    It is no option, as every user of a machine can read the options of processes.
+    It is not an option: every user of a machine can read the options of its processes.
     """
     if program.key_file is not None:
         key = read_text(program.key_file, context).strip()
@@ -138,7 +138,7 @@
 
 
 def read_text(file: str, context: CommandContext) -> str:
-    """Read a file, or standard input where it is named '-'."""
+    """Read a file, or standard input if its name is '-'."""
     try:
         if file == "-":
             return context.input.read()
--- a/packages/cli/src/cowslipshelf_cli/internal/commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/commands.py
@@ -1,4 +1,7 @@
-"""Define the commands and their options."""
+"""Define the commands and their options.
+
+The parser derives subcommands and flags from the names of classes and attributes.
+"""
 
 from dataclasses import dataclass, field
 from pathlib import Path
--- a/packages/cli/src/cowslipshelf_cli/internal/failures.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/failures.py
@@ -1,4 +1,4 @@
-"""Tell why a command ended without doing what was asked, and what to do next."""
+"""Describe why a command failed and what the operator can do next."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class CommandFailure(NamedTuple):
-    """Be the end of a command that did not do what was asked."""
+    """Hold the exit code, the message and the next step of a failed command."""
 
     exit_code: ExitCode
     message: str
@@ -24,7 +24,7 @@
 
 
 class CommandFailedError(Exception):
-    """Carry a failure to where it is printed."""
+    """Signal that a command failed."""
 
     def __init__(self, exit_code: ExitCode, message: str, next_step: str) -> None:
         super().__init__(message)
@@ -32,7 +32,7 @@
 
 
 def failure_of(error: ClientError) -> CommandFailure:
-    """Describe an error of the operators' client."""
+    """Convert an error of the operators' client."""
     if not isinstance(error, HttpStatusError):
         next_step = "check --entry, COWSLIPSHELF_ENTRIES and the network, then resend"
         return CommandFailure(ExitCode.UNREACHABLE, str(error), next_step)
--- a/packages/cli/src/cowslipshelf_cli/internal/load/__init__.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/__init__.py
@@ -1,1 +1,1 @@
-"""Send a seeded load and time the answers."""
+"""Generate a seeded load and measure the answers."""
--- a/packages/cli/src/cowslipshelf_cli/internal/load/answer_reader.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/answer_reader.py
@@ -1,4 +1,4 @@
-"""Read a streamed answer and judge whether it is whole."""
+"""Parse a streamed answer and decide whether it is complete."""
 
 import json
 from typing import Any
@@ -8,39 +8,39 @@
 DATA = b"data:"
 DONE = b"[DONE]"
 HTTP_OK = 200
-SHOWN_CHARACTERS = 80
-LARGEST_ERROR_BYTES = 64 * 1024
+MAX_NAME_CHARACTERS = 80
+MAX_ERROR_BYTES = 64 * 1024
 UNNAMED = "unnamed"
 
 
 class AnswerReader:
-    """Take the bytes of one answer as they come."""
+    """Parse the bytes of one answer as they arrive."""
 
     def __init__(self, status: int) -> None:
         self.status = status
-        self.rest = b""
+        self.buffer = b""
         self.tokens_seen = False
-        """Whether an event of the answer itself has come, not an error."""
+        """Whether an event other than an error has arrived."""
         self.done = False
-        self.trailing = False
-        """Whether something came after the final marker."""
+        self.has_trailing_data = False
+        """Whether data arrived after the final marker."""
         self.error = ""
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Parse the next bytes."""
         if self.status != HTTP_OK:
-            self.rest = (self.rest + data)[:LARGEST_ERROR_BYTES]
+            self.buffer = (self.buffer + data)[:MAX_ERROR_BYTES]
             return
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
-            self.take_line(line.strip())
+            self.handle_line(line.strip())
 
-    def take_line(self, line: bytes) -> None:
-        """Take one line of an event; those without data say nothing of the answer."""
+    def handle_line(self, line: bytes) -> None:
+        """Parse one line of an event; ignore lines without data."""
         if not line.startswith(DATA):
             return
         payload = line.removeprefix(DATA).strip()
-        self.trailing = self.trailing or self.done
+        self.has_trailing_data = self.has_trailing_data or self.done
         if payload == DONE:
             self.done = True
             return
@@ -51,14 +51,14 @@
             self.tokens_seen = True
 
     def end(self) -> tuple[Ending, str]:
-        """Judge the answer once no more bytes come."""
+        """Classify the answer after its last bytes."""
         if self.status != HTTP_OK:
-            return Ending.REFUSED, error_name(self.rest) or f"status {self.status}"
-        if self.rest.strip():
+            return Ending.REFUSED, error_name(self.buffer) or f"status {self.status}"
+        if self.buffer.strip():
             return Ending.CUT, "within a line"
         if self.error:
             return Ending.REFUSED, self.error
-        if self.trailing:
+        if self.has_trailing_data:
             return Ending.CUT, "bytes after the final marker"
         if not self.done:
             return Ending.CUT, "no final marker"
@@ -66,7 +66,7 @@
 
 
 def error_name(payload: bytes) -> str:
-    """Name the error that a JSON document holds, or nothing where it holds none."""
+    """Return the code and reason of a JSON error, or an empty string."""
     try:
         document: Any = json.loads(payload)
     except (ValueError, RecursionError):
@@ -77,4 +77,4 @@
     if not isinstance(error, dict):
         return UNNAMED
     parts = [str(error[name]) for name in ("code", "reason") if error.get(name)]
-    return "/".join(parts)[:SHOWN_CHARACTERS] or UNNAMED
+    return "/".join(parts)[:MAX_NAME_CHARACTERS] or UNNAMED
--- a/packages/cli/src/cowslipshelf_cli/internal/load/command.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/command.py
@@ -1,4 +1,4 @@
-"""Run the command `load`."""
+"""Implement the command `load`."""
 
 import math
 from pathlib import Path
@@ -36,19 +36,19 @@
 
 
 class LoadCustomer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Be a customer that requests are sent for."""
+    """Hold a customer, its key and its share of the requests."""
 
     name: str
     key: str
     share: float = 1.0
 
     def __repr__(self) -> str:
-        """Leave the key out."""
+        """Omit the key."""
         return f"LoadCustomer(name={self.name!r})"
 
 
 def run_load(command: Load, context: CommandContext, writer: Writer) -> ExitCode:
-    """Send a load, sum it up and show the figures."""
+    """Send a load and show its figures."""
     customers = read_customers(command, context)
     shape = shape_of(command, customers)
     config = sender_config(command, customers)
@@ -70,7 +70,7 @@
 
 
 def exit_code(endings: set[Ending]) -> ExitCode:
-    """Judge a load; under overload refusals are right, but not of everything."""
+    """Choose the exit code; refusals are expected under overload, if some succeed."""
     if endings & BROKEN_ENDINGS:
         return ExitCode.NOT_WHOLE
     if Ending.REFUSED in endings and Ending.WHOLE not in endings:
@@ -96,7 +96,7 @@
             "list each customer once",
         )
     for customer in customers:
-        # The key goes into a header, which a line break in it would end early.
+        # The key becomes part of a header, which a line break would end early.
         if not (customer.key.isascii() and customer.key.isprintable()):
             raise CommandFailedError(
                 ExitCode.USAGE,
@@ -107,7 +107,7 @@
 
 
 def shape_of(command: Load, customers: tuple[LoadCustomer, ...]) -> LoadShape:
-    """Take the shape of the load from the options."""
+    """Build the shape of the load from the options."""
     shape = LoadShape(
         seed=command.seed,
         arrivals_per_second=command.rate,
@@ -128,7 +128,7 @@
 
 
 def sender_config(command: Load, customers: tuple[LoadCustomer, ...]) -> SenderConfig:
-    """Take from the options where requests go and what they ask for."""
+    """Build the sender's configuration from the options."""
     for address in command.callers:
         check_address(address)
     positive = (command.most_concurrent, command.output_tokens, command.deadline)
@@ -150,7 +150,7 @@
 
 
 def calibrate(command: Load, sender: Sender, customer: str) -> UnloadedTime | None:
-    """Time short prompts one after the other, before anything else is sent."""
+    """Measure short prompts one at a time, before the load is sent."""
     samples: list[tuple[int, float]] = []
     low = min(command.shortest_tokens, command.short_tokens)
     for index in range(command.calibrate):
--- a/packages/cli/src/cowslipshelf_cli/internal/load/completion_body.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/completion_body.py
@@ -1,26 +1,26 @@
-"""Build bodies of requests piece by piece, as the longest take megabytes."""
+"""Generate request bodies in chunks, as the longest take megabytes."""
 
 import json
 from collections.abc import Iterator
 from typing import NamedTuple
 
 BYTES_PER_TOKEN = 4
-"""The entries count a prompt's bytes over four, rounded up."""
-PIECE_BYTES = 64 * 1024
-FILLING = b"x " * (PIECE_BYTES // 2)
+"""Entries estimate the tokens of a prompt as its bytes over four, rounded up."""
+CHUNK_BYTES = 64 * 1024
+PADDING = b"x " * (CHUNK_BYTES // 2)
 
 
 class CompletionBody(NamedTuple):
-    """Be what a body is built from; its marker makes its prefix one of its own."""
+    """Describe a body; its marker makes the prefix of the prompt unique."""
 
     model: str
     marker: str
-    """Letters, digits and dashes; cut where the prompt is shorter."""
+    """Letters, digits and dashes; truncated if the prompt is shorter."""
     prompt_tokens: int
     output_tokens: int
 
     def head(self) -> bytes:
-        """Give what comes before the text of the prompt."""
+        """Return the part before the text of the prompt."""
         fields = {
             "model": self.model,
             "max_tokens": self.output_tokens,
@@ -30,17 +30,17 @@
         return json.dumps(fields).encode().removesuffix(b'"}')
 
     def length(self) -> int:
-        """Count the bytes of the whole body."""
+        """Return the number of bytes of the body."""
         return len(self.head()) + self.prompt_tokens * BYTES_PER_TOKEN + len(b'"}')
 
-    def pieces(self) -> Iterator[bytes]:
-        """Give the body in pieces."""
+    def chunks(self) -> Iterator[bytes]:
+        """Yield the body in chunks."""
         yield self.head()
         left = self.prompt_tokens * BYTES_PER_TOKEN
         marker = self.marker.encode()[:left]
         yield marker
         left -= len(marker)
         while left > 0:
-            yield FILLING[:left]
-            left -= min(left, PIECE_BYTES)
+            yield PADDING[:left]
+            left -= min(left, CHUNK_BYTES)
         yield b'"}'
--- a/packages/cli/src/cowslipshelf_cli/internal/load/open_loop.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/open_loop.py
@@ -1,4 +1,4 @@
-"""Send requests at their planned times, however slow the answers are."""
+"""Send requests at their planned times, independent of the answers."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -11,11 +11,11 @@
 from cowslipshelf_host.clock import SYSTEM_CLOCK
 
 Send = Callable[[Arrival, float], Outcome]
-"""Send one request whose planned time is given on the monotonic clock."""
+"""Sends one request; the float is its planned time on the monotonic clock."""
 
 
 class LoadClock(NamedTuple):
-    """Be the clock that a load follows."""
+    """Hold the clock of a load, which tests can replace."""
 
     now: Callable[[], float] = SYSTEM_CLOCK.monotonic
     wait: Callable[[float], object] = time.sleep
@@ -24,11 +24,11 @@
 def run_open_loop(
     arrivals: Iterable[Arrival], send: Send, max_concurrent: int, clock: LoadClock
 ) -> list[Outcome]:
-    """Send every arrival at its time, and return all outcomes in their order.
+    """Send every arrival at its time, and return the outcomes in the same order.
 
-    A closed loop, which waits for answers, would send less just when the fleet is
-    slow, and hide it. So an arrival that finds too many requests open is given up
-    and counted; the ones behind it keep their times.
+    A closed loop, which waits for answers, would send fewer requests while the fleet is
+    slow, and so hide the delay. Here an arrival beyond the limit of open requests is
+    not sent but counted, and later arrivals keep their times.
     """
     slots = BoundedSemaphore(max_concurrent)
     start = clock.now()
@@ -50,7 +50,7 @@
 def send_one(
     send: Send, arrival: Arrival, planned: float, late: float, slots: BoundedSemaphore
 ) -> Outcome:
-    """Send one request and give its slot back, whatever happens."""
+    """Send one request and release its slot."""
     try:
         return send(arrival, planned)._replace(late_seconds=late)
     finally:
--- a/packages/cli/src/cowslipshelf_cli/internal/load/outcome.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/outcome.py
@@ -1,4 +1,4 @@
-"""Describe how the requests of a load ended."""
+"""Define how the requests of a load can end."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,28 +7,28 @@
 
 
 class Ending(StrEnum):
-    """Tell how a request ended."""
+    """Enumerate how a request can end."""
 
     WHOLE = "whole"
-    """With its final marker."""
+    """Complete, with the final marker."""
     REFUSED = "refused"
-    """With an error that says what happened, before or within the answer."""
+    """With an error that names its reason, before or within the answer."""
     CUT = "cut"
     """Without a final marker or an error."""
     UNREACHABLE = "unreachable"
     """Without any answer."""
     NOT_SENT = "not_sent"
-    """Never sent, as too many requests were open; not sent later either."""
+    """Skipped for good, as too many requests were open."""
 
 
 class Outcome(NamedTuple):
-    """Be one request and how it ended; times count from its planned arrival."""
+    """Hold one request and how it ended; times count from its planned arrival."""
 
     arrival: Arrival
     ending: Ending
     code: str = ""
-    """Code and reason of a refusal, or what broke."""
+    """Code and reason of a refusal, or the error that broke the answer."""
     late_seconds: float = 0.0
-    """Time by which the request was sent too late, by a fault of the tool."""
+    """Delay between the planned and the actual sending, caused by the tool."""
     first_token_seconds: float | None = None
     total_seconds: float | None = None
--- a/packages/cli/src/cowslipshelf_cli/internal/load/report.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/report.py
@@ -1,4 +1,4 @@
-"""Show the figures of a load."""
+"""Format the figures of a load."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -19,7 +19,7 @@
 def figures_document(
     shape: LoadShape, unloaded: UnloadedTime | None, figures: LoadFigures
 ) -> dict[str, Any]:
-    """Put a load and its figures into a JSON document."""
+    """Build a JSON document of a load and its figures."""
     slowdown = figures.short_slowdown
     return {
         "load": shape._asdict()
@@ -40,7 +40,7 @@
 
 
 def figures_lines(figures: LoadFigures) -> Iterator[str]:
-    """Describe the figures in tables."""
+    """Format the figures as tables."""
     yield "time to first token in seconds, from the planned arrival, by prompt tokens"
     yield from table(
         HEAD,
@@ -76,11 +76,11 @@
 
 
 def quantiles_row(name: str, quantiles: Quantiles) -> tuple[str, ...]:
-    """Describe a distribution."""
+    """Format one row of a table of quantiles."""
     count, *values = quantiles
     return (name, str(count), *(f"{value:.3f}" for value in values))
 
 
 def counts_text(counts: dict[str, int]) -> str:
-    """Describe counts by name."""
+    """List counts by name."""
     return ", ".join(f"{number} {name}" for name, number in counts.items()) or "none"
--- a/packages/cli/src/cowslipshelf_cli/internal/load/sender.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/sender.py
@@ -16,14 +16,14 @@
 COMPLETIONS_PATH = "/v1/completions"
 DEADLINE_HEADER = "X-Deadline-Seconds"
 CONNECT_SECONDS = 5.0
-GRACE_SECONDS = 5.0
-"""Time after its deadline at which an answer that still comes is given up."""
+DEADLINE_GRACE_SECONDS = 5.0
+"""Time after its deadline at which an unfinished answer is abandoned."""
 READ_BYTES = 64 * 1024
-SHOWN_CHARACTERS = 60
+MAX_NAME_CHARACTERS = 60
 
 
 class SenderConfig(NamedTuple):
-    """Set where requests go and what they ask for."""
+    """Configure the addresses, the requests and the customers' keys."""
 
     addresses: tuple[str, ...]
     model: str
@@ -31,17 +31,17 @@
     deadline_seconds: float
     max_concurrent: int
     marker: str
-    """Begins every prompt, so that two loads share no prefix by accident."""
+    """Prefix of every prompt, so that two loads share no cached prefix."""
     keys: Mapping[str, str]
     """Keys by customer."""
 
     def __repr__(self) -> str:
-        """Leave the keys out."""
+        """Omit the keys."""
         return f"SenderConfig(addresses={self.addresses!r}, model={self.model!r})"
 
 
 class Sender:
-    """Send requests to the entries in turn, from any thread."""
+    """Send requests to the entries in turn; safe to use from several threads."""
 
     def __init__(
         self, config: SenderConfig, now: Callable[[], float] = SYSTEM_CLOCK.monotonic
@@ -54,26 +54,27 @@
             maxsize=config.max_concurrent,
             retries=False,
             timeout=urllib3.Timeout(
-                connect=CONNECT_SECONDS, read=config.deadline_seconds + GRACE_SECONDS
+                connect=CONNECT_SECONDS,
+                read=config.deadline_seconds + DEADLINE_GRACE_SECONDS,
             ),
         )
 
     def send(self, arrival: Arrival, planned: float) -> Outcome:
-        """Send one request and read its answer to the end."""
+        """Send one request and read its whole answer."""
         number = next(self.numbers)
         address = self.config.addresses[number % len(self.config.addresses)]
         try:
-            response = self.request(address, arrival, number)
+            response = self.send_request(address, arrival, number)
         except (HTTPError, OSError) as error:
             return Outcome(arrival, Ending.UNREACHABLE, error_text(error))
-        return self.read(response, arrival, planned)
+        return self.read_answer(response, arrival, planned)
 
-    def request(
+    def send_request(
         self, address: str, arrival: Arrival, number: int
     ) -> urllib3.BaseHTTPResponse:
-        """Send the request and wait for the head of its answer."""
+        """Send the request and wait for the headers of its answer."""
         config = self.config
-        prompt = CompletionBody(
+        body = CompletionBody(
             config.model,
             f"{config.marker}-{number}-",
             arrival.prompt_tokens,
@@ -82,23 +83,23 @@
         return self.pool.request(
             "POST",
             f"http://{address}{COMPLETIONS_PATH}",
-            body=prompt.pieces(),
+            body=body.chunks(),
             headers={
                 "Authorization": f"Bearer {config.keys[arrival.customer]}",
                 "Content-Type": "application/json",
-                "Content-Length": str(prompt.length()),
+                "Content-Length": str(body.length()),
                 DEADLINE_HEADER: f"{config.deadline_seconds:g}",
             },
             preload_content=False,
         )
 
-    def read(
+    def read_answer(
         self, response: urllib3.BaseHTTPResponse, arrival: Arrival, planned: float
     ) -> Outcome:
-        """Read the answer, and give it up some time after its deadline."""
+        """Read the answer, and abandon it some time after its deadline."""
         reader = AnswerReader(response.status)
         first: float | None = None
-        limit = planned + self.config.deadline_seconds + GRACE_SECONDS
+        limit = planned + self.config.deadline_seconds + DEADLINE_GRACE_SECONDS
         broken = ""
         try:
             while data := response.read1(READ_BYTES):
@@ -113,12 +114,12 @@
         ending, code = reader.end()
         if broken and ending is not Ending.WHOLE:
             ending, code = Ending.CUT, broken
-        self.give_back(response, reusable=ending is Ending.WHOLE and not broken)
+        self.release(response, reusable=ending is Ending.WHOLE and not broken)
         total = self.now() - planned
         return Outcome(arrival, ending, code, 0.0, first, total)
 
-    def give_back(self, response: urllib3.BaseHTTPResponse, *, reusable: bool) -> None:
-        """Keep the connection for the next request, or close it."""
+    def release(self, response: urllib3.BaseHTTPResponse, *, reusable: bool) -> None:
+        """Return the connection to the pool, closed if it cannot be reused."""
         if not reusable:
             response.close()
         response.release_conn()
@@ -129,5 +130,5 @@
 
 
 def error_text(error: Exception) -> str:
-    """Name what broke, without the parts that differ each time."""
-    return type(error).__name__[:SHOWN_CHARACTERS]
+    """Return the type of an error, without the details that differ each time."""
+    return type(error).__name__[:MAX_NAME_CHARACTERS]
--- a/packages/cli/src/cowslipshelf_cli/internal/load/shape.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/shape.py
@@ -1,4 +1,4 @@
-"""Draw what is sent and when, from a seed alone."""
+"""Draw the requests of a load and their times from a seed."""
 
 import math
 from collections.abc import Iterator
@@ -7,14 +7,14 @@
 
 
 class CustomerShare(NamedTuple):
-    """Be a customer and its share of the arrivals, against the others' shares."""
+    """Hold a customer and its share of the arrivals, relative to the others."""
 
     name: str
     share: float
 
 
 class LoadShape(NamedTuple):
-    """Be what a load is drawn from."""
+    """Describe the distribution that a load is drawn from."""
 
     seed: int
     arrivals_per_second: float
@@ -28,7 +28,7 @@
 
 
 class Arrival(NamedTuple):
-    """Be one request of the load."""
+    """Hold one request of a load."""
 
     index: int
     at_seconds: float
@@ -38,11 +38,11 @@
 
 
 class LoadShapeError(ValueError):
-    """Say what no load can be drawn from."""
+    """Signal a shape that no load can be drawn from."""
 
 
 def check_shape(shape: LoadShape) -> None:
-    """Raise `LoadShapeError` where no load can be drawn."""
+    """Raise `LoadShapeError` if no load can be drawn."""
     bounds = (shape.shortest_tokens, shape.long_tokens, shape.longest_tokens)
     if bounds[0] < 1 or list(bounds) != sorted(bounds):
         raise LoadShapeError(
@@ -61,8 +61,8 @@
 def draw_arrivals(shape: LoadShape) -> Iterator[Arrival]:
     """Draw a Poisson process of requests, the earliest first.
 
-    Times, lengths and customers are drawn from streams of their own, so that two
-    loads which differ in one of them still share the others.
+    Times, lengths and customers come from separate random streams, so that two loads
+    that differ in one of them still share the others.
     """
     times = Random(f"{shape.seed}/times")
     lengths = Random(f"{shape.seed}/lengths")
@@ -78,7 +78,7 @@
 
 
 def draw_length(shape: LoadShape, random: Random) -> int:
-    """Draw a prompt length, log-uniform within the long or the other prompts."""
+    """Draw a log-uniform prompt length from the range of long or of other prompts."""
     is_long = random.random() < shape.long_share
     low, high = (
         (shape.long_tokens + 1, shape.longest_tokens)
--- a/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
@@ -1,4 +1,4 @@
-"""Sum up the outcomes of a load."""
+"""Summarize the outcomes of a load."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -9,17 +9,18 @@
 
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
 
-BUCKET_ENDS = (3_000, 10_000, 30_000, 100_000, 300_000, 1_000_000)
-"""Longest prompts of the buckets but the last, which has no end."""
+BUCKET_MAX_TOKENS = (3_000, 10_000, 30_000, 100_000, 300_000, 1_000_000)
+"""Longest prompt of each bucket; the last bucket is unbounded."""
 PERCENTILES = (50.0, 95.0, 99.0)
 SIGNIFICANT_DIGITS = 3
 UNITS_PER_ONE = 1_000_000
-LARGEST_UNITS = 100_000 * UNITS_PER_ONE
-LATE_SECONDS = 0.01
+MAX_UNITS = 100_000 * UNITS_PER_ONE
+MAX_LATE_SECONDS = 0.01
+"""Arrivals that were sent later than this count as late."""
 
 
 class Quantiles(NamedTuple):
-    """Be what is told of a distribution; seconds, or ratios."""
+    """Hold quantiles of a distribution of seconds or ratios."""
 
     count: int
     p50: float
@@ -29,11 +30,11 @@
 
     @classmethod
     def from_values(cls, values: Iterable[float]) -> "Quantiles":
-        """Record values in a histogram and read it."""
-        histogram = HdrHistogram(1, LARGEST_UNITS, SIGNIFICANT_DIGITS)
+        """Compute the quantiles of values with a histogram."""
+        histogram = HdrHistogram(1, MAX_UNITS, SIGNIFICANT_DIGITS)
         for value in values:
             units = round(value * UNITS_PER_ONE)
-            histogram.record_value(min(max(1, units), LARGEST_UNITS))
+            histogram.record_value(min(max(1, units), MAX_UNITS))
         count = histogram.get_total_count()
         if not count:
             return cls(0, 0.0, 0.0, 0.0, 0.0)
@@ -43,7 +44,7 @@
 
 
 class UnloadedTime(NamedTuple):
-    """Predict the time to first token of a prompt that is alone in the fleet."""
+    """Predict the time to first token of a prompt on an idle fleet."""
 
     fixed_seconds: float
     seconds_per_token: float
@@ -52,18 +53,18 @@
     def from_samples(
         cls, samples: Sequence[tuple[int, float]]
     ) -> "UnloadedTime | None":
-        """Fit a line through (tokens, seconds), neither part of it below zero."""
+        """Fit a line through (tokens, seconds) with no negative coefficient."""
         if not samples:
             return None
         count = len(samples)
         mean_tokens = sum(tokens for tokens, _ in samples) / count
         mean_seconds = sum(seconds for _, seconds in samples) / count
-        spread = sum((tokens - mean_tokens) ** 2 for tokens, _ in samples)
-        together = sum(
+        variance_sum = sum((tokens - mean_tokens) ** 2 for tokens, _ in samples)
+        covariance_sum = sum(
             (tokens - mean_tokens) * (seconds - mean_seconds)
             for tokens, seconds in samples
         )
-        slope = max(0.0, together / spread) if spread else 0.0
+        slope = max(0.0, covariance_sum / variance_sum) if variance_sum else 0.0
         fixed = mean_seconds - slope * mean_tokens
         if fixed < 0:
             return cls(0.0, mean_seconds / mean_tokens)
@@ -75,7 +76,7 @@
 
 
 class CustomerFigures(NamedTuple):
-    """Be what became of one customer's requests."""
+    """Count one customer's requests by how they ended."""
 
     planned: int
     whole: int
@@ -83,27 +84,27 @@
 
 
 class LoadFigures(NamedTuple):
-    """Be the figures of a load."""
+    """Hold the figures of a load."""
 
     planned: int
     endings: dict[str, int]
     refusals: dict[str, int]
     """By code and reason."""
     breaks: dict[str, int]
-    """By what broke, for answers that were cut and requests without one."""
+    """By error, for answers that were cut and requests without an answer."""
     late_arrivals: int
-    """Requests that the tool itself sent late; many of them void the figures."""
+    """Requests that the tool itself sent late; the figures are void if many."""
     in_time_share: float
-    """Share of planned requests that were answered whole within the deadline."""
+    """Share of planned requests with a complete answer within the deadline."""
     first_token_seconds: dict[str, Quantiles]
-    """By bucket of prompt lengths, of whole answers."""
+    """By bucket of prompt lengths, of complete answers."""
     short_slowdown: Quantiles | None
-    """Time to first token over the unloaded one; None where that is not known."""
+    """Time to first token relative to an idle fleet; None if that is unknown."""
     customers: dict[str, CustomerFigures]
 
 
 class FiguresConfig(NamedTuple):
-    """Set what counts as short, as in time, and as unloaded."""
+    """Configure the bounds of short and timely, and the unloaded time."""
 
     short_tokens: int
     deadline_seconds: float
@@ -111,7 +112,7 @@
 
 
 def summarize(outcomes: Sequence[Outcome], config: FiguresConfig) -> LoadFigures:
-    """Sum up the outcomes of all planned requests."""
+    """Summarize the outcomes of all planned requests."""
     whole = [each for each in outcomes if each.ending is Ending.WHOLE]
     broken = (Ending.CUT, Ending.UNREACHABLE)
     in_time = [
@@ -124,11 +125,11 @@
             each.code for each in outcomes if each.ending is Ending.REFUSED
         ),
         breaks=count_values(each.code for each in outcomes if each.ending in broken),
-        late_arrivals=sum(each.late_seconds > LATE_SECONDS for each in outcomes),
+        late_arrivals=sum(each.late_seconds > MAX_LATE_SECONDS for each in outcomes),
         in_time_share=len(in_time) / len(outcomes) if outcomes else 0.0,
-        first_token_seconds=by_bucket(whole),
-        short_slowdown=slowdown(whole, config),
-        customers=by_customer(outcomes),
+        first_token_seconds=quantiles_by_bucket(whole),
+        short_slowdown=slowdown_of_short(whole, config),
+        customers=figures_by_customer(outcomes),
     )
 
 
@@ -138,20 +139,20 @@
 
 
 def bucket_name(tokens: int) -> str:
-    """Name the bucket of a prompt length."""
-    index = bisect_left(BUCKET_ENDS, tokens)
-    if index == len(BUCKET_ENDS):
-        return f"over {thousands(BUCKET_ENDS[-1])}"
-    return f"to {thousands(BUCKET_ENDS[index])}"
+    """Return the name of a prompt length's bucket."""
+    index = bisect_left(BUCKET_MAX_TOKENS, tokens)
+    if index == len(BUCKET_MAX_TOKENS):
+        return f"over {thousands(BUCKET_MAX_TOKENS[-1])}"
+    return f"to {thousands(BUCKET_MAX_TOKENS[index])}"
 
 
 def thousands(tokens: int) -> str:
-    """Write a number of tokens shortly."""
+    """Abbreviate a number of tokens."""
     return f"{tokens // 1000}k"
 
 
-def by_bucket(whole: Sequence[Outcome]) -> dict[str, Quantiles]:
-    """Sum up times to first token by bucket, the shortest prompts first."""
+def quantiles_by_bucket(whole: Sequence[Outcome]) -> dict[str, Quantiles]:
+    """Summarize times to first token by bucket, the shortest prompts first."""
     times: dict[str, list[float]] = {}
     for each in sorted(whole, key=lambda outcome: outcome.arrival.prompt_tokens):
         bucket = times.setdefault(bucket_name(each.arrival.prompt_tokens), [])
@@ -160,8 +161,10 @@
     return {name: Quantiles.from_values(values) for name, values in times.items()}
 
 
-def slowdown(whole: Sequence[Outcome], config: FiguresConfig) -> Quantiles | None:
-    """Compare short prompts' times with those of a fleet at rest."""
+def slowdown_of_short(
+    whole: Sequence[Outcome], config: FiguresConfig
+) -> Quantiles | None:
+    """Compare short prompts' times with those on an idle fleet."""
     unloaded = config.unloaded
     if unloaded is None:
         return None
@@ -174,8 +177,8 @@
     )
 
 
-def by_customer(outcomes: Sequence[Outcome]) -> dict[str, CustomerFigures]:
-    """Sum up by customer, in the order of their names."""
+def figures_by_customer(outcomes: Sequence[Outcome]) -> dict[str, CustomerFigures]:
+    """Count outcomes by customer, in the order of names."""
     endings: dict[str, Counter[Ending]] = {}
     for each in outcomes:
         endings.setdefault(each.arrival.customer, Counter())[each.ending] += 1
--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -1,4 +1,4 @@
-"""Say from gateways' logs on what the worth of callers' requests was lost."""
+"""Attribute the lost value of requests to causes, from gateways' logs."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,40 +11,41 @@
 from cowslipshelf_core.gateway import PromptSize, answer_value
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
-LATE_LOSS = 0.75
-"""Share of the worth that a late answer loses, by all users' sheets."""
+LATE_LOSS_SHARE = 0.75
+"""Share of its value that a late answer loses, the same for all users."""
 NO_ROUTE = "-"
 
-BEGINS = "request: Attempt begins."
+ATTEMPT_BEGINS = "request: Attempt begins."
 ATTEMPT_ENDED = "request: Attempt ended."
-REFUSED = "request: Request refused."
-CUT = "request: Answer cut."
-ENDED = "request: Request ended."
-UNCONFIGURED = "request: No configuration."
+REQUEST_REFUSED = "request: Request refused."
+ANSWER_CUT = "request: Answer cut."
+REQUEST_ENDED = "request: Request ended."
+NO_CONFIGURATION = "request: No configuration."
 
 
 class Loss(NamedTuple):
-    """Be what one request lost, and why; no cause where it lost nothing."""
+    """Hold what one request lost, with an empty cause if it lost nothing."""
 
     route: str
-    worth: float
-    """Of a whole answer in time, in short questions."""
+    value: float
+    """Value of a complete answer in time, in answers to short prompts."""
     share: float = 0.0
+    """Part of the value that was lost."""
     cause: str = ""
 
 
 class LossRow(NamedTuple):
-    """Be what the requests of one route lost for one cause."""
+    """Hold what the requests of one route lost for one cause."""
 
     route: str
     cause: str
     requests: int
     share: float
-    """Part of the worth of all requests."""
+    """Part of the value of all requests."""
 
 
 def losses_from_logs(command: Losses, writer: Writer) -> ExitCode:
-    """Show what was lost on what."""
+    """Show the losses in logs by route and cause."""
     rows = loss_rows(losses_of(read_entries(command.log)))
     if not rows:
         raise CommandFailedError(
@@ -61,7 +62,7 @@
 
 
 def losses_of(entries: Iterable[LogEntry]) -> list[Loss]:
-    """Say of each request in the logs what it lost."""
+    """Return the loss of each request in the logs."""
     by_request: dict[str, list[LogEntry]] = defaultdict(list)
     for entry in entries:
         if "request" in entry.fields:
@@ -70,8 +71,8 @@
 
 
 def loss_rows(losses: list[Loss]) -> list[LossRow]:
-    """Add up losses by route and cause, the greatest first."""
-    owed = sum(loss.worth for loss in losses)
+    """Sum losses by route and cause, the greatest first."""
+    total_value = sum(loss.value for loss in losses)
     groups: dict[tuple[str, str], list[Loss]] = defaultdict(list)
     for loss in losses:
         groups[loss.route, loss.cause or "in time"].append(loss)
@@ -80,7 +81,7 @@
             route,
             cause,
             len(group),
-            sum(loss.worth * loss.share for loss in group) / owed,
+            sum(loss.value * loss.share for loss in group) / total_value,
         )
         for (route, cause), group in groups.items()
     ]
@@ -88,22 +89,24 @@
 
 
 def loss_of(own: list[LogEntry]) -> Loss:
-    """Find the one cause for which a request lost worth, if it did."""
-    begun = fields_of(own, BEGINS)
-    if not begun:
+    """Find the loss of a request and its one cause."""
+    begins = fields_of(own, ATTEMPT_BEGINS)
+    if not begins:
         return Loss(NO_ROUTE, 1.0, 1.0, cause_without_attempt(own))
-    first = begun[0]
+    first = begins[0]
     whole = Loss(
         str(first.get("route")), answer_value(PromptSize(first.get("tokens") or 0, 0))
     )
-    ended = fields_of(own, ENDED)
+    ended = fields_of(own, REQUEST_ENDED)
     if not ended:
         return whole._replace(share=1.0, cause="the gateway ended")
     outcome = str(ended[-1].get("outcome"))
     if not outcome.startswith("2"):
         return whole._replace(share=1.0, cause=cause_of_failure(own, outcome))
-    cause = cause_of_lateness(begun, fields_of(own, ATTEMPT_ENDED), ended[-1])
-    return whole if cause is None else whole._replace(share=LATE_LOSS, cause=cause)
+    cause = cause_of_lateness(begins, fields_of(own, ATTEMPT_ENDED), ended[-1])
+    return (
+        whole if cause is None else whole._replace(share=LATE_LOSS_SHARE, cause=cause)
+    )
 
 
 def fields_of(own: list[LogEntry], event: str) -> list[dict[str, Any]]:
@@ -112,19 +115,19 @@
 
 
 def cause_without_attempt(own: list[LogEntry]) -> str:
-    """Say why a request was given to no upstream."""
-    if fields_of(own, UNCONFIGURED):
+    """Return why a request was sent to no upstream."""
+    if fields_of(own, NO_CONFIGURATION):
         return "no configuration"
-    refused = fields_of(own, REFUSED)
+    refused = fields_of(own, REQUEST_REFUSED)
     if refused:
         return f"refused: {refused[-1].get('reason')}"
-    ended = fields_of(own, ENDED)
+    ended = fields_of(own, REQUEST_ENDED)
     return f"answered {ended[-1].get('outcome')}" if ended else "the gateway ended"
 
 
 def cause_of_failure(own: list[LogEntry], outcome: str) -> str:
-    """Say why a request that was given to an upstream got no answer of worth."""
-    for event in (REFUSED, CUT):
+    """Return why a request that was sent to an upstream got no successful answer."""
+    for event in (REQUEST_REFUSED, ANSWER_CUT):
         given_up = fields_of(own, event)
         if given_up:
             return f"given up: {given_up[-1].get('reason')}"
@@ -135,10 +138,10 @@
 
 
 def cause_of_lateness(
-    begun: list[dict], attempts: list[dict], ended: dict
+    begins: list[dict], attempts: list[dict], ended: dict
 ) -> str | None:
-    """Say why an answer came late, or nothing where it was in time."""
-    objective, pause = begun[0].get("objective"), begun[0].get("pause_allowed")
+    """Return why an answer was late, or None if it was in time."""
+    objective, pause = begins[0].get("objective"), begins[0].get("pause_allowed")
     last = attempts[-1] if attempts else {}
     since_first = last.get("first")
     total = ended.get("seconds", 0.0)
@@ -146,7 +149,7 @@
     if objective is not None and waited > objective:
         if len(attempts) > 1:
             return f"late after {attempts[0].get('outcome')}"
-        if begun[0].get("predicted", 0.0) > objective:
+        if begins[0].get("predicted", 0.0) > objective:
             return "late, as foreseen"
         return "late, not foreseen"
     if pause is not None and (last.get("pause") or 0.0) > pause:
--- a/packages/cli/src/cowslipshelf_cli/internal/output.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/output.py
@@ -1,4 +1,4 @@
-"""Write what commands found, as text for people or as JSON for scripts."""
+"""Write the results of commands, as text for people or as JSON for scripts."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any, TextIO
@@ -11,7 +11,7 @@
 
 
 class Writer:
-    """Write text, or JSON where that was asked for."""
+    """Write results and failures as text or as JSON."""
 
     def __init__(self, output: TextIO, errors: TextIO, as_json: bool) -> None:
         self.output = output
@@ -19,7 +19,7 @@
         self.as_json = as_json
 
     def show(self, document: Any, lines: Iterable[str]) -> None:
-        """Write the document as JSON, or else the lines."""
+        """Write the document as JSON, or the lines as text."""
         if self.as_json:
             self.output.write(json_text(document) + "\n")
             return
@@ -27,7 +27,7 @@
             self.output.write(one_line(line) + "\n")
 
     def fail(self, failure: CommandFailure) -> None:
-        """Write why a command failed, and what to do next."""
+        """Write why a command failed and the next step."""
         if self.as_json:
             document = {"error": failure._asdict()}
             self.errors.write(json_text(document) + "\n")
@@ -37,12 +37,12 @@
 
 
 def json_text(document: Any) -> str:
-    """Write a document as indented JSON."""
+    """Encode a document as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(document), indent=2).decode()
 
 
 def one_line(text: str) -> str:
-    """Escape what would break a line or steer the terminal; names come from peers."""
+    """Escape line breaks and control characters, as names come from other hosts."""
     return "".join(
         character if character.isprintable() else repr(character)[1:-1]
         for character in text
@@ -50,7 +50,7 @@
 
 
 def table(head: Row, rows: Iterable[Row]) -> list[str]:
-    """Lay out rows in columns under a head."""
+    """Align rows in columns under a head; return no lines without rows."""
     all_rows = [head, *rows]
     if len(all_rows) == 1:
         return []
--- a/packages/cli/src/cowslipshelf_cli/internal/plan_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/plan_commands.py
@@ -1,4 +1,4 @@
-"""Plan and confirm changes."""
+"""Implement the commands `plan`, `confirm` and `drain`."""
 
 import json
 from collections.abc import Iterator
@@ -31,23 +31,23 @@
 def ask_plan(
     command: AskPlan, fleet: FleetClients, context: CommandContext, writer: Writer
 ) -> ExitCode:
-    """Ask for a plan and show it."""
+    """Request a plan and show it."""
     document = read_plan_document(command, context)
     return show_plan_answer(fleet.any_instance.plan(document), writer)
 
 
 def read_plan_document(command: AskPlan, context: CommandContext) -> PlanDocument:
-    """Read a change from its file; options replace what the file says."""
+    """Read a change from its file; options override the fields of the file."""
     next_step = "mend the file; `cowslipshelf plan --help` says what it holds"
     try:
-        written = json.loads(read_text(command.file, context))
-        if not isinstance(written, dict):
+        document = json.loads(read_text(command.file, context))
+        if not isinstance(document, dict):
             raise ValueError("an object is needed")
         if command.change_id is not None:
-            written["change_id"] = command.change_id
+            document["change_id"] = command.change_id
         if command.based_on is not None:
-            written["based_on"] = command.based_on
-        return msgspec.convert(written, PlanDocument)
+            document["based_on"] = command.based_on
+        return msgspec.convert(document, PlanDocument)
     except (ValueError, RecursionError) as error:
         message = f"{command.file}: {error}"
         raise CommandFailedError(ExitCode.USAGE, message, next_step) from error
@@ -61,10 +61,10 @@
 
 
 def drain(command: Drain, fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Plan to drain an upstream, and confirm that where it was asked for."""
+    """Plan to drain an upstream, and confirm the plan if the option is given."""
     upstream = (UpstreamId(command.upstream),)
     state = fleet.any_instance.state()
-    check_known(command.upstream, state)
+    check_upstream_known(command.upstream, state)
     version = state.configuration.version
     verb = "undrain" if command.undo else "drain"
     change = ChangeDocument(**{verb: upstream})
@@ -76,11 +76,11 @@
     return show_confirmation(confirmed, writer)
 
 
-def check_known(upstream: str, state: StateAnswer) -> None:
-    """Refuse an upstream that nobody has heard.
+def check_upstream_known(upstream: str, state: StateAnswer) -> None:
+    """Refuse an upstream that has not announced itself.
 
-    A misspelt name would be accepted, and the upstream that was meant, thought to be
-    drained, would be stopped with its requests.
+    The fleet would accept a misspelt name. The operator would then believe the intended
+    upstream to be drained, and stop it with its requests.
     """
     heard = [each.upstream_id for each in state.upstreams]
     if upstream in heard or upstream in state.configuration.draining:
@@ -91,7 +91,7 @@
 
 
 def show_plan_answer(answer: PlanAnswer | OutdatedAnswer, writer: Writer) -> ExitCode:
-    """Show a plan, or that another change came first."""
+    """Show a plan, or the newer version that outdated it."""
     match answer:
         case PlanAnswer(plan=plan):
             writer.show(answer, plan_lines(plan))
@@ -104,7 +104,7 @@
 def show_confirmation(
     answer: ConfirmedAnswer | OutdatedAnswer, writer: Writer
 ) -> ExitCode:
-    """Show what a confirmation did, or that another change came first."""
+    """Show the result of a confirmation, or the newer version that outdated it."""
     match answer:
         case ConfirmedAnswer():
             writer.show(answer, confirmed_lines(answer))
@@ -115,7 +115,7 @@
 
 
 def plan_lines(plan: Plan) -> Iterator[str]:
-    """Describe what a plan does and leaves undone, and how to confirm it."""
+    """Describe what a plan changes, what it does not do, and how to confirm it."""
     yield f"plan {plan.plan_id} of change {plan.change_id}, on version {plan.based_on}"
     yield from table(CHANGE_HEAD, map(change_row, plan.changes))
     if not plan.changes:
@@ -142,7 +142,7 @@
 
 
 def confirmed_lines(answer: ConfirmedAnswer) -> Iterator[str]:
-    """Describe what a confirmation did."""
+    """Describe the result of a confirmation."""
     version = answer.configuration_version
     yield f"change {answer.change_id} is accepted as version {version}"
     for order in answer.opened:
@@ -151,7 +151,7 @@
 
 
 def outdated_lines(answer: OutdatedAnswer) -> Iterator[str]:
-    """Describe the change that came first and the fresh plan."""
+    """Describe the newer version and the fresh plan."""
     yield f"another change came first: version {answer.newer_version} is accepted"
     yield from (f"reason: {reason}" for reason in answer.reasons)
     if answer.fresh_plan is None:
--- a/packages/cli/src/cowslipshelf_cli/internal/query_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/query_commands.py
@@ -1,4 +1,4 @@
-"""Show the fleet, the audit trail and explanations."""
+"""Implement the commands `status`, `audit` and `explain`."""
 
 from collections.abc import Iterable, Iterator
 from datetime import UTC, datetime
@@ -24,7 +24,7 @@
 
 
 def show_status(fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Show the fleet."""
+    """Show the status of the fleet."""
     state = fleet.any_instance.state()
     writer.show(state, status_lines(state))
     return ExitCode.DONE
@@ -46,7 +46,7 @@
 
 
 def instance_row(instance: InstanceStatus) -> tuple[str, ...]:
-    """Describe one process."""
+    """Describe one instance."""
     holds = "replica" if instance.holds_replica else ""
     return (
         instance.instance,
@@ -73,8 +73,8 @@
 
 
 def show_audit(command: Audit, fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Show the audit trail; an instance without a replica has none."""
-    answer = first_found(
+    """Show the audit trail, which only instances with a replica hold."""
+    answer = first_answer(
         fleet.each_instance, lambda one: one.audit(command.since, command.limit)
     )
     writer.show(answer, audit_lines(answer, command.limit))
@@ -82,7 +82,7 @@
 
 
 def audit_lines(answer: AuditAnswer, limit: int) -> Iterator[str]:
-    """Describe records of the audit trail in a table."""
+    """Format records of the audit trail as a table."""
     rows = [
         (
             str(record.index),
@@ -103,19 +103,19 @@
 
 
 def explain(command: Explain, fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Tell what happened to something."""
-    answer = first_found(
+    """Show what happened to a request, an upstream or a change."""
+    answer = first_answer(
         fleet.each_instance, lambda one: one.explain(command.kind, command.name)
     )
     writer.show(answer, answer.lines)
     return ExitCode.DONE
 
 
-def first_found(instances: Iterable[OperatorsApi], ask) -> AuditAnswer | ExplainAnswer:
-    """Ask instances in turn until one knows the answer.
+def first_answer(instances: Iterable[OperatorsApi], ask) -> AuditAnswer | ExplainAnswer:
+    """Query instances in turn until one has an answer.
 
-    A request is known to the entry that served it, and the log to those with a
-    replica; the others answer that there is nothing, which is not the last word.
+    Only the entry that served a request knows it, and only instances with a replica
+    hold the audit trail. An answer that nothing was found is therefore not final.
     """
     failed: list[ClientError] = []
     for instance in instances:
@@ -130,26 +130,26 @@
                 break
         except ClientError as error:
             failed.append(error)
-    raise weightiest(failed)
+    raise error_to_report(failed)
 
 
-def weightiest(failed: list[ClientError]) -> ClientError | CommandFailedError:
-    """Choose what to tell: never "unknown" while somebody could not be asked."""
-    unasked = [error for error in failed if not is_not_found(error)]
-    if unasked and len(unasked) < len(failed):
-        message = f"not known to those that answered, but: {unasked[0]}"
+def error_to_report(failed: list[ClientError]) -> ClientError | CommandFailedError:
+    """Choose the error to report: not "unknown" while an instance is unreachable."""
+    unanswered = [error for error in failed if not is_not_found(error)]
+    if unanswered and len(unanswered) < len(failed):
+        message = f"not known to those that answered, but: {unanswered[0]}"
         next_step = "ask again once that instance answers"
         return CommandFailedError(ExitCode.UNREACHABLE, message, next_step)
-    return (unasked or failed)[0]
+    return (unanswered or failed)[0]
 
 
 def is_not_found(error: ClientError) -> bool:
-    """Tell whether an instance answered that it has nothing of that name."""
+    """Return whether an instance answered that the name is unknown."""
     return isinstance(error, HttpStatusError) and error.status == HTTPStatus.NOT_FOUND
 
 
 def time_text(seconds: float) -> str:
-    """Show a wall clock time, in UTC."""
+    """Format a wall clock time in UTC."""
     if not seconds:
         return "-"
     try:
--- a/packages/cli/src/cowslipshelf_cli/internal/suspect_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/suspect_commands.py
@@ -1,4 +1,4 @@
-"""Show the requests under which upstreams ended, and let them go."""
+"""Implement the commands `suspects` and `release`."""
 
 from collections.abc import Iterator
 
@@ -11,21 +11,21 @@
 
 
 def show_suspects(fleet: FleetClients, writer: Writer) -> ExitCode:
-    """List the requests under which upstreams ended."""
+    """List the requests during which upstreams exited."""
     answer = fleet.any_instance.suspects()
     writer.show(answer, suspect_lines(answer))
     return ExitCode.DONE
 
 
 def release(digest: str, fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Let a request go, and show which are left."""
+    """Release a request from quarantine and list the remaining ones."""
     answer = fleet.any_instance.release(digest)
     writer.show(answer, [f"released {digest}", *suspect_lines(answer)])
     return ExitCode.DONE
 
 
 def suspect_lines(answer: SuspectsAnswer) -> Iterator[str]:
-    """Describe the requests in a table."""
+    """Format the requests as a table."""
     yield f"known to {answer.answered_by}"
     yield from table(HEAD, map(suspect_row, answer.suspects))
     if not answer.suspects:
--- a/packages/cli/src/cowslipshelf_cli/load.py
+++ b/packages/cli/src/cowslipshelf_cli/load.py
@@ -1,4 +1,4 @@
-"""Offer the load tool to measurements: drawing, sending and summing up."""
+"""Export the load generator to benchmarks: drawing, sending and statistics."""
 
 from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
--- a/packages/cli/src/cowslipshelf_cli/program.py
+++ b/packages/cli/src/cowslipshelf_cli/program.py
@@ -1,4 +1,4 @@
-"""Be the program `cowslipshelf`."""
+"""Implement the program `cowslipshelf`."""
 
 import os
 import sys
@@ -42,15 +42,15 @@
     except KeyboardInterrupt:
         code = ExitCode.INTERRUPTED
     except BrokenPipeError:
-        # The reader, such as `head`, has gone. Without a new standard output the
-        # interpreter would fail once more at its end and print a traceback.
+        # The reader, such as `head`, has closed the pipe. Unless standard output is
+        # replaced, the interpreter's flush at exit fails too and prints a traceback.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = ExitCode.FAULT
     sys.exit(code)
 
 
 def run(arguments: Sequence[str], context: CommandContext) -> ExitCode:
-    """Run one command line; usage errors and help exit by themselves."""
+    """Run one command line; the parser exits on usage errors and on help."""
     program = cappa.parse(Program, argv=list(arguments), completion=False)
     writer = Writer(context.output, context.errors, program.json)
     try:
--- a/tests/cover/cli/test_load_drawing.py
+++ b/tests/cover/cli/test_load_drawing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from common.steady import STEADY
-from cowslipshelf_cli.internal.load.completion_body import PIECE_BYTES, CompletionBody
+from cowslipshelf_cli.internal.load.completion_body import CHUNK_BYTES, CompletionBody
 from cowslipshelf_cli.load import (
     CustomerShare,
     LoadShape,
@@ -92,10 +92,10 @@
 @example(1_000_000, "ledger-1", 1)
 def test_a_body_is_json_of_the_promised_length(tokens, model, output) -> None:
     prompt = CompletionBody(model, "load-1-17-", tokens, output)
-    body = b"".join(prompt.pieces())
+    body = b"".join(prompt.chunks())
     document = json.loads(body)
     assert len(body) == prompt.length()
     assert len(document["prompt"].encode()) == 4 * tokens
     assert "load-1-17-".startswith(document["prompt"][:10])
     assert (document["model"], document["stream"]) == (model, True)
-    assert max(map(len, islice(prompt.pieces(), 3))) <= PIECE_BYTES + 200
+    assert max(map(len, islice(prompt.chunks(), 3))) <= CHUNK_BYTES + 200
