--- a/tests/cover/cli/test_commands.py
+++ b/tests/cover/cli/test_commands.py
@@ -33,14 +33,14 @@
     ],
 }
 ROOT = Path(__file__).parents[3]
-NO_LISTENER = socket.socket()
-NO_LISTENER.bind(("127.0.0.1", 0))
-NOBODY = f"127.0.0.1:{NO_LISTENER.getsockname()[1]}"
-"""Bound for as long as the tests run, so nobody else can listen there."""
+BOUND_SOCKET = socket.socket()
+BOUND_SOCKET.bind(("127.0.0.1", 0))
+UNREACHABLE_ENTRY = f"127.0.0.1:{BOUND_SOCKET.getsockname()[1]}"
+"""Address of a socket that is bound but not listening while the tests run."""
 
 
-class Ran(NamedTuple):
-    """Be how one command line ended."""
+class CommandResult(NamedTuple):
+    """Hold the exit code and the output of one command line."""
 
     code: ExitCode
     output: str
@@ -56,7 +56,7 @@
     entries: Sequence[str] = (),
     key: str = OPERATOR_KEY,
     given_input: object = None,
-) -> Ran:
+) -> CommandResult:
     output, errors = io.StringIO(), io.StringIO()
     environment = {
         "COWSLIPSHELF_ENTRIES": ",".join(entries),
@@ -70,7 +70,7 @@
         OperatorsClient.from_config,
     )
     code = run(arguments, context)
-    ran = Ran(code, output.getvalue(), errors.getvalue())
+    ran = CommandResult(code, output.getvalue(), errors.getvalue())
     for secret in (OPERATOR_KEY, CUSTOMER_KEY, CLUSTER_KEY):
         assert secret not in ran.output + ran.errors
     is_document = "--json" in arguments and bool(ran.output)
@@ -85,9 +85,9 @@
 
 def test_a_change_goes_from_plan_to_audit() -> None:
     with serving(StateHandler()) as server:
-        entries = (NOBODY, server.address)
+        entries = (UNREACHABLE_ENTRY, server.address)
 
-        def line(*arguments: str, given_input: object = None) -> Ran:
+        def line(*arguments: str, given_input: object = None) -> CommandResult:
             return command_line(*arguments, entries=entries, given_input=given_input)
 
         planned = line("plan", "-", given_input=change("c-1"))
@@ -107,13 +107,13 @@
 
 
 def test_the_second_of_two_equal_changes_gets_a_fresh_plan_to_confirm() -> None:
-    """Two operators change the same version; both are told that it worked.
+    """Guards against a lost update when two operators change the same version.
 
-    The second confirmation is taken on top of the first, unseen by its operator.
+    The second confirmation would succeed on a version that its operator has not seen.
     """
     with serving(StateHandler()) as server:
 
-        def line(*arguments: str, given_input: object = None) -> Ran:
+        def line(*arguments: str, given_input: object = None) -> CommandResult:
             return command_line(
                 *arguments, entries=[server.address], given_input=given_input
             )
@@ -135,8 +135,8 @@
         assert stale.code is ExitCode.OUTDATED_PLAN
 
 
-class HearingHandler(StateHandler):
-    """Be an entry that hears one upstream."""
+class HandlerWithUpstream(StateHandler):
+    """Handle requests as an entry that knows one upstream."""
 
     def state(self) -> StateAnswer:
         names = ("runner-1", "maadi", "scribe", "epoch-1")
@@ -145,24 +145,25 @@
 
 
 def test_drain_shows_its_plan_and_acts_only_when_told_to() -> None:
-    handler = HearingHandler()
+    handler = HandlerWithUpstream()
     with serving(handler) as server:
 
-        def draining(*arguments: str) -> tuple[str, ...]:
+        def drained_after(*arguments: str) -> tuple[str, ...]:
             ran = command_line(*arguments, entries=[server.address])
             assert ran.code is ExitCode.DONE
             return handler.state_machine.configuration.draining
 
-        assert draining("drain", "runner-1") == ()
-        assert draining("drain", "runner-1", "--yes") == ("runner-1",)
-        assert draining("drain", "runner-1", "--undo") == ("runner-1",)
-        assert draining("drain", "runner-1", "--undo", "--yes") == ()
+        assert drained_after("drain", "runner-1") == ()
+        assert drained_after("drain", "runner-1", "--yes") == ("runner-1",)
+        assert drained_after("drain", "runner-1", "--undo") == ("runner-1",)
+        assert drained_after("drain", "runner-1", "--undo", "--yes") == ()
 
 
 def test_a_misspelt_upstream_is_not_drained() -> None:
-    """An engine is stopped with its requests, though it was drained before.
+    """Guards against stopping an engine that still runs requests.
 
-    The operator drained `runer-1`; that was accepted, as it might be yet to come.
+    The name `runer-1` would be accepted, as such an upstream might start later, and
+    the operator would believe `runner-1` to be drained.
     """
     handler = StateHandler()
     with serving(handler) as server:
@@ -172,9 +173,9 @@
 
 
 def test_what_one_entry_does_not_know_the_next_one_is_asked() -> None:
-    """An operator is told that a request never was, though it ran.
+    """Guards against reporting a request as unknown although it ran.
 
-    A request is known only to the entry that served it, and another one was asked.
+    Only the entry that served a request knows it, and another entry may be queried.
     """
     knowing, ignorant = StateHandler(), StateHandler()
     with ExitStack() as stack:
@@ -185,8 +186,10 @@
         assert found.code is ExitCode.DONE
         nowhere = command_line("explain", "change", "c-2", entries=addresses)
         assert nowhere.code is ExitCode.REFUSED
-        unsure = command_line("explain", "change", "c-2", entries=[*addresses, NOBODY])
-        assert unsure.code is ExitCode.UNREACHABLE, "somebody could not be asked"
+        unsure = command_line(
+            "explain", "change", "c-2", entries=[*addresses, UNREACHABLE_ENTRY]
+        )
+        assert unsure.code is ExitCode.UNREACHABLE, "one entry could not be queried"
         assert "not known to those that answered" in unsure.errors
 
 
@@ -207,12 +210,20 @@
     assert wrong_key.code is unknown_plan.code is refused.code is ExitCode.REFUSED
     assert malformed.code is ExitCode.USAGE
     assert unready.code is ExitCode.UNREACHABLE
-    assert command_line("status", entries=[NOBODY]).code is ExitCode.UNREACHABLE
+    assert (
+        command_line("status", entries=[UNREACHABLE_ENTRY]).code is ExitCode.UNREACHABLE
+    )
     assert command_line("status").code is ExitCode.USAGE
     assert command_line("status", entries=["host:1"]).code is ExitCode.USAGE
-    assert command_line("status", entries=[NOBODY], key="").code is ExitCode.USAGE
+    assert (
+        command_line("status", entries=[UNREACHABLE_ENTRY], key="").code
+        is ExitCode.USAGE
+    )
     no_file = str(tmp_path / "none")
-    assert command_line("plan", no_file, entries=[NOBODY]).code is ExitCode.USAGE
+    assert (
+        command_line("plan", no_file, entries=[UNREACHABLE_ENTRY]).code
+        is ExitCode.USAGE
+    )
     failure = json.loads(command_line("status", "--json").errors)["error"]
     assert failure["exit_code"] == ExitCode.USAGE
 
@@ -258,9 +269,9 @@
 
 
 def test_an_entry_that_others_list_wrongly_is_named(tmp_path: Path) -> None:
-    """A sidecar announces itself to nobody and gets no work.
+    """Guards against a sidecar that cannot reach its entry and gets no work.
 
-    Its settings list an entry under an address that the entry has since left.
+    Its settings list the entry under an address that the entry no longer has.
     """
     entry, sidecar = entry_document(), sidecar_document()
     entry["mailbox_address"] = "10.0.0.9:7000"
@@ -274,7 +285,7 @@
     assert problem["field"] == "entries[0].mailbox_address"
 
 
-LOAD = ("load", "--callers", NOBODY, "--model", "m", "--seconds", "0.2")
+LOAD = ("load", "--callers", UNREACHABLE_ENTRY, "--model", "m", "--seconds", "0.2")
 
 
 def test_a_load_without_answers_says_so(tmp_path: Path) -> None:
@@ -316,7 +327,7 @@
     handler = StateHandler(held={"4f14", "77ab"})
     with serving(handler) as server:
 
-        def line(*arguments: str) -> Ran:
+        def line(*arguments: str) -> CommandResult:
             return command_line(*arguments, entries=[server.address])
 
         listed = line("suspects")
--- a/tests/cover/cli/test_load_drawing.py
+++ b/tests/cover/cli/test_load_drawing.py
@@ -1,4 +1,4 @@
-"""Check what a load is drawn from a seed."""
+"""Check the arrivals and request bodies that are drawn from a seed."""
 
 import json
 from itertools import islice
@@ -60,12 +60,14 @@
     lengths = [arrival.prompt_tokens for arrival in arrivals]
     long = sum(length > SHAPE.long_tokens for length in lengths)
     large = sum(arrival.customer == "large" for arrival in arrivals)
-    # Five thousand draws: the bounds are more than five standard deviations wide.
+    # With 5,000 draws the bounds are more than five standard deviations wide.
     assert len(arrivals) == pytest.approx(5_000, rel=0.08)
     assert long / len(arrivals) == pytest.approx(0.02, abs=0.011)
     assert large / len(arrivals) == pytest.approx(8 / 9, abs=0.03)
     median = sorted(lengths)[len(lengths) // 2]
-    assert median == pytest.approx(10_000, rel=0.2), "half lie below the middle power"
+    assert median == pytest.approx(10_000, rel=0.2), (
+        "the median is the geometric mean of the bounds"
+    )
 
 
 @pytest.mark.parametrize(
@@ -91,11 +93,11 @@
 @given(st.integers(1, 60_000), st.text(), st.integers(1, 9))
 @example(1_000_000, "ledger-1", 1)
 def test_a_body_is_json_of_the_promised_length(tokens, model, output) -> None:
-    prompt = CompletionBody(model, "load-1-17-", tokens, output)
-    body = b"".join(prompt.chunks())
-    document = json.loads(body)
-    assert len(body) == prompt.length()
+    body = CompletionBody(model, "load-1-17-", tokens, output)
+    data = b"".join(body.chunks())
+    document = json.loads(data)
+    assert len(data) == body.length()
     assert len(document["prompt"].encode()) == 4 * tokens
     assert "load-1-17-".startswith(document["prompt"][:10])
     assert (document["model"], document["stream"]) == (model, True)
-    assert max(map(len, islice(prompt.chunks(), 3))) <= CHUNK_BYTES + 200
+    assert max(map(len, islice(body.chunks(), 3))) <= CHUNK_BYTES + 200
--- a/tests/cover/cli/test_load_figures.py
+++ b/tests/cover/cli/test_load_figures.py
@@ -1,4 +1,4 @@
-"""Check how answers are judged and summed up."""
+"""Check how answers are classified and summarized."""
 
 import json
 import math
@@ -26,8 +26,8 @@
 
 def read(status: int, data: bytes, cuts: list[int]) -> AnswerReader:
     reader = AnswerReader(status)
-    places = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
-    for start, end in zip(places, places[1:], strict=False):
+    offsets = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
+    for start, end in zip(offsets, offsets[1:], strict=False):
         reader.feed(data[start:end])
     return reader
 
@@ -46,9 +46,9 @@
 @STEADY
 @given(st.integers(0, 3), st.data())
 def test_no_beginning_of_an_answer_passes_for_a_whole_one(tokens, data) -> None:
-    """A summary lacks its last page and nobody is told.
+    """Guards against counting a truncated answer as complete.
 
-    The connection ends early, and the tool counts what came as an answer.
+    The connection closes early, after a part of the answer has arrived.
     """
     answer = TOKEN * tokens + DONE
     length = data.draw(st.integers(0, len(answer) - len(b"\n\n") - 1))
@@ -86,7 +86,7 @@
     assert found.most == pytest.approx(ordered[-1], rel=2e-3, abs=2e-6)
     for percent, value in ((50, found.p50), (95, found.p95), (99, found.p99)):
         rank = math.ceil(percent / 100 * len(values) - 1e-9)
-        # The library rounds a rank that lies between two values to the nearer one.
+        # The histogram rounds a rank that lies between two values to the nearer one.
         near = ordered[max(0, rank - 2) : rank + 1]
         assert near[0] * 0.998 - 2e-6 <= value <= near[-1] * 1.002 + 2e-6
 
--- a/tests/cover/cli/test_load_sending.py
+++ b/tests/cover/cli/test_load_sending.py
@@ -1,4 +1,4 @@
-"""Check that a load keeps its times, and what the sender makes of answers."""
+"""Check that a load keeps its times, and how the sender classifies answers."""
 
 import json
 import socket
@@ -27,8 +27,8 @@
 DONE = b"data: [DONE]\n\n"
 
 
-class ManualTime:
-    """Be a clock that moves only when something waits."""
+class ManualClock:
+    """A clock that advances only when a caller waits."""
 
     def __init__(self) -> None:
         self.seconds = 100.0
@@ -43,25 +43,25 @@
 @STEADY
 @given(st.lists(st.floats(0, 100), max_size=20), st.integers(1, 5))
 def test_slow_answers_never_delay_later_arrivals(times, max_concurrent) -> None:
-    """A load test says that all is well while callers wait.
+    """Guards against a load test that hides delays (coordinated omission).
 
-    The tool sends its next request only after an answer; while the fleet is slow it
-    sends less, so that the wait of those who would have come is never seen.
+    A tool that sends its next request only after an answer sends fewer requests while
+    the fleet is slow, and never measures the delay of the others.
     """
-    clock, held = ManualTime(), Event()
+    clock, all_submitted = ManualClock(), Event()
     arrivals = [Arrival(i, at, "c", 1) for i, at in enumerate(sorted(times))]
 
-    def all_planned() -> Iterator[Arrival]:
+    def planned_arrivals() -> Iterator[Arrival]:
         yield from arrivals
-        held.set()
+        all_submitted.set()
 
     def send(arrival: Arrival, planned: float) -> Outcome:
         assert planned == 100.0 + arrival.at_seconds
-        assert held.wait(timeout=60)
+        assert all_submitted.wait(timeout=60)
         return Outcome(arrival, Ending.WHOLE)
 
     outcomes = run_open_loop(
-        all_planned(), send, max_concurrent, LoadClock(clock.now, clock.wait)
+        planned_arrivals(), send, max_concurrent, LoadClock(clock.now, clock.wait)
     )
     assert [each.arrival for each in outcomes] == arrivals
     assert all(each.late_seconds < 1e-9 for each in outcomes)
@@ -70,23 +70,23 @@
     assert endings == [Ending.WHOLE] * sent + [Ending.NOT_SENT] * (len(times) - sent)
 
 
-class Answering(BaseHTTPRequestHandler):
-    """Answer as the server's script says, after reading the request whole."""
+class ScriptedHandler(BaseHTTPRequestHandler):
+    """Answer with the server's script after reading the whole request."""
 
     protocol_version = "HTTP/1.1"
 
     def do_POST(self) -> None:  # noqa: N802 - the base class gives the name
         body = self.rfile.read(int(self.headers["Content-Length"]))
         self.server.seen.append((self.headers, json.loads(body)))
-        status, pieces, ended = self.server.script
+        status, chunks, is_complete = self.server.script
         self.send_response(status)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        for piece in pieces:
-            self.wfile.write(b"%x\r\n%b\r\n" % (len(piece), piece))
-        if ended:
+        for chunk in chunks:
+            self.wfile.write(b"%x\r\n%b\r\n" % (len(chunk), chunk))
+        if is_complete:
             self.wfile.write(b"0\r\n\r\n")
-        self.close_connection = not ended
+        self.close_connection = not is_complete
 
     def log_message(self, *_arguments: object) -> None:
         """Print nothing."""
@@ -94,7 +94,7 @@
 
 @contextmanager
 def sender_to(script) -> Iterator[tuple[Sender, ThreadingHTTPServer]]:
-    server = ThreadingHTTPServer(("127.0.0.1", 0), Answering)
+    server = ThreadingHTTPServer(("127.0.0.1", 0), ScriptedHandler)
     server.script, server.seen = script, []
     thread = Thread(target=server.serve_forever, kwargs={"poll_interval": 0.02})
     thread.start()
--- a/tests/cover/cli/test_log_history.py
+++ b/tests/cover/cli/test_log_history.py
@@ -10,11 +10,11 @@
 from cowslipshelf_cli.program import run
 from cowslipshelf_operators import OperatorsClient
 
-SECOND = "2026-04-06T09:19:{:09.6f}Z"
+TIMESTAMP = "2026-04-06T09:19:{:09.6f}Z"
 
 
 def entry(second: float, event: str, **fields) -> str:
-    return json.dumps({**fields, "event": event, "timestamp": SECOND.format(second)})
+    return json.dumps({**fields, "event": event, "timestamp": TIMESTAMP.format(second)})
 
 
 def begins(second: float, request: str, upstream: str) -> str:
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("request_id", LOGS)
 def test_the_cause_of_a_failed_request_is_found(tmp_path, request_id):
-    """A user complains about one request, days later; only the logs are left."""
+    """Guards against a failure that can no longer be explained from the logs alone."""
     code, output = explain(tmp_path, request_id)
     assert code is ExitCode.DONE
     cause = output.splitlines()[-1]
@@ -136,12 +136,12 @@
     assert LOGS[request_id][0] in cause
 
 
-def test_what_became_of_the_upstream_is_part_of_the_story(tmp_path):
+def test_events_of_the_upstream_are_part_of_the_history(tmp_path):
     _, output = explain(tmp_path, "broken-stream")
     assert "phase=left" in output
 
 
-def test_the_next_start_of_the_upstream_is_part_of_the_story(tmp_path):
+def test_the_next_start_of_the_upstream_is_part_of_the_history(tmp_path):
     _, output = explain(tmp_path, "restarted")
     assert "Upstream started again." in output
     assert "upstream=u-8#1764700060000" in output
@@ -152,12 +152,12 @@
     assert code is ExitCode.REFUSED
 
 
-def test_a_script_gets_the_story_as_a_document(tmp_path):
+def test_a_script_gets_the_history_as_a_document(tmp_path):
     code, output = explain(tmp_path, "unknown", "--json")
     assert code is ExitCode.DONE
-    story = json.loads(output)
-    assert story["request"] == "unknown"
-    own = [each for each in story["entries"] if each.get("request") == "unknown"]
+    history = json.loads(output)
+    assert history["request"] == "unknown"
+    own = [each for each in history["entries"] if each.get("request") == "unknown"]
     assert [each["event"] for each in own] == [
         "request: Attempt begins.",
         "request: Attempt ended.",
--- a/tests/cover/cli/test_log_losses.py
+++ b/tests/cover/cli/test_log_losses.py
@@ -1,4 +1,4 @@
-"""Check on what the worth of requests is said to have been lost."""
+"""Check to which causes the lost value of requests is attributed."""
 
 import io
 import json
@@ -32,7 +32,7 @@
     return entry("request: Request ended.", outcome=outcome, seconds=seconds)
 
 
-STORIES = {
+LOGS_BY_CAUSE = {
     "in time": [begins(), attempt(), ended()],
     "held up while writing": [begins(), attempt(pause=0.3), ended()],
     "late, not foreseen": [begins(), attempt(first=0.4), ended()],
@@ -73,12 +73,12 @@
 }
 
 
-def losses(tmp_path, stories: dict[str, list[dict]], *more: str):
+def losses(tmp_path, logs: dict[str, list[dict]], *more: str):
     log = tmp_path / "gateway.log"
     lines = [
         json.dumps(each | {"request": name})
-        for name, story in stories.items()
-        for each in story
+        for name, entries in logs.items()
+        for each in entries
     ]
     log.write_text("\n".join(["no entry", *lines]))
     output = io.StringIO()
@@ -89,22 +89,22 @@
     return code, output.getvalue()
 
 
-@pytest.mark.parametrize("cause", STORIES)
+@pytest.mark.parametrize("cause", LOGS_BY_CAUSE)
 def test_a_request_is_counted_under_its_one_cause(tmp_path, cause):
-    code, output = losses(tmp_path, {"a": STORIES[cause]}, "--json")
+    code, output = losses(tmp_path, {"a": LOGS_BY_CAUSE[cause]}, "--json")
     assert code is ExitCode.DONE
     [row] = json.loads(output)["losses"]
     assert (row["cause"], row["requests"]) == (cause, 1)
 
 
-def test_shares_go_by_worth_and_the_greatest_loss_comes_first(tmp_path):
-    """Two short questions weigh less than one long prompt of 190,000 tokens."""
-    stories = {
-        "short-1": STORIES["caller left"],
-        "short-2": STORIES["in time"],
+def test_shares_go_by_value_and_the_greatest_loss_comes_first(tmp_path):
+    """Two short prompts weigh less than one long prompt of 190,000 tokens."""
+    logs = {
+        "short-1": LOGS_BY_CAUSE["caller left"],
+        "short-2": LOGS_BY_CAUSE["in time"],
         "long": [begins(tokens=190_000, route="l"), ended("caller left")],
     }
-    _, output = losses(tmp_path, stories, "--json")
+    _, output = losses(tmp_path, logs, "--json")
     rows = json.loads(output)["losses"]
     assert [(row["route"], round(row["share"], 3)) for row in rows] == [
         ("l", 0.909),
--- a/tests/cover/cli/test_recorded_failures.py
+++ b/tests/cover/cli/test_recorded_failures.py
@@ -1,8 +1,9 @@
-"""Check that causes of real failures are found in the logs of a played day.
+"""Check that the causes of real failures are found in recorded logs.
 
-The logs are those of eight gateways before 17 upstreams, with processes killed and
-upstreams that reset connections or fail. Each cause was read from the whole logs by
-hand; the file holds the requests' lines among those of others.
+The logs are those of eight gateways in front of 17 upstreams, in a run with killed
+processes and with upstreams that reset connections or fail. Each expected cause was
+determined by hand from the whole logs; the file holds the lines of these requests
+among lines of others.
 """
 
 import re
@@ -39,15 +40,15 @@
 
 @pytest.mark.parametrize("request_id", CAUSES)
 def test_the_cause_is_found_from_the_logs_alone(request_id):
-    story = request_history(request_id, list(read_entries([LOG])))
-    assert story is not None
-    assert story.cause == CAUSES[request_id]
+    history = request_history(request_id, list(read_entries([LOG])))
+    assert history is not None
+    assert history.cause == CAUSES[request_id]
 
 
 def test_every_recorded_request_has_a_cause_without_other_requests_lines():
     entries = list(read_entries([LOG]))
     for request_id in {entry.fields.get("request") for entry in entries} - {None}:
-        story = request_history(request_id, entries)
-        assert re.search(r"\w", story.cause)
-        named = {entry.fields.get("request") for entry in story.entries} - {None}
+        history = request_history(request_id, entries)
+        assert re.search(r"\w", history.cause)
+        named = {entry.fields.get("request") for entry in history.entries} - {None}
         assert named == {request_id}
--- a/tests/cover/emulator/test_ablation.py
+++ b/tests/cover/emulator/test_ablation.py
@@ -1,4 +1,4 @@
-"""Check that a mechanism that is switched off is off, and on again afterwards."""
+"""Check that an ablation disables its mechanism, and only while it lasts."""
 
 import pytest
 
@@ -16,16 +16,16 @@
 SECONDS, LOAD, SEED = 20.0, 1.2, 1
 
 
-def usual():
+def baseline():
     arrivals = draw_arrivals(CODELIJN, SECONDS, LOAD, SEED)
     return summarize(build(CODELIJN, LeastHarm, SEED).run(arrivals))
 
 
 @pytest.mark.parametrize("off", ABLATIONS)
-def test_every_switch_can_be_thrown_and_leaves_nothing_behind(off):
+def test_every_ablation_can_be_applied_and_is_undone(off):
     with mechanism_disabled(ABLATIONS[off]):
         pass
-    assert play_without(CODELIJN, ALL_ON, SECONDS, LOAD, SEED) == usual()
+    assert play_without(CODELIJN, ALL_ON, SECONDS, LOAD, SEED) == baseline()
 
 
 @pytest.mark.parametrize(
@@ -37,12 +37,12 @@
         "word of work between gateways",
     ],
 )
-def test_what_carries_the_load_is_missed_where_it_is_off(off):
-    """Callers lose between 0.03 and 0.35 of the worth (four seeds, 40 s, 1.1 times).
+def test_disabling_a_main_mechanism_lowers_the_value(off):
+    """Each ablation loses 0.03 to 0.35 of the value (four seeds, 40 s, load 1.1).
 
-    With everything on 0.905 of it is earned; 0.823 without several engines for one
-    prompt, 0.768 without weighing harm to those who write, 0.847 to those who wait,
-    0.582 where gateways don't tell each other.
+    The share earned is 0.905 with all mechanisms, 0.823 with one engine for each
+    prompt, 0.768 without harm to decoding requests, 0.847 without harm to queued
+    requests, and 0.582 without gossip between gateways.
     """
     without = play_without(CODELIJN, off, SECONDS, LOAD, SEED)
-    assert without.value < usual().value
+    assert without.value < baseline().value
--- a/tests/cover/emulator/test_engine.py
+++ b/tests/cover/emulator/test_engine.py
@@ -1,4 +1,4 @@
-"""Check that an emulated engine works in passes, as the published model says."""
+"""Check that an emulated engine works in passes as its published model describes."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     return EmulatedEngine("e", ENGINE)
 
 
-def test_a_prompt_on_an_idle_engine_has_its_first_event_as_soon_as_it_is_read():
+def test_a_prompt_on_an_idle_engine_has_its_first_event_once_prefilled():
     alone = engine()
     alone.enqueue(PrefillTask("a", 2_000, 68), USUAL)
     step = decode_pass_seconds(ENGINE, 1, 2_000) / ENGINE.steps_per_pass
@@ -25,8 +25,8 @@
     assert alone.begin_pass() is None
 
 
-def test_a_pass_with_writers_reads_a_chunk_in_each_step_and_no_more():
-    """A question's next word comes after half a second, since a file is read."""
+def test_a_decoding_pass_prefills_one_chunk_in_each_step():
+    """A long prefill delays the next event of a short prompt by half a second."""
     shared = engine()
     shared.enqueue(PrefillTask("question", 1_000, 3_400), USUAL)
     shared.begin_pass()
@@ -43,15 +43,15 @@
     )
 
 
-def test_parts_read_for_other_engines_go_ahead_and_the_newest_first():
-    helping = engine()
-    helping.enqueue(PrefillTask("own", 2_048, 34), USUAL)
-    helping.add_helper_prefill(PrefillTask("first", 4_096, 0, parts=2))
-    helping.add_helper_prefill(PrefillTask("second", 4_096, 0, parts=2))
+def test_parts_for_other_engines_are_prefilled_first_and_the_newest_before():
+    helper = engine()
+    helper.enqueue(PrefillTask("own", 2_048, 34), USUAL)
+    helper.add_helper_prefill(PrefillTask("first", 4_096, 0, parts=2))
+    helper.add_helper_prefill(PrefillTask("second", 4_096, 0, parts=2))
     order = []
     for _ in range(3):
-        helping.begin_pass()
-        order += helping.end_pass().prefilled
+        helper.begin_pass()
+        order += helper.end_pass().prefilled
     assert order == ["second", "first", "own"]
 
 
@@ -72,19 +72,19 @@
     assert "usual" not in full.slot_holders
 
 
-def test_what_is_dropped_has_no_more_events():
-    left = engine()
-    left.enqueue(PrefillTask("gone", 1_000, 340), USUAL)
-    left.begin_pass()
-    left.drop("gone")
-    assert left.end_pass().events == ()
-    assert left.begin_pass() is None
+def test_a_dropped_request_has_no_more_events():
+    emulated = engine()
+    emulated.enqueue(PrefillTask("gone", 1_000, 340), USUAL)
+    emulated.begin_pass()
+    emulated.drop("gone")
+    assert emulated.end_pass().events == ()
+    assert emulated.begin_pass() is None
 
 
 def test_an_engine_helps_as_many_as_it_has_slots_and_refuses_more():
-    helping = engine()
+    helper = engine()
     taken = [
-        helping.add_helper_prefill(PrefillTask(f"r-{number}", 4_096, 0, parts=2))
+        helper.add_helper_prefill(PrefillTask(f"r-{number}", 4_096, 0, parts=2))
         for number in range(ENGINE.slots + 1)
     ]
     assert taken == [True] * ENGINE.slots + [False]
--- a/tests/cover/emulator/test_loads.py
+++ b/tests/cover/emulator/test_loads.py
@@ -1,4 +1,4 @@
-"""Play the users' loads on emulated engines, and check what their callers get."""
+"""Simulate the users' loads on emulated engines and check the results for callers."""
 
 from collections import Counter
 
@@ -18,7 +18,7 @@
 SEED = 1
 
 
-def play(fleet: Fleet, policy: str, load: float = 1.0) -> Figures:
+def simulate(fleet: Fleet, policy: str, load: float = 1.0) -> Figures:
     arrivals = draw_arrivals(fleet, SECONDS, load, SEED)
     return summarize(build(fleet, POLICIES[policy], SEED).run(arrivals))
 
@@ -43,30 +43,33 @@
 
 
 def test_the_same_seed_gives_the_same_figures():
-    assert play(NILEGATE, "least-harm") == play(NILEGATE, "least-harm")
+    assert simulate(NILEGATE, "least-harm") == simulate(NILEGATE, "least-harm")
 
 
 @pytest.mark.parametrize("fleet", [NILEGATE, COOPERATIVE], ids=lambda each: each.name)
 def test_weighing_harm_serves_all_kinds_better_than_counting_requests(fleet):
-    """Dossiers take seven seconds where four are wanted, and questions stall.
+    """Guards against long prompts that take 7 s instead of 4 s and stall short ones.
 
-    Routers that look at the number of requests read a long prompt on one engine, and
-    put questions beside it. Measured in this play, Nilegate and the cooperative: worth
-    0.75 and 0.67 with least outstanding, 0.99 and 0.96 with what gateways do.
+    A router that counts requests prefills a long prompt on one engine and places short
+    prompts beside it. For Nilegate and the cooperative the value was 0.75 and 0.67 with
+    least outstanding, and 0.99 and 0.96 with the gateways' placement.
     """
-    counted, weighed = play(fleet, "least-outstanding"), play(fleet, "least-harm")
+    counted, weighed = (
+        simulate(fleet, "least-outstanding"),
+        simulate(fleet, "least-harm"),
+    )
     assert weighed.value > counted.value + 0.1
     assert weighed.kinds["long"].in_time > counted.kinds["long"].in_time
     assert weighed.kinds["short"].in_time > counted.kinds["short"].in_time
     assert weighed.kinds["short"].in_time > 0.95
 
 
-def test_short_questions_hardly_notice_long_prompts():
-    """A question is answered as fast beside dossiers as without any."""
+def test_long_prompts_hardly_delay_short_prompts():
+    """Short prompts are answered as fast beside long prompts as without any."""
     only_short = NILEGATE._replace(
         rate_factors=tuple(
             (short, 0.0001, 0.0001) for short, _, _ in NILEGATE.rate_factors
         )
     )
-    alone, beside = play(only_short, "least-harm"), play(NILEGATE, "least-harm")
+    alone, beside = simulate(only_short, "least-harm"), simulate(NILEGATE, "least-harm")
     assert beside.kinds["short"].first_p95 < 1.2 * alone.kinds["short"].first_p95
--- a/tests/cover/emulator/test_log_comparison.py
+++ b/tests/cover/emulator/test_log_comparison.py
@@ -1,4 +1,4 @@
-"""Check that logged attempts are played again where they ran."""
+"""Check that logged attempts are replayed on the engines that ran them."""
 
 import json
 
@@ -8,10 +8,10 @@
 from cowslipshelf_emulator.internal.log_comparison import compare, read_attempts
 
 
-def line(event: str, **facts) -> str:
-    facts["event"] = f"request: {event}"
-    facts.setdefault("timestamp", "2026-04-06T09:20:09Z")
-    return f"   0.0664 front-1 {json.dumps(facts)}"
+def line(event: str, **fields) -> str:
+    fields["event"] = f"request: {event}"
+    fields.setdefault("timestamp", "2026-04-06T09:20:09Z")
+    return f"   0.0664 front-1 {json.dumps(fields)}"
 
 
 def begins(name: str, second: float, tokens: int, upstream: str, helpers=()) -> str:
@@ -26,11 +26,11 @@
     )
 
 
-def ended(name: str, outcome: str = "Answered", **facts) -> str:
-    return line("Attempt ended.", request=name, outcome=outcome, **facts)
+def ended(name: str, outcome: str = "Answered", **fields) -> str:
+    return line("Attempt ended.", request=name, outcome=outcome, **fields)
 
 
-def test_whole_answers_of_engines_are_read_and_all_else_is_passed_over(tmp_path):
+def test_only_complete_answers_of_engines_are_read(tmp_path):
     path = tmp_path / "log"
     path.write_text(
         "\n".join(
@@ -50,8 +50,8 @@
     assert attempt.engines == ("e-1", "e-2")
 
 
-def test_a_question_alone_takes_as_long_as_the_engines_took_on_a_recorded_day(tmp_path):
-    """A question of 1,319 tokens on an idle engine had its first event after 13 ms."""
+def test_a_prompt_alone_takes_as_long_as_on_a_recorded_engine(tmp_path):
+    """A prompt of 1,319 tokens on an idle engine had its first event after 13 ms."""
     path = tmp_path / "log"
     alone = [begins("alone", 1.0, 1_319, "e-1")]
     alone.append(ended("alone", first=0.013, pause=0.0868, seconds=3.7746))
