--- a/examples/local_fleet.py
+++ b/examples/local_fleet.py
@@ -21,8 +21,8 @@
 LOOPBACK = "127.0.0.1"
 DATA_CENTRES = ("maadi", "nasr", "smart-village")
 POLL_SECONDS = 0.05
-PATIENCE_SECONDS = 60.0
-GRACE_SECONDS = 40.0
+TIMEOUT_SECONDS = 60.0
+EXIT_TIMEOUT_SECONDS = 40.0
 REFUSED_STATUSES = (400, 422)
 
 
@@ -70,13 +70,13 @@
 
 def wait_until(condition: Callable[[], Any], what: str) -> Any:
     """Poll until the condition gives something true, within a wide limit."""
-    limit = time.monotonic() + PATIENCE_SECONDS
+    limit = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < limit:
         found = condition()
         if found:
             return found
         time.sleep(POLL_SECONDS)
-    raise FleetError(f"{what} did not happen within {PATIENCE_SECONDS:.0f} s")
+    raise FleetError(f"{what} did not happen within {TIMEOUT_SECONDS:.0f} s")
 
 
 class LocalFleet:
@@ -263,11 +263,11 @@
         A resend must be the same to the letter, the version it is based on included.
         """
         if based_on is None:
-            based_on = wait_until(self.read_base, "a configuration")[0]
+            based_on = wait_until(self.newest_version, "a configuration")[0]
         document = {"change_id": change_id, "based_on": based_on, "change": change}
         return wait_until(lambda: self.try_change(document), f"change {change_id}")
 
-    def read_base(self) -> tuple[int] | None:
+    def newest_version(self) -> tuple[int] | None:
         """Read the newest configuration version that an entry knows."""
         versions = [
             self.operator_call(name, "GET", "/v1/state")[1]["configuration"]["version"]
@@ -330,13 +330,13 @@
             if self.is_running(name):
                 self.processes[name].send_signal(signal.SIGCONT)
                 self.processes[name].terminate()
-        return {name: self.wait_for_end(name) for name in names}
+        return {name: self.wait_for_exit(name) for name in names}
 
-    def wait_for_end(self, name: str) -> int:
+    def wait_for_exit(self, name: str) -> int:
         """Wait for one process, and kill it past the grace."""
         process = self.processes[name]
         try:
-            return process.wait(GRACE_SECONDS)
+            return process.wait(EXIT_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             process.kill()
             return process.wait()
--- a/tests/common/steady.py
+++ b/tests/common/deterministic.py
@@ -2,4 +2,4 @@
 
 from hypothesis import settings
 
-STEADY = settings(deadline=None, derandomize=True)
+DETERMINISTIC = settings(deadline=None, derandomize=True)
--- a/tests/common/polling.py
+++ b/tests/common/polling.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from time import monotonic, sleep
 
-WIDE_SECONDS = 30.0
-PAUSE_SECONDS = 0.01
+TIMEOUT_SECONDS = 30.0
+POLL_SECONDS = 0.01
 
 
-def wait_for(condition: Callable[[], object], seconds: float = WIDE_SECONDS) -> None:
+def wait_for(condition: Callable[[], object], seconds: float = TIMEOUT_SECONDS) -> None:
     """Return once the condition holds; fail where it never does."""
     end = monotonic() + seconds
     while not condition():
         assert monotonic() < end, "the condition never held"
-        sleep(PAUSE_SECONDS)
+        sleep(POLL_SECONDS)
--- a/tests/cover/cli/test_commands.py
+++ b/tests/cover/cli/test_commands.py
@@ -15,9 +15,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from common.deterministic import DETERMINISTIC
 from common.operators import CUSTOMER_KEY, OPERATOR_KEY, StateHandler, serving
 from common.settings import CLUSTER_KEY, entry_document, sidecar_document
-from common.steady import STEADY
 from cowslipshelf_cli.exit_codes import ExitCode
 from cowslipshelf_cli.internal.command_context import CommandContext
 from cowslipshelf_cli.internal.output import one_line
@@ -306,7 +306,7 @@
     assert ran.code is ExitCode.USAGE
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.text())
 def test_text_from_peers_cannot_steer_the_terminal(text: str) -> None:
     assert one_line(text).isprintable()
--- a/tests/cover/cli/test_load_drawing.py
+++ b/tests/cover/cli/test_load_drawing.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_cli.internal.load.completion_body import PIECE_BYTES, CompletionBody
 from cowslipshelf_cli.load import (
     CustomerShare,
@@ -30,7 +30,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(SHAPES)
 def test_a_seed_gives_one_load_within_its_bounds(shape: LoadShape) -> None:
     check_shape(shape)
@@ -45,7 +45,7 @@
         assert shape.shortest_tokens <= arrival.prompt_tokens <= beyond
 
 
-@STEADY
+@DETERMINISTIC
 @given(SHAPES, st.floats(0, 1))
 def test_another_mix_keeps_the_times_and_the_customers(shape, share) -> None:
     other = shape._replace(long_share=share, shortest_tokens=1)
@@ -87,7 +87,7 @@
         check_shape(SHAPE._replace(**change))
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(1, 60_000), st.text(), st.integers(1, 9))
 @example(1_000_000, "ledger-1", 1)
 def test_a_body_is_json_of_the_promised_length(tokens, model, output) -> None:
--- a/tests/cover/cli/test_load_figures.py
+++ b/tests/cover/cli/test_load_figures.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_cli.internal.load.answer_reader import AnswerReader
 from cowslipshelf_cli.load import (
     Arrival,
@@ -35,7 +35,7 @@
 CUTS = st.lists(st.integers(0, 200))
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 5), CUTS)
 def test_an_answer_is_whole_however_its_bytes_are_cut(tokens, cuts) -> None:
     reader = read(200, TOKEN * tokens + DONE, cuts)
@@ -43,7 +43,7 @@
     assert reader.tokens_seen == (tokens > 0)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 3), st.data())
 def test_no_beginning_of_an_answer_passes_for_a_whole_one(tokens, data) -> None:
     """A summary lacks its last page and nobody is told.
@@ -56,7 +56,7 @@
     assert ending is Ending.CUT
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 3), CUTS, st.booleans())
 def test_an_error_within_an_answer_is_named(tokens, cuts, done) -> None:
     reader = read(200, TOKEN * tokens + REFUSAL + DONE * done, cuts)
@@ -64,7 +64,7 @@
     assert reader.tokens_seen == (tokens > 0)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(400, 599), st.binary(), CUTS)
 def test_any_refusal_body_is_counted_under_some_name(status, body, cuts) -> None:
     ending, code = read(status, body, cuts).end()
@@ -77,7 +77,7 @@
     assert read(200, DONE + after, []).end()[0] is Ending.CUT
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.floats(1e-4, 1e4), min_size=1))
 def test_quantiles_are_those_of_the_values(values) -> None:
     found = Quantiles.from_values(values)
@@ -94,7 +94,7 @@
 LENGTHS = st.lists(st.integers(1, 10_000), min_size=1, max_size=20)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.floats(1e-3, 1), st.floats(0, 1e-3), LENGTHS)
 def test_the_unloaded_time_follows_a_line(fixed, slope, lengths) -> None:
     unloaded = UnloadedTime.from_samples([(n, fixed + slope * n) for n in lengths])
@@ -102,7 +102,7 @@
         assert unloaded.seconds(n) == pytest.approx(fixed + slope * n, rel=1e-3)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.tuples(st.integers(1, 10**4), st.floats(1e-6, 10)), min_size=1))
 def test_the_unloaded_time_is_never_negative(samples) -> None:
     unloaded = UnloadedTime.from_samples(samples)
@@ -130,7 +130,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(OUTCOMES, st.none() | st.just(UnloadedTime(0.1, 1e-5)))
 def test_every_planned_request_is_counted_once(outcomes, unloaded) -> None:
     figures = summarize(outcomes, FiguresConfig(10_000, 50.0, unloaded))
--- a/tests/cover/cli/test_load_sending.py
+++ b/tests/cover/cli/test_load_sending.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_cli.load import (
     Arrival,
     Ending,
@@ -40,7 +40,7 @@
         self.seconds += seconds
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.floats(0, 100), max_size=20), st.integers(1, 5))
 def test_slow_answers_never_delay_later_arrivals(times, max_concurrent) -> None:
     """A load test says that all is well while callers wait.
--- a/tests/cover/gateway_core/test_memory_lease.py
+++ b/tests/cover/gateway_core/test_memory_lease.py
@@ -3,14 +3,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_core.gateway import MemoryLease, MemoryLeaseConfig
 
 RELEASE_SECONDS = st.floats(0.5, 20.0)
 PAUSES = st.lists(st.tuples(st.floats(0.0, 3.0), st.booleans()), max_size=30)
 
 
-@STEADY
+@DETERMINISTIC
 @given(RELEASE_SECONDS, PAUSES)
 def test_no_reservation_outlasts_the_release_time_after_the_last_sign_of_life(
     release_seconds, pauses
@@ -28,7 +28,7 @@
         assert reserved_until <= max(last_sign + release_seconds, now)
 
 
-@STEADY
+@DETERMINISTIC
 @given(RELEASE_SECONDS, st.lists(st.floats(0.0, 1.0), max_size=30))
 def test_an_engine_that_answers_at_once_keeps_its_memory(release_seconds, shares):
     """Covers a prefill that takes longer than one reservation lasts."""
--- a/tests/cover/host/test_logs.py
+++ b/tests/cover/host/test_logs.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from common.deterministic import DETERMINISTIC
 from common.settings import CLUSTER_KEY, entry_document
-from common.steady import STEADY
 from cowslipshelf_host.logs import QueuedLineWriter, configure_logs, part_logger
 from cowslipshelf_host.settings import LogSettings, decode_settings
 
@@ -53,7 +53,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.sampled_from(FORMATS), PLACES, SECRET_FIELDS, st.text())
 def test_a_secret_never_reaches_a_line(log_format, place, name, sentence) -> None:
     """A customer's key stands in the log that many may read.
@@ -93,7 +93,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.text(), st.dictionaries(st.from_regex(r"[a-d]\Z", fullmatch=True), VALUES))
 def test_any_value_becomes_one_json_line_with_the_prefix(sentence, fields) -> None:
     stream = io.StringIO()
--- a/tests/cover/host/test_metrics.py
+++ b/tests/cover/host/test_metrics.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_host.metrics import MetricError, Metrics
 
 LINE = re.compile(
@@ -25,7 +25,7 @@
     return found
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.tuples(st.text(max_size=3), st.integers(0, 9)), max_size=30))
 def test_counts_add_up_whatever_the_label_values(counts) -> None:
     metrics = Metrics(max_label_sets=4)
@@ -36,7 +36,7 @@
     assert sum(counted.values()) == sum(amount for _, amount in counts)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(1, 5), st.lists(st.integers(0, 20), min_size=1, max_size=60))
 def test_label_sets_are_bounded_and_the_rest_is_counted(bound, labels) -> None:
     """An entry's memory grows until it is killed.
@@ -56,7 +56,7 @@
     assert found.get(overflow, 0) == len(beyond)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.floats(1e-4, 3000), min_size=1, max_size=50))
 def test_quantiles_are_within_two_digits_of_the_recorded_durations(durations) -> None:
     metrics = Metrics()
@@ -71,7 +71,7 @@
     assert found["wait_seconds_sum{}"] == pytest.approx(sum(durations))
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.floats(allow_nan=False))
 def test_a_duration_beyond_the_range_is_counted_at_its_end(seconds: float) -> None:
     metrics = Metrics()
--- a/tests/cover/settings/test_loading.py
+++ b/tests/cover/settings/test_loading.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
+from common.deterministic import DETERMINISTIC
 from common.settings import (
     CLUSTER_KEY,
     FAULTS,
@@ -16,7 +17,6 @@
     entry_document,
     sidecar_document,
 )
-from common.steady import STEADY
 from cowslipshelf_host.settings import (
     DaemonSettings,
     decode_settings,
@@ -34,7 +34,7 @@
     return decode_settings(json.dumps(document).encode(), "settings.json")
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.sampled_from(FAULTS), min_size=1, unique=True))
 def test_every_fault_of_a_file_is_named_in_one_run(faults: list[Fault]) -> None:
     """An operator gets a daemon up after one round of corrections, not after five.
@@ -73,7 +73,7 @@
     assert {problem.field.split(".")[0] for problem in problems} == {section}
 
 
-@STEADY
+@DETERMINISTIC
 @given(
     st.sampled_from(sorted(SOUND)),
     st.floats(0.2, 10),
@@ -102,7 +102,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.sampled_from(sorted(SOUND)), st.data())
 def test_any_value_in_any_place_is_taken_or_named(
     role: str, data: st.DataObject
@@ -123,7 +123,7 @@
             assert decode(json.loads(msgspec.json.encode(settings))).is_ok()
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.binary() | st.text().map(str.encode))
 @example(b"[" * 100_000)
 @example(b"9" * 5000)
--- a/tests/nocover/daemon/test_faults_on_processes.py
+++ b/tests/nocover/daemon/test_faults_on_processes.py
@@ -228,7 +228,7 @@
     call.wait_for_tokens(3)
     fleet.send_signal("entry-3", signal.SIGTERM)
     assert call.text()
-    assert fleet.wait_for_end("entry-3") == 0
+    assert fleet.wait_for_exit("entry-3") == 0
 
 
 def test_a_sidecar_that_leaves_finishes_its_streams_and_takes_no_more(fleet):
@@ -252,7 +252,7 @@
     fleet.send_signal(f"{busy}-sidecar", signal.SIGTERM)
     assert StreamedCall(fleet, "entry-2", PROMPT, 4).text()
     assert call.text()
-    assert fleet.wait_for_end(f"{busy}-sidecar") == 0
+    assert fleet.wait_for_exit(f"{busy}-sidecar") == 0
     request_id = call.response.headers["X-Request-Id"]
     path = f"/v1/explain/request/{request_id}"
     _, explained = fleet.operator_call("entry-1", "GET", path)
--- a/tests/nocover/daemon/test_shutdowns_on_processes.py
+++ b/tests/nocover/daemon/test_shutdowns_on_processes.py
@@ -65,7 +65,7 @@
         # Two pending signals of one kind are delivered as one.
         wait_until(lambda: "Shutdown begins." in log_of(fleet, name), "the first")
         fleet.send_signal(name, signal.SIGTERM)
-    assert fleet.wait_for_end(name) == EXIT_WORK_ABORTED, log_of(fleet, name)
+    assert fleet.wait_for_exit(name) == EXIT_WORK_ABORTED, log_of(fleet, name)
     assert "Work was cut." in log_of(fleet, name)
 
 
@@ -82,4 +82,4 @@
         other.bind((host, int(port)))
         other.listen()
         fleet.start_entry(ENTRY)
-        assert fleet.wait_for_end(ENTRY) == EXIT_NOT_STARTED, log_of(fleet, ENTRY)
+        assert fleet.wait_for_exit(ENTRY) == EXIT_NOT_STARTED, log_of(fleet, ENTRY)
