--- a/tests/nocover/gateway/test_soak.py
+++ b/tests/nocover/gateway/test_soak.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from soak.world import FleetKind, run_seed
+from soak.runner import FleetKind, run_seed
 
 SECONDS = 12.0
 SEEDS = (1, 2)
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from soak.world import FleetKind, run_seed
+from soak.runner import FleetKind, run_seed
 
 
 def main() -> int:
--- a/tests/soak/recorder.py
+++ b/tests/soak/recorder.py
@@ -19,7 +19,7 @@
 EVENTS = 6
 
 
-class Told(NamedTuple):
+class CallResult(NamedTuple):
     """Be what a caller got for one attempt."""
 
     attempt_id: str
@@ -31,11 +31,11 @@
 
 
 @dataclass
-class Witness:
+class CallRecorder:
     """Collect from all threads of a run."""
 
     runs: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    told: list[Told] = field(default_factory=list)
+    told: list[CallResult] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
@@ -44,7 +44,7 @@
         with self.lock:
             self.runs[attempt_id] += 1
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: CallResult) -> None:
         """Note what a caller got."""
         with self.lock:
             self.told.append(told)
@@ -62,7 +62,7 @@
         return found
 
 
-def problems(told: Told, runs: int):
+def problems(told: CallResult, runs: int):
     """List what is wrong with one attempt."""
     name = f"{told.kind} {told.attempt_id}"
     if told.kind is Kind.ONCE and runs > 1:
--- a/tests/soak/runner.py
+++ b/tests/soak/runner.py
@@ -23,7 +23,7 @@
 )
 from common.scripted_upstream import Exchange, ScriptedUpstream, call
 from soak.faulty_link import FaultyLink, LinkMode
-from soak.witness import Kind, Told, Witness, event, events_after
+from soak.recorder import CallRecorder, CallResult, Kind, event, events_after
 
 CALLERS = 6
 UPSTREAMS = 3
@@ -67,7 +67,7 @@
                 return {"size": 7, "in_memory": 3}
 
 
-class SoakWorld:
+class SoakRunner:
     """Own everything that runs for one seed."""
 
     def __init__(
@@ -76,7 +76,7 @@
         self.fleet = fleet
         self.kind = kind
         self.random = random.Random(seed)
-        self.witness = Witness()
+        self.witness = CallRecorder()
         self.ending = threading.Event()
         self.restored = threading.Event()
         self.upstreams: list[ScriptedUpstream] = []
@@ -314,7 +314,7 @@
             each.stop()
 
 
-def ask_once(connection: HTTPConnection, kind: Kind) -> Told:
+def ask_once(connection: HTTPConnection, kind: Kind) -> CallResult:
     """Make one request with an id of its own."""
     attempt_id = uuid.uuid4().hex
     headers = {
@@ -332,7 +332,7 @@
         whole = True
     except (OSError, HTTPException):
         pass
-    return Told(attempt_id, kind, status, body, whole)
+    return CallResult(attempt_id, kind, status, body, whole)
 
 
 def run_seed(
@@ -341,6 +341,6 @@
     """Run one seed; return the promises that were broken."""
     with ExitStack() as stack:
         fleet = stack.enter_context(running_fleet(folder, **kind.arguments))
-        world = SoakWorld(fleet, seed, kind)
+        world = SoakRunner(fleet, seed, kind)
         stack.callback(world.stop)
         return world.run(seconds)
