--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempt_stream.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempt_stream.py
@@ -38,7 +38,7 @@
                     self.ended = isinstance(frame, StreamEnd)
                     yield frame
                 if self.ended:
-                    self.keep_connection()
+                    self.return_connection()
                     return
         except (HTTPError, OSError, FrameError) as error:
             raise StreamLostError(STEP, self.peer, str(error)) from error
@@ -46,9 +46,9 @@
             self.response.close()
         raise StreamLostError(STEP, self.peer, "ended before its last frame")
 
-    def keep_connection(self) -> None:
+    def return_connection(self) -> None:
         """Read the end of the response, so that its connection is used again."""
-        self.connection.last_heard = monotonic()
+        self.connection.last_received_at = monotonic()
         try:
             for _ in self.pieces:
                 raise FrameError("a frame after the last one")
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
@@ -36,13 +36,13 @@
     encoder,
     refused_decoder,
     request_tag,
+    request_target,
     revoked_decoder,
-    target_of,
 )
 from cowslipshelf_fleet.internal.fresh_connections import FreshConnectionPool
 
-MOST_POOLS = 512
-MOST_KEPT_CONNECTIONS = 8
+MAX_POOLS = 512
+MAX_IDLE_CONNECTIONS = 8
 """Kept for each sidecar; only fresh ones are used again, so few are of use, and one
 that the sidecar has closed meanwhile holds a file descriptor until its turn."""
 
@@ -69,7 +69,7 @@
             connect=config.connect_seconds, read=config.silence_seconds
         )
         self.tagger = attempts_tagger(config.cluster_key)
-        self.pools = PoolManager(num_pools=MOST_POOLS, maxsize=MOST_KEPT_CONNECTIONS)
+        self.pools = PoolManager(num_pools=MAX_POOLS, maxsize=MAX_IDLE_CONNECTIONS)
         self.pools.pool_classes_by_scheme = {"http": FreshConnectionPool}
 
     @classmethod
@@ -83,21 +83,21 @@
         """Send an attempt, once, and return its frames or why there are none."""
         body = encoder.encode(hand_over)
         try:
-            response = self.ask(address, "POST", HandOverRequest(), body)
-            return self.hand_over_answer(address, response)
+            response = self.send_request(address, "POST", HandOverRequest(), body)
+            return self.parse_hand_over_response(address, response)
         except (NewConnectionError, ConnectTimeoutError) as error:
             # Both are raised only while connecting: no byte of the request left.
             return HandOverFailed(False, HAND_OVER_STEP, address, str(error))
         except (HTTPError, OSError, msgspec.MsgspecError) as error:
             return HandOverFailed(True, HAND_OVER_STEP, address, str(error))
 
-    def hand_over_answer(
+    def parse_hand_over_response(
         self, address: str, response: BaseHTTPResponse
     ) -> AttemptStream | AttemptRefused | HandOverFailed:
         """Return what the sidecar's answer to a hand-over says."""
         if response.status == STATUS_STREAM:
             return AttemptStream(response, address)
-        content = read_whole(response)
+        content = read_body(response)
         if response.status == STATUS_REFUSED:
             return refused_decoder.decode(content)
         detail = f"status {response.status} {content[:200]!r}"
@@ -109,10 +109,10 @@
         """Return the frames after a chunk, or None where they can't be had."""
         request = FramesRequest(attempt_id, after_sequence)
         try:
-            response = self.ask(address, "GET", request)
+            response = self.send_request(address, "GET", request)
             if response.status == STATUS_STREAM:
                 return AttemptStream(response, address)
-            read_whole(response)
+            read_body(response)
         except (HTTPError, OSError):
             return None
         return None
@@ -127,8 +127,10 @@
         """Ask for the promise that an attempt never runs; None is no answer."""
         body = encoder.encode(RevokeBody(epoch, load_sequence))
         try:
-            response = self.ask(address, "POST", RevokeRequest(attempt_id), body)
-            content = read_whole(response)
+            response = self.send_request(
+                address, "POST", RevokeRequest(attempt_id), body
+            )
+            content = read_body(response)
             if response.status != STATUS_STREAM:
                 return None
             return revoked_decoder.decode(content)
@@ -141,8 +143,10 @@
         """Let a reserved attempt begin; return whether the sidecar surely heard it."""
         body = encoder.encode(PartsReady(parts))
         try:
-            response = self.ask(address, "POST", PartsRequest(attempt_id), body)
-            read_whole(response)
+            response = self.send_request(
+                address, "POST", PartsRequest(attempt_id), body
+            )
+            read_body(response)
         except (HTTPError, OSError):
             return False
         return response.status == STATUS_DONE
@@ -150,8 +154,8 @@
     def cancel(self, address: str, attempt_id: AttemptId) -> bool:
         """Cancel an attempt; return whether the sidecar is known to have heard it."""
         try:
-            response = self.ask(address, "DELETE", CancelRequest(attempt_id))
-            read_whole(response)
+            response = self.send_request(address, "DELETE", CancelRequest(attempt_id))
+            read_body(response)
         except (HTTPError, OSError):
             return False
         return response.status == STATUS_DONE
@@ -160,11 +164,11 @@
         """Close the connections that are not in use."""
         self.pools.clear()
 
-    def ask(
+    def send_request(
         self, address: str, method: str, request: AttemptsRequest, body: bytes = b""
     ) -> BaseHTTPResponse:
         """Send one request once, and return the beginning of its answer."""
-        target = target_of(request)
+        target = request_target(request)
         host, port = parse_address(address)
         pool = self.pools.connection_from_host(host, port, "http")
         headers = {
@@ -184,10 +188,10 @@
         )
 
 
-def read_whole(response: BaseHTTPResponse) -> bytes:
+def read_body(response: BaseHTTPResponse) -> bytes:
     """Read a short answer and give its connection back."""
     connection = response.connection
     content = response.read()
-    connection.last_heard = monotonic()
+    connection.last_received_at = monotonic()
     response.release_conn()
     return content
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_protocol.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_protocol.py
@@ -20,7 +20,7 @@
 CONTENT_TYPE = "application/vnd.msgpack"
 ATTEMPTS_PATH = "/v1/attempts"
 PURPOSE = b"attempts"
-MOST_BODY_BYTES = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 STATUS_STREAM = 200
 STATUS_DONE = 204
@@ -58,7 +58,7 @@
     """Ask for the frames of an attempt after one of its chunks."""
 
     attempt_id: AttemptId
-    after: int
+    after_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     return tagger.tag(method.encode(), target.encode(), body).hex()
 
 
-def tag_is_right(
+def verify_request_tag(
     tagger: Tagger, tag: str, method: str, target: str, body: bytes
 ) -> bool:
     """Tell whether a request's tag header was made with the cluster key."""
@@ -108,7 +108,7 @@
     return tagger.accepts(given, method.encode(), target.encode(), body)
 
 
-def target_of(request: AttemptsRequest) -> str:
+def request_target(request: AttemptsRequest) -> str:
     """Return the path and query of a request."""
     match request:
         case HandOverRequest():
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_responder.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_responder.py
@@ -28,7 +28,7 @@
     parse_request,
     parts_decoder,
     revoke_body_decoder,
-    tag_is_right,
+    verify_request_tag,
 )
 from cowslipshelf_fleet.internal.frame_buffer import FrameBuffer
 from cowslipshelf_fleet.internal.frame_codec import encode_frame, encode_frames
@@ -47,13 +47,13 @@
         target = self.req.uri.decode("latin-1")
         tag = self.req.inheaders.get(TAG_HEADER_NAME, b"").decode("latin-1")
         server = self.req.server
-        if not tag_is_right(server.tagger, tag, method, target, body):
-            self.answer(STATUS_WRONG_TAG)
+        if not verify_request_tag(server.tagger, tag, method, target, body):
+            self.send_response(STATUS_WRONG_TAG)
             return
         try:
             self.route(method, target, body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            self.answer(STATUS_MALFORMED, str(error).encode())
+            self.send_response(STATUS_MALFORMED, str(error).encode())
 
     def route(self, method: str, target: str, body: bytes) -> None:
         """Ask the handler for what the request names."""
@@ -64,21 +64,21 @@
             case FramesRequest(attempt_id, after):
                 buffer = handler.frames(attempt_id)
                 if buffer is None:
-                    self.answer(STATUS_UNKNOWN)
+                    self.send_response(STATUS_UNKNOWN)
                 else:
                     self.stream(buffer, after)
             case RevokeRequest(attempt_id):
                 epoch, load_sequence = revoke_body_decoder.decode(body)
                 outcome = handler.revoke(attempt_id, epoch, load_sequence)
-                self.answer(STATUS_STREAM, encoder.encode(outcome))
+                self.send_response(STATUS_STREAM, encoder.encode(outcome))
             case PartsRequest(attempt_id):
                 handler.begin(attempt_id, parts_decoder.decode(body).parts)
-                self.answer(STATUS_DONE)
+                self.send_response(STATUS_DONE)
             case CancelRequest(attempt_id):
                 handler.cancel(attempt_id)
-                self.answer(STATUS_DONE)
+                self.send_response(STATUS_DONE)
             case None:
-                self.answer(STATUS_UNKNOWN)
+                self.send_response(STATUS_UNKNOWN)
 
     def hand_over(self, body: bytes) -> None:
         """Hand the attempt to the handler, once, unless nobody waits for it.
@@ -88,11 +88,11 @@
         """
         if has_hung_up(self.req.conn.socket):
             self.req.close_connection = True
-            self.answer(STATUS_GONE)
+            self.send_response(STATUS_GONE)
             return
         outcome = self.req.server.handler.hand_over(hand_over_decoder.decode(body))
         if isinstance(outcome, AttemptRefused):
-            self.answer(STATUS_REFUSED, encoder.encode(outcome))
+            self.send_response(STATUS_REFUSED, encoder.encode(outcome))
         else:
             self.stream(outcome, 0)
 
@@ -103,16 +103,16 @@
         frames stay in their buffer for a resume.
         """
         server = self.req.server
-        reader = buffer.take_over()
+        reader = buffer.replace_reader()
         position = buffer.position_after(after)
-        self.begin(STATUS_STREAM)
+        self.start_response(STATUS_STREAM)
         self.req.ensure_headers_sent()
         while not server.stopping.is_set():
             frames = buffer.read_from(position, server.config.heartbeat_seconds, reader)
             if frames:
                 self.write_chunk(encode_frames(frames))
                 position += len(frames)
-            elif buffer.ended_for(position, reader):
+            elif buffer.is_ended_for(position, reader):
                 return
             else:
                 self.write_chunk(HEARTBEAT)
@@ -126,14 +126,14 @@
         """
         self.req.conn.socket.sendall(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def answer(self, status: int, body: bytes = b"") -> None:
+    def send_response(self, status: int, body: bytes = b"") -> None:
         """Write a whole answer."""
-        self.begin(status)
+        self.start_response(status)
         self.req.outheaders.append((b"Content-Length", str(len(body)).encode()))
         self.req.ensure_headers_sent()
         self.req.write(body)
 
-    def begin(self, status: int) -> None:
+    def start_response(self, status: int) -> None:
         """Set the status line and the type of the body."""
         phrase = HTTPStatus(status).phrase
         self.req.status = f"{status} {phrase}".encode()
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
@@ -17,7 +17,7 @@
     parse_address,
 )
 from cowslipshelf_fleet.internal.attempts_protocol import (
-    MOST_BODY_BYTES,
+    MAX_BODY_BYTES,
     attempts_tagger,
 )
 from cowslipshelf_fleet.internal.attempts_responder import AttemptsResponder
@@ -26,9 +26,9 @@
 
 logger = logging.getLogger(__name__)
 
-MOST_HEADER_BYTES = 16 * 1024
-STOP_SECONDS = 2.0
-SELECT_SECONDS = 0.1
+MAX_HEADER_BYTES = 16 * 1024
+SHUTDOWN_TIMEOUT_SECONDS = 2.0
+ACCEPT_POLL_SECONDS = 0.1
 """Longest time for which the accepting thread overlooks that it is to stop."""
 
 
@@ -85,10 +85,10 @@
 
     ConnectionClass = EntryConnection
     keep_alive_conn_limit = None
-    expiration_interval = SELECT_SECONDS
-    max_request_header_size = MOST_HEADER_BYTES
-    max_request_body_size = MOST_BODY_BYTES
-    shutdown_timeout = STOP_SECONDS
+    expiration_interval = ACCEPT_POLL_SECONDS
+    max_request_header_size = MAX_HEADER_BYTES
+    max_request_body_size = MAX_BODY_BYTES
+    shutdown_timeout = SHUTDOWN_TIMEOUT_SECONDS
 
     def __init__(self, config: AttemptsServerConfig, handler: AttemptsHandler) -> None:
         listen = parse_address(config.listen_address)
@@ -98,10 +98,12 @@
         self.tagger = attempts_tagger(config.cluster_key)
         self.timeout = config.stalled_seconds
         self.requests = GrowingThreadPool(
-            self, spare=config.spare_threads, most=config.max_threads
+            self, spare_threads=config.spare_threads, max_threads=config.max_threads
         )
         self.stopping = Event()
-        self.serving = Thread(target=self.serve, name="attempts-accept", daemon=True)
+        self.accept_thread = Thread(
+            target=self.serve, name="attempts-accept", daemon=True
+        )
 
     @classmethod
     def from_config(
@@ -118,13 +120,13 @@
     def start(self) -> None:
         """Listen and serve on threads of the server; raise `OSError` if it can't."""
         self.prepare()
-        self.serving.start()
+        self.accept_thread.start()
 
     def stop(self) -> None:
         """Cut the streams that are left, and end every thread of the server."""
         self.stopping.set()
         super().stop()
-        self.serving.join()
+        self.accept_thread.join()
 
     def error_log(
         self, msg: str = "", level: int = logging.INFO, traceback: bool = False
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
@@ -14,8 +14,8 @@
 )
 from cowslipshelf_fleet.errors import FrameOrderError
 
-MOST_BUFFERED_BYTES = 16 * 1024 * 1024
-MOST_FRAMES_READ = 256
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024
+MAX_FRAMES_PER_READ = 256
 """Frames read at once, so that a resume doesn't copy a whole answer in one piece."""
 FRAME_OVERHEAD_BYTES = 128
 """Memory of a frame besides its data, so that many empty frames are bounded too."""
@@ -28,20 +28,20 @@
     Positions count frames; sequence numbers count chunks, from one.
     """
 
-    def __init__(self, max_bytes: int = MOST_BUFFERED_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
         self.max_bytes = max_bytes
         self.frames: list[Frame] = []
-        self.bytes = 0
+        self.buffered_bytes = 0
         self.last_sequence = 0
         self.frames_before_chunks = 0
-        self.began = False
+        self.started = False
         """Whether a head came, or the one word on a part of a prompt."""
         self.finished = False
         """Whether the last frame of the stream was appended."""
         self.read_to_end = False
         """Whether a reader has taken the last frame."""
         self.closed = False
-        self.reader = 0
+        self.current_reader = 0
         self.changed = Condition()
 
     def append(self, frame: Frame) -> bool:
@@ -57,11 +57,13 @@
                 return False
             self.check_order(frame)
             is_last = isinstance(frame, StreamEnd)
-            if self.closed or (self.bytes + size > self.max_bytes and not is_last):
+            if self.closed or (
+                self.buffered_bytes + size > self.max_bytes and not is_last
+            ):
                 return False
             self.frames.append(frame)
-            self.bytes += size
-            self.note(frame)
+            self.buffered_bytes += size
+            self.update_state(frame)
             self.changed.notify_all()
             return True
 
@@ -77,7 +79,9 @@
         Sequence zero stands for the beginning, the head included: whoever has
         seen the head and no chunk gets the head again.
         """
-        return self.read_from(self.position_after(sequence), timeout, self.reader)
+        return self.read_from(
+            self.position_after(sequence), timeout, self.current_reader
+        )
 
     def position_after(self, sequence: int) -> int:
         """Return the position of the first frame after a chunk."""
@@ -86,7 +90,7 @@
         with self.changed:
             return self.frames_before_chunks + sequence
 
-    def take_over(self) -> int:
+    def replace_reader(self) -> int:
         """Make the caller the only reader, and return its number.
 
         A stream that fell silent is resumed over a new connection while the
@@ -94,9 +98,9 @@
         a thread behind until the attempt's end.
         """
         with self.changed:
-            self.reader += 1
+            self.current_reader += 1
             self.changed.notify_all()
-            return self.reader
+            return self.current_reader
 
     def read_from(self, position: int, timeout: float, reader: int) -> list[Frame]:
         """Return the frames from a position on, for a reader not yet replaced."""
@@ -107,23 +111,23 @@
                 if left <= 0:
                     return []
                 self.changed.wait(left)
-            if reader != self.reader:
+            if reader != self.current_reader:
                 return []
-            taken = self.frames[position : position + MOST_FRAMES_READ]
+            taken = self.frames[position : position + MAX_FRAMES_PER_READ]
             if self.finished and position + len(taken) >= len(self.frames):
                 self.read_to_end = True
             return taken
 
     def must_wait(self, position: int, reader: int) -> bool:
         """Tell whether a reader at the position has to wait for something."""
-        if self.closed or self.finished or reader != self.reader:
+        if self.closed or self.finished or reader != self.current_reader:
             return False
         return position >= len(self.frames)
 
-    def ended_for(self, position: int, reader: int) -> bool:
+    def is_ended_for(self, position: int, reader: int) -> bool:
         """Tell whether a reader will never get anything more."""
         with self.changed:
-            if reader != self.reader or self.closed:
+            if reader != self.current_reader or self.closed:
                 return True
             return self.finished and position >= len(self.frames)
 
@@ -132,7 +136,7 @@
         with self.changed:
             self.closed = True
             self.frames = []
-            self.bytes = 0
+            self.buffered_bytes = 0
             self.changed.notify_all()
 
     def check_order(self, frame: Frame) -> None:
@@ -141,7 +145,7 @@
             case AttemptReserved():
                 in_order = not self.frames
             case StreamHead() | PartPrefilled():
-                in_order = not self.began and not self.last_sequence
+                in_order = not self.started and not self.last_sequence
             case StreamChunk(sequence=sequence):
                 in_order = sequence == self.last_sequence + 1
             case StreamEnd(last_sequence=last_sequence):
@@ -151,13 +155,13 @@
         if not in_order:
             raise FrameOrderError(f"after chunk {self.last_sequence}: {frame!r:.100}")
 
-    def note(self, frame: Frame) -> None:
+    def update_state(self, frame: Frame) -> None:
         """Update what is known of the stream by a frame just added."""
         match frame:
             case AttemptReserved():
                 self.frames_before_chunks += 1
             case StreamHead() | PartPrefilled():
-                self.began = True
+                self.started = True
                 self.frames_before_chunks += 1
             case StreamChunk(sequence=sequence):
                 self.last_sequence = sequence
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_codec.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_codec.py
@@ -8,7 +8,7 @@
 from cowslipshelf_fleet.errors import FrameError
 
 LENGTH_BYTES = 4
-MOST_FRAME_BYTES = 16 * 1024 * 1024
+MAX_FRAME_BYTES = 16 * 1024 * 1024
 
 encoder = msgspec.msgpack.Encoder()
 frame_decoder = msgspec.msgpack.Decoder(Frame)
@@ -29,23 +29,23 @@
     """Collect bytes until they make whole frames."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def decode(self, data: bytes) -> list[Frame]:
         """Return the frames that the bytes complete; raise `FrameError`."""
-        data = self.rest + data if self.rest else data
+        data = self.remainder + data if self.remainder else data
         frames: list[Frame] = []
         start = 0
         while len(data) - start >= LENGTH_BYTES:
             length = int.from_bytes(data[start : start + LENGTH_BYTES])
-            if length > MOST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
             end = start + LENGTH_BYTES + length
             if end > len(data):
                 break
             frames.append(decode_content(data[start + LENGTH_BYTES : end]))
             start = end
-        self.rest = data[start:]
+        self.remainder = data[start:]
         return frames
 
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
@@ -7,8 +7,8 @@
 
 from cowslipshelf_fleet.internal.pause_tolerant_socket import PauseTolerantSocket
 
-MOST_IDLE_SECONDS = 2.0
-SEND_SECONDS = 30.0
+MAX_IDLE_SECONDS = 2.0
+SEND_TIMEOUT_SECONDS = 30.0
 """Longest time for sending one request's body."""
 
 
@@ -25,19 +25,19 @@
     always safe. A connection that the peer has closed visibly is never used.
     """
 
-    last_heard = 0.0
+    last_received_at = 0.0
     """When the peer's last bytes were read, in monotonic seconds."""
 
     def connect(self) -> None:
         """Connect; then give a large body more time than connecting may take."""
         super().connect()
         self.sock = PauseTolerantSocket.from_connected(self.sock)
-        self.sock.settimeout(SEND_SECONDS)
+        self.sock.settimeout(SEND_TIMEOUT_SECONDS)
 
     @property
     def is_connected(self) -> bool:
         """Tell whether the connection may carry another request."""
-        if monotonic() - self.last_heard > MOST_IDLE_SECONDS:
+        if monotonic() - self.last_received_at > MAX_IDLE_SECONDS:
             return False
         return super().is_connected
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
@@ -5,7 +5,7 @@
 
 from cheroot.workers.threadpool import ThreadPool
 
-GROW_STEP = 16
+THREADS_PER_GROWTH = 16
 
 
 class GrowingThreadPool(ThreadPool):
@@ -16,36 +16,36 @@
     keep hundreds of threads on a sidecar with two streams.
     """
 
-    def __init__(self, server: Any, spare: int, most: int) -> None:
-        super().__init__(server, min=spare, max=most)
-        self.spare = spare
-        self.wanted = Event()
+    def __init__(self, server: Any, spare_threads: int, max_threads: int) -> None:
+        super().__init__(server, min=spare_threads, max=max_threads)
+        self.spare_threads = spare_threads
+        self.growth_requested = Event()
         self.stopped = False
-        self.grower = Thread(target=self.grow_when_wanted, daemon=True)
+        self.growth_thread = Thread(target=self.grow_on_demand, daemon=True)
 
     def start(self) -> None:
         """Start the spare threads and the one that adds more."""
         super().start()
-        self.grower.start()
+        self.growth_thread.start()
 
     def put(self, obj: Any) -> None:
         """Queue a connection, and ask for more threads where few are idle."""
         super().put(obj)
-        if self.idle <= self.spare // 2:
-            self.wanted.set()
+        if self.idle <= self.spare_threads // 2:
+            self.growth_requested.set()
 
-    def grow_when_wanted(self) -> None:
+    def grow_on_demand(self) -> None:
         """Add threads; apart from accepting, since starting a thread may wait."""
         while True:
-            self.wanted.wait()
-            self.wanted.clear()
+            self.growth_requested.wait()
+            self.growth_requested.clear()
             if self.stopped:
                 return
-            self.grow(GROW_STEP)
+            self.grow(THREADS_PER_GROWTH)
 
     def stop(self, timeout: float = 5) -> None:
         """End all threads."""
         self.stopped = True
-        self.wanted.set()
-        self.grower.join()
+        self.growth_requested.set()
+        self.growth_thread.join()
         super().stop(timeout)
--- a/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
@@ -30,17 +30,17 @@
 logger = logging.getLogger(__name__)
 
 TICKS_PER_HEARTBEAT = 4
-LEAST_HEARTBEATS = 3
+MIN_HEARTBEATS_PER_SILENCE = 3
 """Heartbeats that must fit into the silence deadline."""
-RECEIVED_QUEUE_MESSAGES = 256
-FLUSH_PAUSE_SECONDS = 0.005
-UNLOADING_PAUSE_SECONDS = 0.05
+MAX_RECEIVED_QUEUE_MESSAGES = 256
+FLUSH_POLL_SECONDS = 0.005
+LIBRARY_UNLOAD_DELAY_SECONDS = 0.05
 RECEIVE_LIMIT_FACTOR = 2
 """The library closes connections that send more; less is counted as oversized."""
 
 
 @cache
-def pause_before_unloading() -> None:
+def delay_library_unload() -> None:
     """Let the messaging library's threads finish before it is unloaded on exit.
 
     They finish what closing the sockets left to them a moment later, and the library
@@ -48,7 +48,7 @@
     with a signal. Functions for the exit run in the reverse order of registration, so
     this one runs after the mailboxes are stopped and before the library's own.
     """
-    atexit.register(sleep, UNLOADING_PAUSE_SECONDS)
+    atexit.register(sleep, LIBRARY_UNLOAD_DELAY_SECONDS)
 
 
 class MailboxConfig(NamedTuple):
@@ -129,7 +129,7 @@
         An answer may take an interval and a round trip to be told; with only two
         intervals to the deadline, connections that work would be closed at times.
         """
-        longest = self.config.silence_seconds / LEAST_HEARTBEATS
+        longest = self.config.silence_seconds / MIN_HEARTBEATS_PER_SILENCE
         return min(self.config.heartbeat_seconds, longest)
 
     @property
@@ -140,7 +140,7 @@
     def start(self) -> None:
         """Listen and begin to receive; raise `pynng.AddressInUse` if that is taken."""
         self.listen()
-        pause_before_unloading()
+        delay_library_unload()
         atexit.register(self.stop)
         for work in (self.receive_all, self.tick_all):
             thread = Thread(target=work, name=f"mailbox-{work.__name__}", daemon=True)
@@ -151,7 +151,7 @@
         """Bind the listener and learn the real address."""
         self.listener = pynng.Pull0(
             recv_max_size=RECEIVE_LIMIT_FACTOR * self.config.max_message_bytes,
-            recv_buffer_size=RECEIVED_QUEUE_MESSAGES,
+            recv_buffer_size=MAX_RECEIVED_QUEUE_MESSAGES,
         )
         bound = self.listener.listen(f"tcp://{self.config.listen_address}")
         self.address = bound.url.removeprefix("tcp://")
@@ -197,10 +197,10 @@
         with self.lock:
             peers = list(self.peers.values())
         for peer in peers:
-            peer.ask_for_answer()
+            peer.request_acknowledgement()
         end = monotonic() + self.config.flush_seconds
-        while any(map(Peer.has_unanswered, peers)) and monotonic() < end:
-            sleep(FLUSH_PAUSE_SECONDS)
+        while any(map(Peer.has_unacknowledged_bytes, peers)) and monotonic() < end:
+            sleep(FLUSH_POLL_SECONDS)
 
     def encode(self, message: Message) -> bytes:
         """Put the message into an envelope, with the version in force right now."""
@@ -230,8 +230,8 @@
             idle_seconds=self.config.idle_seconds,
             max_unacknowledged_bytes=self.config.max_unacknowledged_bytes,
             needed_until=now,
-            asked_until=now + self.config.silence_seconds,
-            number=self.random.getrandbits(FIRST_NUMBER_BITS),
+            peer_needed_until=now + self.config.silence_seconds,
+            last_number=self.random.getrandbits(FIRST_NUMBER_BITS),
         )
         return Peer(address, link, self.encode, self.counter_table)
 
@@ -242,9 +242,9 @@
                 data = self.listener.recv()
             except pynng.Closed:
                 return
-            self.take(data)
+            self.handle_data(data)
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Handle one message's bytes, whatever they are."""
         envelope = self.codec.decode(data)
         if isinstance(envelope, Rejected):
@@ -256,7 +256,7 @@
         message = envelope.message
         known = self.peer_of_sender(envelope)
         if known is not None:
-            known.heard(message)
+            known.record_received(message)
         if not isinstance(message, MailboxHeartbeat):
             self.deliver(envelope)
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/pause_tolerant_socket.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/pause_tolerant_socket.py
@@ -4,7 +4,7 @@
 import socket
 from typing import Self
 
-SLICES = 5
+WAIT_SLICES = 5
 """Parts of a wait. A pause of this process costs the wait one of them at most, and the
 peer, which may have been paused with it, has the others to answer in."""
 MILLISECONDS = 1000
@@ -33,17 +33,17 @@
 
     def recv_into(self, buffer: memoryview, *more: int) -> int:
         """Read what has arrived; `TimeoutError` after the timeout."""
-        self.wait_for_bytes()
+        self.wait_readable()
         return super().recv_into(buffer, *more)
 
-    def wait_for_bytes(self) -> None:
+    def wait_readable(self) -> None:
         """Wait until there is something to read, or the end of it."""
         timeout = self.gettimeout()
         if not timeout:
             return
         poller = select.poll()
         poller.register(self, select.POLLIN)
-        for _ in range(SLICES):
-            if poller.poll(timeout * MILLISECONDS / SLICES):
+        for _ in range(WAIT_SLICES):
+            if poller.poll(timeout * MILLISECONDS / WAIT_SLICES):
                 return
         raise TimeoutError("timed out")
--- a/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
@@ -12,16 +12,16 @@
 from cowslipshelf_fleet.internal.envelope import MailboxHeartbeat
 from cowslipshelf_fleet.internal.link import (
     CloseConnection,
-    DialAnew,
     ForgetPeer,
+    OpenConnection,
     PeerLink,
     SendHeartbeat,
 )
 
-QUEUED_MESSAGES = 1024
+MAX_QUEUED_MESSAGES = 1024
 """Far more than a burst; what may wait is bounded in bytes first."""
-LEAST_REDIAL_MILLISECONDS = 50
-MOST_REDIAL_MILLISECONDS = 1000
+MIN_RECONNECT_MILLISECONDS = 50
+MAX_RECONNECT_MILLISECONDS = 1000
 
 
 class Peer:
@@ -49,16 +49,16 @@
         """Send encoded bytes, or count why they were dropped."""
         now = monotonic()
         with self.lock:
-            self.link.use(now)
+            self.link.record_use(now)
             self.dial_if_due(now)
             if not self.link.dialled:
                 self.counters.add(CountedEvent.NOT_CONNECTED)
                 return
-            if not self.link.admits(len(data)) or not self.push(data):
+            if not self.link.can_send(len(data)) or not self.try_send(data):
                 self.counters.add(CountedEvent.NO_ROOM)
                 return
-            self.link.sent(len(data))
-            early = self.link.wants_early_heartbeat()
+            self.link.record_sent(len(data))
+            early = self.link.needs_early_heartbeat()
             heartbeat = (
                 self.link.next_heartbeat(now, reply_requested=True) if early else None
             )
@@ -70,20 +70,20 @@
         """Send a heartbeat; a lost one is followed by another."""
         data = self.encode(heartbeat)
         with self.lock:
-            self.push(data)
+            self.try_send(data)
 
-    def heard(self, message: Message) -> None:
+    def record_received(self, message: Message) -> None:
         """Note that the peer sent something."""
         with self.lock:
-            self.link.heard_anything(monotonic())
+            self.link.record_alive(monotonic())
         if isinstance(message, MailboxHeartbeat):
-            self.heard_heartbeat(message)
+            self.handle_heartbeat(message)
 
-    def heard_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
         """Note a heartbeat, and answer it where it asks for that."""
         now = monotonic()
         with self.lock:
-            self.link.heard(heartbeat, now)
+            self.link.record_heartbeat(heartbeat, now)
             self.dial_if_due(now)
             wanted = heartbeat.reply_requested and self.link.dialled
             answer = (
@@ -99,7 +99,7 @@
             effects = self.link.tick(now, random)
         for effect in effects:
             match effect:
-                case DialAnew():
+                case OpenConnection():
                     with self.lock:
                         self.dial_if_due(now)
                 case SendHeartbeat(heartbeat):
@@ -111,18 +111,18 @@
                     self.counters.add(CountedEvent.IDLE)
                     self.forgotten = True
 
-    def ask_for_answer(self) -> None:
+    def request_acknowledgement(self) -> None:
         """Ask for an answer at once, where bytes were sent and not answered for."""
         with self.lock:
-            if not self.link.has_unanswered():
+            if not self.link.has_unacknowledged_bytes():
                 return
             heartbeat = self.link.next_heartbeat(monotonic(), reply_requested=True)
         self.send_heartbeat(heartbeat)
 
-    def has_unanswered(self) -> bool:
+    def has_unacknowledged_bytes(self) -> bool:
         """Tell whether bytes were sent that no heartbeat has vouched for."""
         with self.lock:
-            return self.link.has_unanswered()
+            return self.link.has_unacknowledged_bytes()
 
     def close(self) -> None:
         """Close the socket; outside the lock, as closing waits for the library."""
@@ -136,15 +136,15 @@
         if self.link.dialled or now < self.link.dial_at:
             return
         self.socket = pynng.Push0(
-            send_buffer_size=QUEUED_MESSAGES,
-            reconnect_time_min=LEAST_REDIAL_MILLISECONDS,
-            reconnect_time_max=MOST_REDIAL_MILLISECONDS,
+            send_buffer_size=MAX_QUEUED_MESSAGES,
+            reconnect_time_min=MIN_RECONNECT_MILLISECONDS,
+            reconnect_time_max=MAX_RECONNECT_MILLISECONDS,
         )
         self.socket.dial(f"tcp://{self.address}", block=False)
         self.link.dial(now)
         self.counters.add(CountedEvent.DIALLED)
 
-    def push(self, data: bytes) -> bool:
+    def try_send(self, data: bytes) -> bool:
         """Hand bytes to the socket without waiting; tell whether it took them."""
         if self.socket is None:
             return False
--- a/tests/cover/fleet/test_attempts.py
+++ b/tests/cover/fleet/test_attempts.py
@@ -42,7 +42,7 @@
     HandOverRequest,
     RevokeRequest,
     parse_request,
-    target_of,
+    request_target,
 )
 
 FEW = settings(derandomize=True, deadline=None, max_examples=25)
@@ -60,7 +60,7 @@
         ("POST", RevokeRequest(attempt)),
         ("DELETE", CancelRequest(attempt)),
     ):
-        assert parse_request(method, target_of(request)) == request
+        assert parse_request(method, request_target(request)) == request
 
 
 def test_every_answer_of_the_sidecar_reaches_the_entry(server, handler):
--- a/tests/cover/fleet/test_envelopes.py
+++ b/tests/cover/fleet/test_envelopes.py
@@ -81,7 +81,7 @@
     received = []
     mailbox = quiet_mailbox(received)
     for piece in pieces:
-        mailbox.take(piece)
+        mailbox.handle_data(piece)
     assert sum(rejections(mailbox).values()) == len(pieces)
     assert not received
 
@@ -95,7 +95,7 @@
     received = []
     mailbox = quiet_mailbox(received)
     version = PROTOCOL_VERSION.to_bytes(1)
-    mailbox.take(version + mailbox.codec.tagger.tag(version, content) + content)
+    mailbox.handle_data(version + mailbox.codec.tagger.tag(version, content) + content)
     assert rejections(mailbox)["rejected_undecodable"] == 1 - len(received)
 
 
@@ -103,9 +103,9 @@
     mailbox = quiet_mailbox([])
     message = Envelope("b", "127.0.0.1:1", "e", 1, Withdraw("u", "e"))
     sealed = mailbox.codec.encode(message)
-    mailbox.take(codec(b"other key").encode(message))
-    mailbox.take(bytes([PROTOCOL_VERSION + 1]) + sealed[1:])
-    mailbox.take(bytes(MOST_BYTES + 1))
+    mailbox.handle_data(codec(b"other key").encode(message))
+    mailbox.handle_data(bytes([PROTOCOL_VERSION + 1]) + sealed[1:])
+    mailbox.handle_data(bytes(MOST_BYTES + 1))
     counted = rejections(mailbox)
     for reason in (
         RejectionReason.WRONG_TAG,
@@ -131,7 +131,7 @@
     mailbox.receive = receive
     envelope = Envelope("b", "127.0.0.1:1", "e", 1, Withdraw("u", "e"))
     for _ in range(2):
-        mailbox.take(mailbox.codec.encode(envelope))
+        mailbox.handle_data(mailbox.codec.encode(envelope))
     assert len(received) == 2
     assert mailbox.counters.receiver_failures == 2
 
--- a/tests/cover/fleet/test_frames.py
+++ b/tests/cover/fleet/test_frames.py
@@ -52,7 +52,7 @@
             decoder.decode(piece)
     except FrameError:
         return
-    assert len(decoder.rest) <= sum(map(len, pieces))
+    assert len(decoder.remainder) <= sum(map(len, pieces))
 
 
 @MANY
@@ -134,7 +134,7 @@
     for size in sizes:
         if buffer.append(StreamChunk(last + 1, bytes(size))):
             last += 1
-    assert buffer.bytes <= 2000
+    assert buffer.buffered_bytes <= 2000
     assert buffer.append(StreamEnd(last))
 
 
@@ -154,10 +154,10 @@
 def test_a_replaced_reader_gets_nothing_more():
     """Two responses must not share an attempt: each resume would hold a thread."""
     buffer = FrameBuffer()
-    first = buffer.take_over()
-    second = buffer.take_over()
+    first = buffer.replace_reader()
+    second = buffer.replace_reader()
     buffer.append(StreamHead(200, ()))
-    assert buffer.ended_for(0, first)
+    assert buffer.is_ended_for(0, first)
     assert buffer.read_from(0, 0.0, first) == []
     assert buffer.read_from(0, 0.0, second) == [StreamHead(200, ())]
 
--- a/tests/cover/fleet/test_hand_overs.py
+++ b/tests/cover/fleet/test_hand_overs.py
@@ -81,7 +81,7 @@
 
     The next hand-over sent on it would go nowhere, and its outcome be unknown.
     """
-    monkeypatch.setattr(fresh_connections, "MOST_IDLE_SECONDS", 0.0)
+    monkeypatch.setattr(fresh_connections, "MAX_IDLE_SECONDS", 0.0)
     handler.script = frames_of([b"a"])
     entry = client(SILENCE_SECONDS)
     with Forwarder(server.address) as forwarder:
--- a/tests/cover/fleet/test_links.py
+++ b/tests/cover/fleet/test_links.py
@@ -9,8 +9,8 @@
 from cowslipshelf_fleet.internal.envelope import MailboxHeartbeat
 from cowslipshelf_fleet.internal.link import (
     CloseConnection,
-    DialAnew,
     ForgetPeer,
+    OpenConnection,
     PeerLink,
     SendHeartbeat,
 )
@@ -33,8 +33,8 @@
         idle_seconds=IDLE_SECONDS,
         max_unacknowledged_bytes=WINDOW_BYTES,
         needed_until=now,
-        asked_until=now + SILENCE_SECONDS,
-        number=number,
+        peer_needed_until=now + SILENCE_SECONDS,
+        last_number=number,
     )
 
 
@@ -55,7 +55,7 @@
             return
         for effect in self.link.tick(now, random):
             match effect:
-                case DialAnew():
+                case OpenConnection():
                     self.link.dial(now)
                 case SendHeartbeat(heartbeat):
                     self.outbox.append(heartbeat)
@@ -69,7 +69,7 @@
             if not heartbeat.in_use:
                 return
             self.link, self.forgotten = new_link(now), False
-        self.link.heard(heartbeat, now)
+        self.link.record_heartbeat(heartbeat, now)
         if not self.link.dialled:
             self.link.dial(now)
         if heartbeat.reply_requested:
@@ -107,9 +107,9 @@
         if tick < len(uses) and uses[tick]:
             if sides[0].forgotten:
                 sides[0].link, sides[0].forgotten = new_link(now), False
-            sides[0].link.use(now)
+            sides[0].link.record_use(now)
         if silent_from is not None:
-            sides[1].link.use(now)
+            sides[1].link.record_use(now)
         for side, other in (sides, sides[::-1]):
             side.tick(now, random)
             while side.inbox and side.inbox[0][0] <= tick:
@@ -176,9 +176,9 @@
         if step is None:
             unanswered.append(link.next_heartbeat(0.0, reply_requested=False))
             answered = unanswered[len(unanswered) // 2]
-            link.heard(answer_to(answered.number, answered.sent_bytes), 0.0)
-        elif link.admits(step):
-            link.sent(step)
+            link.record_heartbeat(answer_to(answered.number, answered.sent_bytes), 0.0)
+        elif link.can_send(step):
+            link.record_sent(step)
         assert 0 <= link.sent_bytes - link.acknowledged_bytes <= WINDOW_BYTES
 
 
@@ -198,7 +198,7 @@
             for _ in range(number_of_beats)
         ]
     heard += FIRST_NUMBER
-    link.heard(answer_to(heard), 1.0)
-    assert (link.answered_at == 1.0) == (heard in present)
-    link.heard(answer_to(heard), 2.0)
-    assert link.answered_at < 2.0
+    link.record_heartbeat(answer_to(heard), 1.0)
+    assert (link.acknowledged_at == 1.0) == (heard in present)
+    link.record_heartbeat(answer_to(heard), 2.0)
+    assert link.acknowledged_at < 2.0
