--- a/packages/fleet/src/cowslipshelf_fleet/__init__.py
+++ b/packages/fleet/src/cowslipshelf_fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Carry messages and attempts between the processes of the system.
+"""Transport messages and attempts between the processes of the system.
 
-Attempts and mailboxes have a module each, so that a process which only sends messages
-loads no HTTP libraries as it starts.
+Attempts and mailboxes are separate modules, so that a process that only sends messages
+imports no HTTP libraries at startup.
 """
--- a/packages/fleet/src/cowslipshelf_fleet/attempts.py
+++ b/packages/fleet/src/cowslipshelf_fleet/attempts.py
@@ -1,4 +1,4 @@
-"""Offer the client and server of attempts, which are handed over by HTTP."""
+"""Provide the HTTP client and server through which attempts are handed over."""
 
 from cowslipshelf_fleet.errors import (
     FleetError,
--- a/packages/fleet/src/cowslipshelf_fleet/errors.py
+++ b/packages/fleet/src/cowslipshelf_fleet/errors.py
@@ -1,10 +1,10 @@
-"""Define the errors of the links between the system's own processes."""
+"""Define the errors of communication between the processes of the system."""
 
 from typing import NamedTuple
 
 
 class FleetError(Exception):
-    """Be an error that names the step and the peer at which it arose."""
+    """Report an error together with the step and the peer at which it occurred."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step} at {peer}: {detail}")
@@ -14,22 +14,22 @@
 
 
 class StreamLostError(FleetError):
-    """Tell that a stream ended, or fell silent, before its last frame."""
+    """Report that a stream ended, or timed out, before its last frame."""
 
 
 class FrameError(ValueError):
-    """Tell that bytes are not the frames of a stream."""
+    """Report that bytes can't be decoded as stream frames."""
 
 
 class FrameOrderError(ValueError):
-    """Tell that a writer broke the order of a stream's frames."""
+    """Report that a writer appended a frame out of order."""
 
 
 class HandOverFailed(NamedTuple):
-    """Tell that a hand-over got no answer, and whether it may have arrived."""
+    """Report that a hand-over got no answer, and whether it may have arrived."""
 
     may_have_arrived: bool
-    """False only if no connection could be made, so no byte was sent."""
+    """False only if no connection was established, so that no byte was sent."""
     step: str
     peer: str
     detail: str
--- a/packages/fleet/src/cowslipshelf_fleet/internal/addresses.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/addresses.py
@@ -1,17 +1,17 @@
-"""Parse the addresses of processes."""
+"""Parse and format the addresses of processes."""
 
 from typing import NamedTuple
 
 
 class HostPort(NamedTuple):
-    """Be an IP number and a port."""
+    """Hold an IP address and a port."""
 
     host: str
     port: int
 
 
 def parse_address(address: str) -> HostPort:
-    """Split `ip:port`, where an IPv6 number stands in brackets."""
+    """Split `ip:port`, with an IPv6 address in brackets."""
     host, separator, port = address.rpartition(":")
     if not separator or not host or not port.isdecimal():
         raise ValueError(f"not an address of the form ip:port: {address!r}")
@@ -19,6 +19,6 @@
 
 
 def format_address(address: HostPort) -> str:
-    """Write an address as `ip:port`, an IPv6 number in brackets."""
+    """Format an address as `ip:port`, with an IPv6 address in brackets."""
     host = f"[{address.host}]" if ":" in address.host else address.host
     return f"{host}:{address.port}"
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempt_stream.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempt_stream.py
@@ -15,10 +15,10 @@
 
 
 class AttemptStream:
-    """Iterate over an attempt's frames up to the last one, heartbeats included.
+    """Iterate over the frames of an attempt up to the last one, heartbeats included.
 
-    Heartbeats let the reader look at its deadline while nothing else comes. Raise
-    `StreamLostError` where the connection is cut or silent before the last frame.
+    Heartbeats let the reader check its deadline while no other frame arrives. Raise
+    `StreamLostError` if the connection closes or times out before the last frame.
     """
 
     def __init__(self, response: BaseHTTPResponse, peer: str) -> None:
@@ -47,7 +47,7 @@
         raise StreamLostError(STEP, self.peer, "ended before its last frame")
 
     def return_connection(self) -> None:
-        """Read the end of the response, so that its connection is used again."""
+        """Read to the end of the response, so that its connection can be reused."""
         self.connection.last_received_at = monotonic()
         try:
             for _ in self.pieces:
@@ -57,14 +57,14 @@
         self.response.release_conn()
 
     def close(self) -> None:
-        """Give the stream up; may be called while another thread reads it.
+        """Abandon the stream; may be called while another thread reads it.
 
-        That thread may wait in the socket, where closing the file below it would
-        not wake it. Shutting the connection down does, and the thread cleans up.
+        Closing the file descriptor would not wake a thread that is blocked in the
+        socket. Shutting the connection down does, and that thread cleans up.
         """
         if self.ended:
             return
-        # The other errors say that there is no connection left to shut down.
+        # The other errors mean that there is no connection left to shut down.
         with suppress(OSError, RuntimeError, ValueError):
             self.response.shutdown()
         if not self.reading:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
@@ -1,4 +1,4 @@
-"""Reach the attempts of sidecars over HTTP."""
+"""Access the attempts of sidecars over HTTP."""
 
 from time import monotonic
 from typing import NamedTuple
@@ -43,25 +43,25 @@
 
 MAX_POOLS = 512
 MAX_IDLE_CONNECTIONS = 8
-"""Kept for each sidecar; only fresh ones are used again, so few are of use, and one
-that the sidecar has closed meanwhile holds a file descriptor until its turn."""
+"""Idle connections per sidecar. Only recently used ones are reused, so few are useful,
+and one that the sidecar has closed holds a file descriptor until the pool picks it."""
 
 HAND_OVER_STEP = "hand over"
 
 
 class AttemptsClientConfig(NamedTuple):
-    """Say how long an entry waits for sidecars."""
+    """Configure the timeouts and the key for requests to sidecars."""
 
     connect_seconds: float
     silence_seconds: float
-    """Longest time without a byte from the sidecar, heartbeats included."""
+    """Maximum time without a byte from the sidecar, heartbeats included."""
     cluster_key: bytes
 
 
 class AttemptsClient:
-    """Hand attempts to sidecars and read their frames; safe between threads.
+    """Hand over attempts to sidecars and read their frames; thread-safe.
 
-    Nothing is ever sent twice by the client itself.
+    The client never retries a request.
     """
 
     def __init__(self, config: AttemptsClientConfig) -> None:
@@ -74,7 +74,7 @@
 
     @classmethod
     def from_config(cls, config: AttemptsClientConfig) -> "AttemptsClient":
-        """Make a client without connections."""
+        """Create a client without connections."""
         return cls(config)
 
     def hand_over(
@@ -86,7 +86,7 @@
             response = self.send_request(address, "POST", HandOverRequest(), body)
             return self.parse_hand_over_response(address, response)
         except (NewConnectionError, ConnectTimeoutError) as error:
-            # Both are raised only while connecting: no byte of the request left.
+            # Both are raised only while connecting: no byte of the request was sent.
             return HandOverFailed(False, HAND_OVER_STEP, address, str(error))
         except (HTTPError, OSError, msgspec.MsgspecError) as error:
             return HandOverFailed(True, HAND_OVER_STEP, address, str(error))
@@ -94,7 +94,7 @@
     def parse_hand_over_response(
         self, address: str, response: BaseHTTPResponse
     ) -> AttemptStream | AttemptRefused | HandOverFailed:
-        """Return what the sidecar's answer to a hand-over says."""
+        """Parse the response of the sidecar to a hand-over."""
         if response.status == STATUS_STREAM:
             return AttemptStream(response, address)
         content = read_body(response)
@@ -106,7 +106,7 @@
     def resume(
         self, address: str, attempt_id: AttemptId, after_sequence: int
     ) -> AttemptStream | None:
-        """Return the frames after a chunk, or None where they can't be had."""
+        """Return the frames after a chunk, or None if they are not available."""
         request = FramesRequest(attempt_id, after_sequence)
         try:
             response = self.send_request(address, "GET", request)
@@ -124,7 +124,7 @@
         epoch: Epoch,
         load_sequence: int = 0,
     ) -> NeverRan | MayHaveRun | None:
-        """Ask for the promise that an attempt never runs; None is no answer."""
+        """Ask for the guarantee that an attempt never runs; None if unanswered."""
         body = encoder.encode(RevokeBody(epoch, load_sequence))
         try:
             response = self.send_request(
@@ -140,7 +140,7 @@
     def begin(
         self, address: str, attempt_id: AttemptId, parts: tuple[KvReference, ...]
     ) -> bool:
-        """Let a reserved attempt begin; return whether the sidecar surely heard it."""
+        """Start a reserved attempt; return whether the sidecar confirmed it."""
         body = encoder.encode(PartsReady(parts))
         try:
             response = self.send_request(
@@ -152,7 +152,7 @@
         return response.status == STATUS_DONE
 
     def cancel(self, address: str, attempt_id: AttemptId) -> bool:
-        """Cancel an attempt; return whether the sidecar is known to have heard it."""
+        """Cancel an attempt; return whether the sidecar confirmed it."""
         try:
             response = self.send_request(address, "DELETE", CancelRequest(attempt_id))
             read_body(response)
@@ -167,7 +167,7 @@
     def send_request(
         self, address: str, method: str, request: AttemptsRequest, body: bytes = b""
     ) -> BaseHTTPResponse:
-        """Send one request once, and return the beginning of its answer."""
+        """Send a request once, and return the response with its body unread."""
         target = request_target(request)
         host, port = parse_address(address)
         pool = self.pools.connection_from_host(host, port, "http")
@@ -189,7 +189,7 @@
 
 
 def read_body(response: BaseHTTPResponse) -> bytes:
-    """Read a short answer and give its connection back."""
+    """Read the whole body of a short response and release its connection."""
     connection = response.connection
     content = response.read()
     connection.last_received_at = monotonic()
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_protocol.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_protocol.py
@@ -1,4 +1,4 @@
-"""Define the HTTP requests by which entries reach the attempts of a sidecar."""
+"""Define the HTTP requests of entries about the attempts of a sidecar."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -38,11 +38,11 @@
 
 
 class RevokeBody(NamedTuple):
-    """Say which start of the sidecar the attempt was meant for, and when."""
+    """Identify the sidecar start and load report that an attempt was based on."""
 
     epoch: Epoch
     load_sequence: int = 0
-    """`HandOver.load_sequence` of the attempt; zero where it is not known."""
+    """`HandOver.load_sequence` of the attempt, or zero if unknown."""
 
 
 revoke_body_decoder = msgspec.msgpack.Decoder(RevokeBody)
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverRequest:
-    """Ask for an attempt to be run."""
+    """Request to run an attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class FramesRequest:
-    """Ask for the frames of an attempt after one of its chunks."""
+    """Request the frames of an attempt after one of its chunks."""
 
     attempt_id: AttemptId
     after_sequence: int
@@ -63,21 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeRequest:
-    """Ask for the promise that an attempt never ran and never will."""
+    """Request the guarantee that an attempt never ran and never will."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Ask that an attempt be cancelled."""
+    """Request to cancel an attempt."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class PartsRequest:
-    """Let a reserved attempt begin, since the parts before its own are prefilled."""
+    """Request to start a reserved attempt, after the parts before it were prefilled."""
 
     attempt_id: AttemptId
 
@@ -88,7 +88,7 @@
 
 
 def attempts_tagger(cluster_key: bytes) -> Tagger:
-    """Return the tagger of requests."""
+    """Return the tagger for requests."""
     return Tagger.from_cluster_key(cluster_key, PURPOSE)
 
 
@@ -100,7 +100,7 @@
 def verify_request_tag(
     tagger: Tagger, tag: str, method: str, target: str, body: bytes
 ) -> bool:
-    """Tell whether a request's tag header was made with the cluster key."""
+    """Return whether the tag header of a request was made with the cluster key."""
     try:
         given = bytes.fromhex(tag)
     except ValueError:
@@ -124,7 +124,7 @@
 
 
 def parse_request(method: str, target: str) -> AttemptsRequest | None:
-    """Return what a method and target ask for, or None for nothing known."""
+    """Parse a method and target, or return None if they are unknown."""
     parts = urlsplit(target)
     if not parts.path.startswith(ATTEMPTS_PATH):
         return None
@@ -145,7 +145,7 @@
 
 
 def parse_frames_request(attempt: str, query: str) -> FramesRequest | None:
-    """Return a request for frames, or None where its number is none."""
+    """Parse a request for frames, or return None if its number is invalid."""
     after = parse_qs(query).get("after", [""])[0]
     if not (after.isascii() and after.isdigit()):
         return None
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_responder.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_responder.py
@@ -1,4 +1,4 @@
-"""Answer one HTTP request about attempts."""
+"""Respond to one HTTP request about attempts."""
 
 from http import HTTPStatus
 from select import POLLRDHUP, poll
@@ -38,10 +38,10 @@
 
 
 class AttemptsResponder(Gateway):
-    """Check one request, ask the handler and write the answer."""
+    """Verify one request, call the handler and write the response."""
 
     def respond(self) -> None:
-        """Answer the request; nothing is parsed before its tag was accepted."""
+        """Respond to the request; nothing is parsed before its tag is verified."""
         body = self.req.rfile.read()
         method = self.req.method.decode("latin-1")
         target = self.req.uri.decode("latin-1")
@@ -56,7 +56,7 @@
             self.send_response(STATUS_MALFORMED, str(error).encode())
 
     def route(self, method: str, target: str, body: bytes) -> None:
-        """Ask the handler for what the request names."""
+        """Call the handler method for the request."""
         handler = self.req.server.handler
         match parse_request(method, target):
             case HandOverRequest():
@@ -81,10 +81,10 @@
                 self.send_response(STATUS_UNKNOWN)
 
     def hand_over(self, body: bytes) -> None:
-        """Hand the attempt to the handler, once, unless nobody waits for it.
+        """Pass the attempt to the handler, once, unless its client has disconnected.
 
-        A request may wait here for a free thread until its entry gave it up and
-        closed the connection. Run then, it would be work for nobody.
+        A request may wait here for a free thread until its entry has abandoned it and
+        closed the connection. Nobody would read the result if it ran then.
         """
         if has_hung_up(self.req.conn.socket):
             self.req.close_connection = True
@@ -97,10 +97,10 @@
             self.stream(outcome, 0)
 
     def stream(self, buffer: FrameBuffer, after: int) -> None:
-        """Write frames until the last one, with heartbeats while there are none.
+        """Write frames up to the last one, and heartbeats while there are none.
 
-        A client that reads nothing ends the response by the socket's timeout; the
-        frames stay in their buffer for a resume.
+        If the client stops reading, the socket times out and ends the response; the
+        frames stay in the buffer for a resume.
         """
         server = self.req.server
         reader = buffer.replace_reader()
@@ -119,29 +119,29 @@
         self.req.close_connection = True
 
     def write_chunk(self, data: bytes) -> None:
-        """Write one chunk of the body to the socket itself.
+        """Write one chunk of the body directly to the socket.
 
-        The library's buffer is emptied by each of its writes, so there is nothing
-        to overtake, and it costs more processor time than encoding and sending.
+        The library flushes its buffer on each of its own writes, so no bytes are
+        reordered, and the buffer costs more CPU time than encoding and sending.
         """
         self.req.conn.socket.sendall(b"%x\r\n%b\r\n" % (len(data), data))
 
     def send_response(self, status: int, body: bytes = b"") -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         self.start_response(status)
         self.req.outheaders.append((b"Content-Length", str(len(body)).encode()))
         self.req.ensure_headers_sent()
         self.req.write(body)
 
     def start_response(self, status: int) -> None:
-        """Set the status line and the type of the body."""
+        """Set the status line and the content type."""
         phrase = HTTPStatus(status).phrase
         self.req.status = f"{status} {phrase}".encode()
         self.req.outheaders.append((b"Content-Type", CONTENT_TYPE.encode()))
 
 
 def has_hung_up(peer: socket) -> bool:
-    """Tell whether the other side has closed its end."""
+    """Return whether the peer has closed its end of the connection."""
     poller = poll()
     poller.register(peer, POLLRDHUP)
     return bool(poller.poll(0))
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
@@ -1,4 +1,4 @@
-"""Serve a sidecar's attempts to entries over HTTP."""
+"""Serve the attempts of a sidecar to entries over HTTP."""
 
 import logging
 from socket import IPPROTO_TCP, TCP_USER_TIMEOUT, socket
@@ -29,49 +29,50 @@
 MAX_HEADER_BYTES = 16 * 1024
 SHUTDOWN_TIMEOUT_SECONDS = 2.0
 ACCEPT_POLL_SECONDS = 0.1
-"""Longest time for which the accepting thread overlooks that it is to stop."""
+"""Maximum delay until the accepting thread notices a stop request."""
 
 
 class AttemptsServerConfig(NamedTuple):
-    """Say where a sidecar takes attempts, and how it keeps streams alive."""
+    """Configure the address, the timeouts and the threads of the server."""
 
     listen_address: str
-    """IP:port; port 0 takes a free one, to be read from `AttemptsServer.address`."""
+    """IP:port; port 0 picks a free port, see `AttemptsServer.address`."""
     cluster_key: bytes
     heartbeat_seconds: float
     stalled_seconds: float = 10.0
-    """A client that reads nothing, or sends half a request, is cut after so long."""
+    """Time after which a client that stops reading or sending is disconnected."""
     spare_threads: int = 8
     max_threads: int = 600
-    """Streams at a time; further connections wait."""
+    """Concurrent streams; further connections wait."""
 
 
 class AttemptsHandler(Protocol):
-    """Decide about attempts; called from many threads at once."""
+    """Handle requests about attempts, called from many threads concurrently."""
 
     def hand_over(self, hand_over: HandOver) -> AttemptRefused | FrameBuffer:
-        """Take an attempt and return where its frames will be, or refuse it."""
+        """Accept an attempt and return the buffer of its frames, or refuse it."""
 
     def frames(self, attempt_id: AttemptId) -> FrameBuffer | None:
-        """Return the frames of an attempt that is not forgotten."""
+        """Return the frames of an attempt that is still known."""
 
     def revoke(
         self, attempt_id: AttemptId, epoch: Epoch, load_sequence: int
     ) -> NeverRan | MayHaveRun:
-        """Promise that an attempt never runs, or say that it may have run."""
+        """Guarantee that an attempt never runs, or report that it may have run."""
 
     def begin(self, attempt_id: AttemptId, parts: tuple[KvReference, ...]) -> None:
-        """Let a reserved attempt begin; a repeated word does nothing."""
+        """Start a reserved attempt; repeated calls have no effect."""
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Cancel an attempt, if there is one."""
+        """Cancel an attempt, if it exists."""
 
 
 class EntryConnection(HTTPConnection):
-    """Let the kernel end a connection whose peer acknowledges nothing.
+    """Let the kernel close a connection whose peer acknowledges nothing.
 
-    An entry that vanished without closing leaves a stream whose heartbeats go into
-    the kernel's buffer: by default it would hold its thread for a quarter of an hour.
+    After an entry vanished without closing, the heartbeats of its stream still go into
+    the kernel's send buffer: by default the stream would occupy its thread for a
+    quarter of an hour.
     """
 
     def __init__(self, server: HTTPServer, sock: socket, *more: Any) -> None:
@@ -81,7 +82,7 @@
 
 
 class AttemptsServer(HTTPServer):
-    """Take hand-overs and stream the frames of attempts."""
+    """Accept hand-overs and stream the frames of attempts."""
 
     ConnectionClass = EntryConnection
     keep_alive_conn_limit = None
@@ -109,21 +110,21 @@
     def from_config(
         cls, config: AttemptsServerConfig, handler: AttemptsHandler
     ) -> "AttemptsServer":
-        """Make a server that is not listening yet."""
+        """Create a server that is not listening yet."""
         return cls(config, handler)
 
     @property
     def address(self) -> str:
-        """Return the address that the server listens on, with its real port."""
+        """Return the address that the server listens on, with the actual port."""
         return format_address(HostPort(*self.bind_addr[:2]))
 
     def start(self) -> None:
-        """Listen and serve on threads of the server; raise `OSError` if it can't."""
+        """Listen, and serve on own threads; raise `OSError` if listening fails."""
         self.prepare()
         self.accept_thread.start()
 
     def stop(self) -> None:
-        """Cut the streams that are left, and end every thread of the server."""
+        """Close the open streams, and stop every thread of the server."""
         self.stopping.set()
         super().stop()
         self.accept_thread.join()
@@ -131,5 +132,5 @@
     def error_log(
         self, msg: str = "", level: int = logging.INFO, traceback: bool = False
     ) -> None:
-        """Log what the library reports."""
+        """Log an error reported by the library."""
         logger.log(level, "attempts: %s", msg, exc_info=traceback)
--- a/packages/fleet/src/cowslipshelf_fleet/internal/counters.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/counters.py
@@ -1,4 +1,4 @@
-"""Count what a mailbox sent, received, dropped and replaced."""
+"""Count the messages and connections of a mailbox."""
 
 from collections import Counter
 from enum import StrEnum
@@ -9,19 +9,19 @@
 
 
 class MailboxCounters(NamedTuple):
-    """Count a mailbox's messages and connections since it was made."""
+    """Hold the counts of a mailbox's messages and connections since its creation."""
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
-    """Messages accepted, heartbeats among them."""
+    """Messages accepted, including heartbeats."""
     received_bytes: int = 0
     dropped_not_connected: int = 0
-    """Not sent, as the peer's connection waits to be dialled anew."""
+    """Not sent, because the connection waits to be dialled again."""
     dropped_no_room: int = 0
-    """Not sent, as the peer is slow or dead and its queue is full."""
+    """Not sent, because the peer is slow or dead and its queue is full."""
     dropped_oversized: int = 0
-    """Not sent, as no receiver would take so large a message."""
+    """Not sent, because no receiver accepts a message of this size."""
     rejected_oversized: int = 0
     rejected_wrong_version: int = 0
     rejected_wrong_tag: int = 0
@@ -30,13 +30,13 @@
     """Messages whose receiver raised an exception."""
     connections_dialled: int = 0
     connections_silent: int = 0
-    """Connections closed as the peer answered nothing on them."""
+    """Connections closed because the peer did not answer on them."""
     peers_idle: int = 0
-    """Peers forgotten as nothing was sent to them for long."""
+    """Peers forgotten because nothing was sent to them for long."""
 
 
 class CountedEvent(StrEnum):
-    """Name the counters that are added to, as `MailboxCounters` does."""
+    """Define the counters of `MailboxCounters`, except rejections."""
 
     SENT = "sent"
     SENT_BYTES = "sent_bytes"
@@ -55,14 +55,14 @@
 
 
 class CounterTable:
-    """Add up counters from several threads."""
+    """Increment counters from several threads."""
 
     def __init__(self) -> None:
         self.lock = Lock()
         self.table: Counter[str] = Counter()
 
     def add(self, event: CountedEvent, amount: int = 1) -> None:
-        """Add to one counter."""
+        """Increment one counter."""
         with self.lock:
             self.table[event.value] += amount
 
@@ -75,11 +75,11 @@
             self.table[size_count.value] += size
 
     def add_rejection(self, reason: RejectionReason) -> None:
-        """Count a message that was dropped on arrival."""
+        """Count a message that was rejected on arrival."""
         with self.lock:
             self.table[REJECTIONS[reason]] += 1
 
     def read(self) -> MailboxCounters:
-        """Return all counters as they are now."""
+        """Return the current values of all counters."""
         with self.lock:
             return MailboxCounters(**self.table)
--- a/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
@@ -1,4 +1,4 @@
-"""Encode and decode the envelopes that carry messages between mailboxes."""
+"""Encode and decode the envelopes of messages between mailboxes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -18,24 +18,24 @@
 
 
 class MailboxHeartbeat(Message, frozen=True):
-    """Show that a connection delivers, and ask the same of the peer's own one."""
+    """Probe the connection it is sent on, and acknowledge the peer's heartbeats."""
 
     number: int
-    """Grows with each heartbeat, and begins anywhere."""
+    """Grows by one with each heartbeat, from a random start."""
     sent_bytes: int
-    """Bytes of messages sent on the connection before this heartbeat."""
+    """Bytes of messages sent on this connection before this heartbeat."""
     in_use: bool
-    """False where the connection only carries answers to the peer's heartbeats."""
+    """False if the connection only carries answers to the peer's heartbeats."""
     reply_requested: bool
-    """Whether the peer is to answer at once; False in an answer."""
+    """Whether the peer must answer at once; False in an answer."""
     acknowledged_number: int
-    """Number of the last heartbeat heard from the peer, or zero."""
+    """Number of the last heartbeat received from the peer, or zero."""
     acknowledged_bytes: int
-    """Bytes sent before that heartbeat, as it said itself."""
+    """`sent_bytes` of that heartbeat."""
 
 
 class Envelope(msgspec.Struct, Generic[Body], frozen=True, array_like=True, gc=False):
-    """Carry a message with what every message tells of its sender."""
+    """Hold a message and the details of its sender that come with every message."""
 
     sender: InstanceId
     sender_address: str
@@ -45,7 +45,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Name why received bytes were dropped."""
+    """Define why received bytes were dropped."""
 
     OVERSIZED = "oversized"
     WRONG_VERSION = "wrong_version"
@@ -54,14 +54,14 @@
 
 
 class Rejected(NamedTuple):
-    """Tell why received bytes were dropped."""
+    """Report why received bytes were dropped."""
 
     reason: RejectionReason
 
 
 @dataclass(frozen=True, slots=True)
 class EnvelopeCodec:
-    """Turn envelopes into bytes and back, under one cluster key."""
+    """Encode and decode envelopes, authenticated with the cluster key."""
 
     tagger: Tagger
     decoder: msgspec.msgpack.Decoder
@@ -72,7 +72,7 @@
     def from_config(
         cls, cluster_key: bytes, message_types: Any, max_bytes: int
     ) -> "EnvelopeCodec":
-        """Make a codec for a union of message types."""
+        """Create a codec for a union of message types."""
         union = Union[message_types, MailboxHeartbeat]  # noqa: UP007
         return cls(
             tagger=Tagger.from_cluster_key(cluster_key, PURPOSE),
@@ -82,17 +82,17 @@
         )
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Return one version byte, the tag, and the envelope."""
+        """Return a version byte, the tag, and the encoded envelope."""
         content = self.encoder.encode(envelope)
         version = PROTOCOL_VERSION.to_bytes(1)
         return b"".join((version, self.tagger.tag(version, content), content))
 
     def decode(self, data: bytes) -> Envelope | Rejected:
-        """Return the envelope, or why there is none; never raise.
+        """Return the envelope, or why it was rejected; never raise.
 
-        The version stands before the tag, so that a later version may change all
-        that follows it. Nothing is decoded before its tag was accepted, so that
-        strangers reach neither the decoder nor the receiver.
+        The version precedes the tag, so that a later version may change everything
+        after it. Nothing is decoded before its tag is verified, so that senders
+        without the cluster key reach neither the decoder nor the receiver.
         """
         if len(data) > self.max_bytes:
             return Rejected(RejectionReason.OVERSIZED)
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
@@ -1,4 +1,4 @@
-"""Keep the frames of one attempt, so that a cut stream can be read again."""
+"""Buffer the frames of one attempt, so that an interrupted stream can resume."""
 
 from threading import Condition
 from time import monotonic
@@ -16,16 +16,16 @@
 
 MAX_BUFFERED_BYTES = 16 * 1024 * 1024
 MAX_FRAMES_PER_READ = 256
-"""Frames read at once, so that a resume doesn't copy a whole answer in one piece."""
+"""Limit on frames per read, so that a resume doesn't copy a whole answer at once."""
 FRAME_OVERHEAD_BYTES = 128
-"""Memory of a frame besides its data, so that many empty frames are bounded too."""
+"""Memory of a frame besides its data, so that many empty frames are limited too."""
 
 
 class FrameBuffer:
-    """Hold all frames of an attempt until it is forgotten; safe between threads.
+    """Hold all frames of an attempt until it is forgotten; thread-safe.
 
-    One thread writes; another may end the stream meanwhile; each response reads.
-    Positions count frames; sequence numbers count chunks, from one.
+    One thread writes, another one may end the stream meanwhile, and each response
+    reads. Positions count frames; sequence numbers count chunks, from one.
     """
 
     def __init__(self, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
@@ -35,21 +35,22 @@
         self.last_sequence = 0
         self.frames_before_chunks = 0
         self.started = False
-        """Whether a head came, or the one word on a part of a prompt."""
+        """Whether a `StreamHead` or a `PartPrefilled` was appended."""
         self.finished = False
         """Whether the last frame of the stream was appended."""
         self.read_to_end = False
-        """Whether a reader has taken the last frame."""
+        """Whether a reader has read the last frame."""
         self.closed = False
         self.current_reader = 0
+        """Number of the only reader that still gets frames."""
         self.changed = Condition()
 
     def append(self, frame: Frame) -> bool:
-        """Add the next frame; return False, and add nothing, where it is too much.
+        """Append the next frame, or return False if it is not accepted.
 
-        The writer must then end the stream with a refusal: the last frame is
-        always taken. Frames already sent can't make room, since a resumed stream
-        may need them.
+        If the buffer is full, the writer must end the stream with a refusal: the last
+        frame is always accepted. Frames already sent can't be discarded to make room,
+        since a resumed stream may need them.
         """
         size = frame_size(frame)
         with self.changed:
@@ -68,16 +69,16 @@
             return True
 
     def end(self, refusal: Refusal | None = None, upstream_ended: bool = False) -> bool:
-        """End the stream after all that was added; False where it had ended."""
+        """End the stream after the appended frames; return False if it had ended."""
         with self.changed:
             end = StreamEnd(self.last_sequence, refusal, upstream_ended)
             return self.append(end)
 
     def read_after(self, sequence: int, timeout: float) -> list[Frame]:
-        """Return the next frames after a chunk; wait `timeout` seconds for one.
+        """Return the next frames after a chunk; wait up to `timeout` seconds for one.
 
-        Sequence zero stands for the beginning, the head included: whoever has
-        seen the head and no chunk gets the head again.
+        Sequence zero means the start, including the head: a client that has received
+        the head but no chunk gets the head again.
         """
         return self.read_from(
             self.position_after(sequence), timeout, self.current_reader
@@ -93,9 +94,9 @@
     def replace_reader(self) -> int:
         """Make the caller the only reader, and return its number.
 
-        A stream that fell silent is resumed over a new connection while the
-        response on the old one still waits; without this each resume would leave
-        a thread behind until the attempt's end.
+        A stream that went silent is resumed over a new connection while the response
+        on the old one still waits; without this, each resume would leave a blocked
+        thread behind until the attempt ends.
         """
         with self.changed:
             self.current_reader += 1
@@ -103,7 +104,7 @@
             return self.current_reader
 
     def read_from(self, position: int, timeout: float, reader: int) -> list[Frame]:
-        """Return the frames from a position on, for a reader not yet replaced."""
+        """Return the frames from a position on; a replaced reader gets none."""
         end = monotonic() + timeout
         with self.changed:
             while self.must_wait(position, reader):
@@ -119,20 +120,20 @@
             return taken
 
     def must_wait(self, position: int, reader: int) -> bool:
-        """Tell whether a reader at the position has to wait for something."""
+        """Return whether a reader at the position has to wait."""
         if self.closed or self.finished or reader != self.current_reader:
             return False
         return position >= len(self.frames)
 
     def is_ended_for(self, position: int, reader: int) -> bool:
-        """Tell whether a reader will never get anything more."""
+        """Return whether a reader will never get another frame."""
         with self.changed:
             if reader != self.current_reader or self.closed:
                 return True
             return self.finished and position >= len(self.frames)
 
     def close(self) -> None:
-        """Forget the frames and let every reader go."""
+        """Discard the frames and wake every reader."""
         with self.changed:
             self.closed = True
             self.frames = []
@@ -140,7 +141,7 @@
             self.changed.notify_all()
 
     def check_order(self, frame: Frame) -> None:
-        """Raise `FrameOrderError` where a frame may not come next."""
+        """Raise `FrameOrderError` if the frame can't come next."""
         match frame:
             case AttemptReserved():
                 in_order = not self.frames
@@ -156,7 +157,7 @@
             raise FrameOrderError(f"after chunk {self.last_sequence}: {frame!r:.100}")
 
     def update_state(self, frame: Frame) -> None:
-        """Update what is known of the stream by a frame just added."""
+        """Update the state of the stream for an appended frame."""
         match frame:
             case AttemptReserved():
                 self.frames_before_chunks += 1
@@ -170,6 +171,6 @@
 
 
 def frame_size(frame: Frame) -> int:
-    """Return about how much memory a frame takes, in bytes."""
+    """Return the approximate memory of a frame in bytes."""
     data = len(frame.data) if isinstance(frame, StreamChunk) else 0
     return data + FRAME_OVERHEAD_BYTES
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_codec.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_codec.py
@@ -1,4 +1,4 @@
-"""Encode frames, and decode them from the pieces in which bytes arrive."""
+"""Encode frames, and decode them from a stream of bytes."""
 
 from collections.abc import Iterable
 
@@ -15,24 +15,24 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the frame's length in four bytes, big end first, and the frame."""
+    """Return the frame, after its length in four big-endian bytes."""
     content = encoder.encode(frame)
     return len(content).to_bytes(LENGTH_BYTES) + content
 
 
 def encode_frames(frames: Iterable[Frame]) -> bytes:
-    """Return several frames as one run of bytes."""
+    """Return the concatenated encodings of several frames."""
     return b"".join(map(encode_frame, frames))
 
 
 class FrameDecoder:
-    """Collect bytes until they make whole frames."""
+    """Buffer bytes until they form whole frames."""
 
     def __init__(self) -> None:
         self.remainder = b""
 
     def decode(self, data: bytes) -> list[Frame]:
-        """Return the frames that the bytes complete; raise `FrameError`."""
+        """Return the frames that the bytes complete; raise `FrameError` if invalid."""
         data = self.remainder + data if self.remainder else data
         frames: list[Frame] = []
         start = 0
@@ -50,7 +50,7 @@
 
 
 def decode_content(content: bytes) -> Frame:
-    """Return the frame without its length."""
+    """Decode the content of a frame, without its length."""
     try:
         return frame_decoder.decode(content)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/fresh_connections.py
@@ -1,4 +1,4 @@
-"""Use a kept connection again only while it is all but surely alive."""
+"""Reuse idle connections only while they are almost certainly alive."""
 
 from time import monotonic
 
@@ -9,40 +9,40 @@
 
 MAX_IDLE_SECONDS = 2.0
 SEND_TIMEOUT_SECONDS = 30.0
-"""Longest time for sending one request's body."""
+"""Timeout for sending the body of a request."""
 
 
 class FreshConnection(HTTPConnection):
     """Count as disconnected after a short time without use.
 
-    A hand-over is sent once only, so a connection that turns out dead costs the
-    request: the sidecar closed it before the bytes came, or something between the
-    ends lost track of it while it idled and the bytes go nowhere. The pool closes
-    what counts as disconnected and dials anew, which costs one round trip. The
-    time is far below that for which a sidecar keeps an idle connection, and below
-    the idle times after which networks drop their records. The rest, a sidecar
-    that dies within these seconds, is reported as "may have arrived", which is
-    always safe. A connection that the peer has closed visibly is never used.
+    A hand-over is never retried, so a dead connection fails the request: the sidecar
+    closed it before the bytes arrived, or a device on the path dropped its state while
+    it was idle, and the bytes are lost. The pool closes connections that count as
+    disconnected and dials again, which costs one round trip. `MAX_IDLE_SECONDS` is far
+    below the time for which a sidecar keeps an idle connection, and below the idle
+    timeouts of networks. The remaining case, a sidecar that dies within this time, is
+    reported as "may have arrived", which is always safe. A connection that the peer has
+    visibly closed is never used.
     """
 
     last_received_at = 0.0
-    """When the peer's last bytes were read, in monotonic seconds."""
+    """Monotonic time in seconds at which the last bytes of the peer were read."""
 
     def connect(self) -> None:
-        """Connect; then give a large body more time than connecting may take."""
+        """Connect; large bodies then get a longer timeout than connecting."""
         super().connect()
         self.sock = PauseTolerantSocket.from_connected(self.sock)
         self.sock.settimeout(SEND_TIMEOUT_SECONDS)
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether the connection may carry another request."""
+        """Return whether the connection can be used for another request."""
         if monotonic() - self.last_received_at > MAX_IDLE_SECONDS:
             return False
         return super().is_connected
 
 
 class FreshConnectionPool(HTTPConnectionPool):
-    """Keep connections that are used again only while fresh."""
+    """Keep idle connections that are reused only while fresh."""
 
     ConnectionCls = FreshConnection
--- a/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
@@ -1,4 +1,4 @@
-"""Keep as many worker threads as there are streams, and a few spare ones."""
+"""Grow a pool of worker threads with the number of open streams."""
 
 from threading import Event, Thread
 from typing import Any
@@ -9,11 +9,11 @@
 
 
 class GrowingThreadPool(ThreadPool):
-    """Grow when connections find few idle threads.
+    """Add threads when a connection finds few of them idle.
 
-    The library starts a fixed number of threads and never adds any by itself.
-    A stream holds its thread, so a fixed number would either cap the streams or
-    keep hundreds of threads on a sidecar with two streams.
+    The library starts a fixed number of threads and never adds any itself. A stream
+    occupies its thread, so a fixed number would either limit the streams or keep
+    hundreds of threads in a sidecar with two streams.
     """
 
     def __init__(self, server: Any, spare_threads: int, max_threads: int) -> None:
@@ -24,18 +24,18 @@
         self.growth_thread = Thread(target=self.grow_on_demand, daemon=True)
 
     def start(self) -> None:
-        """Start the spare threads and the one that adds more."""
+        """Start the spare threads and the thread that adds more."""
         super().start()
         self.growth_thread.start()
 
     def put(self, obj: Any) -> None:
-        """Queue a connection, and ask for more threads where few are idle."""
+        """Queue a connection, and request more threads if few are idle."""
         super().put(obj)
         if self.idle <= self.spare_threads // 2:
             self.growth_requested.set()
 
     def grow_on_demand(self) -> None:
-        """Add threads; apart from accepting, since starting a thread may wait."""
+        """Add threads on an own thread, since starting one could block accepting."""
         while True:
             self.growth_requested.wait()
             self.growth_requested.clear()
@@ -44,7 +44,7 @@
             self.grow(THREADS_PER_GROWTH)
 
     def stop(self, timeout: float = 5) -> None:
-        """End all threads."""
+        """Stop all threads."""
         self.stopped = True
         self.growth_requested.set()
         self.growth_thread.join()
--- a/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
@@ -1,4 +1,4 @@
-"""Send and receive one-way messages between the system's own processes."""
+"""Send and receive one-way messages between the processes of the system."""
 
 import atexit
 import logging
@@ -31,50 +31,52 @@
 
 TICKS_PER_HEARTBEAT = 4
 MIN_HEARTBEATS_PER_SILENCE = 3
-"""Heartbeats that must fit into the silence deadline."""
+"""Heartbeat intervals that must fit into the silence timeout."""
 MAX_RECEIVED_QUEUE_MESSAGES = 256
 FLUSH_POLL_SECONDS = 0.005
 LIBRARY_UNLOAD_DELAY_SECONDS = 0.05
 RECEIVE_LIMIT_FACTOR = 2
-"""The library closes connections that send more; less is counted as oversized."""
+"""Multiple of the maximum size beyond which the library closes the connection.
+
+Oversized messages below it are counted as rejected."""
 
 
 @cache
 def delay_library_unload() -> None:
-    """Let the messaging library's threads finish before it is unloaded on exit.
+    """Let the threads of the messaging library finish before it is unloaded on exit.
 
-    They finish what closing the sockets left to them a moment later, and the library
-    aborts the process where it is unloaded meanwhile: a graceful shutdown would end
-    with a signal. Functions for the exit run in the reverse order of registration, so
-    this one runs after the mailboxes are stopped and before the library's own.
+    They finish closing the sockets in the background, and the library aborts the
+    process if it is unloaded meanwhile: a graceful shutdown would end with a signal.
+    Exit handlers run in reverse order of registration, so this one runs after the
+    mailboxes are stopped and before the library's own.
     """
     atexit.register(sleep, LIBRARY_UNLOAD_DELAY_SECONDS)
 
 
 class MailboxConfig(NamedTuple):
-    """Say who a mailbox is, where it listens and what it understands."""
+    """Configure the identity, the address and the message types of a mailbox."""
 
     instance: InstanceId
     epoch: Epoch
     listen_address: str
-    """IP:port; port 0 takes a free one, to be read from `Mailbox.address`."""
+    """IP:port; port 0 picks a free port, see `Mailbox.address`."""
     cluster_key: bytes
     heartbeat_seconds: float
     silence_seconds: float
-    """A connection that answers nothing for so long is closed and dialled anew."""
+    """Time without an acknowledgement after which a connection is dialled again."""
     message_types: Any
-    """Union of the `Message` types that the mailbox may receive."""
+    """Union of the `Message` types that the mailbox can receive."""
     idle_seconds: float = 60.0
-    """A peer that nothing is sent to for so long is disconnected."""
+    """Time without messages to a peer after which it is disconnected."""
     max_message_bytes: int = 4 * 1024 * 1024
     max_unacknowledged_bytes: int = 8 * 1024 * 1024
-    """Bytes that may wait for one peer, in memory or on their way."""
+    """Limit on bytes queued or in flight to one peer."""
     flush_seconds: float = 0.5
-    """Longest wait, on stopping, for what was sent to arrive."""
+    """Maximum wait for sent messages to be acknowledged when stopping."""
 
 
 class Received(NamedTuple):
-    """Be a message with what its envelope says of the sender."""
+    """Hold a received message and the sender details from its envelope."""
 
     sender: InstanceId
     sender_address: str
@@ -84,7 +86,7 @@
 
 
 class Mailbox:
-    """Exchange messages with any number of peers; any message may be lost."""
+    """Exchange messages with any number of peers, without a delivery guarantee."""
 
     def __init__(
         self,
@@ -114,31 +116,31 @@
         receive: Callable[[Received], None],
         configuration_version: Callable[[], ConfigurationVersion],
     ) -> "Mailbox":
-        """Make a mailbox that is not listening yet.
+        """Create a mailbox that is not listening yet.
 
-        `receive` runs on the mailbox's only receiving thread: while it works no
-        other message is received and no heartbeat answered, so it must hand the
-        message on and return. What it raises is logged and counted.
+        `receive` runs on the mailbox's only receiving thread: until it returns, no
+        other message is received and no heartbeat is answered, so it must pass the
+        message on and return. Its exceptions are logged and counted.
         """
         return cls(config, receive, configuration_version)
 
     @property
     def heartbeat_seconds(self) -> float:
-        """Return the time between heartbeats, short enough for the silence deadline.
+        """Return the heartbeat interval, shortened to suit the silence timeout.
 
-        An answer may take an interval and a round trip to be told; with only two
-        intervals to the deadline, connections that work would be closed at times.
+        An acknowledgement may take an interval and a round trip to arrive; if the
+        timeout had only two intervals, working connections would sometimes be closed.
         """
         longest = self.config.silence_seconds / MIN_HEARTBEATS_PER_SILENCE
         return min(self.config.heartbeat_seconds, longest)
 
     @property
     def counters(self) -> MailboxCounters:
-        """Return what was sent, received and dropped so far."""
+        """Return the counters of messages and connections so far."""
         return self.counter_table.read()
 
     def start(self) -> None:
-        """Listen and begin to receive; raise `pynng.AddressInUse` if that is taken."""
+        """Listen and start the threads; raise `pynng.AddressInUse` if it is taken."""
         self.listen()
         delay_library_unload()
         atexit.register(self.stop)
@@ -148,7 +150,7 @@
             self.threads.append(thread)
 
     def listen(self) -> None:
-        """Bind the listener and learn the real address."""
+        """Bind the listener and store the actual address."""
         self.listener = pynng.Pull0(
             recv_max_size=RECEIVE_LIMIT_FACTOR * self.config.max_message_bytes,
             recv_buffer_size=MAX_RECEIVED_QUEUE_MESSAGES,
@@ -157,11 +159,11 @@
         self.address = bound.url.removeprefix("tcp://")
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message to the mailbox at the address; never wait, may lose it."""
+        """Send a message to the mailbox at the address; never block, may lose it."""
         self.send_to_all((address,), message)
 
     def send_to_all(self, addresses: Collection[str], message: Message) -> None:
-        """Send a message to several mailboxes; it is encoded and tagged once."""
+        """Send a message to several mailboxes, encoded and tagged only once."""
         if not addresses:
             return
         data = self.encode(message)
@@ -172,12 +174,12 @@
                 self.peer_at(address).send(data)
 
     def stop(self) -> None:
-        """Let what was sent arrive, within a short time, and close everything.
+        """Wait briefly for sent messages to arrive, and close everything.
 
-        Closing a connection drops what still waits on it, and the last messages
-        matter: a sidecar that has left says so in its last one. A process that ends
-        without stopping its mailbox stops it on exit all the same: the library
-        aborts the process where a thread still receives when it is unloaded.
+        Closing a connection drops the messages still queued on it, and the last ones
+        matter: a sidecar that has left announces it in its last one. An exit handler
+        stops the mailbox if the process does not, since the library aborts the process
+        if a thread is still receiving when it is unloaded.
         """
         atexit.unregister(self.stop)
         self.flush()
@@ -193,7 +195,7 @@
             peer.close()
 
     def flush(self) -> None:
-        """Wait until the peers have answered for all bytes sent, or for too long."""
+        """Wait until the peers have acknowledged all bytes, or for `flush_seconds`."""
         with self.lock:
             peers = list(self.peers.values())
         for peer in peers:
@@ -203,7 +205,7 @@
             sleep(FLUSH_POLL_SECONDS)
 
     def encode(self, message: Message) -> bytes:
-        """Put the message into an envelope, with the version in force right now."""
+        """Encode the message in an envelope with the current configuration version."""
         envelope = Envelope(
             self.config.instance,
             self.address,
@@ -214,7 +216,7 @@
         return self.codec.encode(envelope)
 
     def peer_at(self, address: str) -> Peer:
-        """Return the peer at the address, known or new."""
+        """Return the peer at the address, creating it if needed."""
         with self.lock:
             peer = self.peers.get(address)
             if peer is None:
@@ -222,7 +224,7 @@
             return peer
 
     def new_peer(self, address: str) -> Peer:
-        """Make a peer that is dialled when the first message is sent to it."""
+        """Create a peer that is dialled when the first message is sent to it."""
         now = monotonic()
         link = PeerLink(
             heartbeat_seconds=self.heartbeat_seconds,
@@ -236,7 +238,7 @@
         return Peer(address, link, self.encode, self.counter_table)
 
     def receive_all(self) -> None:
-        """Receive until the mailbox stops; the work of the receiving thread."""
+        """Receive until the mailbox stops, on the receiving thread."""
         while not self.stopping.is_set():
             try:
                 data = self.listener.recv()
@@ -245,7 +247,7 @@
             self.handle_data(data)
 
     def handle_data(self, data: bytes) -> None:
-        """Handle one message's bytes, whatever they are."""
+        """Handle the bytes of one message, valid or not."""
         envelope = self.codec.decode(data)
         if isinstance(envelope, Rejected):
             self.counter_table.add_rejection(envelope.reason)
@@ -261,10 +263,10 @@
             self.deliver(envelope)
 
     def peer_of_sender(self, envelope: Envelope) -> Peer | None:
-        """Return the sender as a peer; a heartbeat that wants answers makes it one.
+        """Return the sender as a peer; only a heartbeat with `in_use` creates one.
 
-        Did others do so too, two peers with nothing to say would take turns in
-        making each other known again, and heartbeats would go on for ever.
+        If other messages created peers too, two idle peers would keep recreating each
+        other, and their heartbeats would never end.
         """
         match envelope.message:
             case MailboxHeartbeat(in_use=True):
@@ -274,7 +276,7 @@
                     return self.peers.get(envelope.sender_address)
 
     def deliver(self, envelope: Envelope) -> None:
-        """Call the receiver; its failure must not end the receiving thread."""
+        """Call the receiver, whose exceptions must not end the receiving thread."""
         received = Received(
             envelope.sender,
             envelope.sender_address,
@@ -289,7 +291,7 @@
             logger.exception("mailbox: receiver failed on %s", type(envelope.message))
 
     def tick_all(self) -> None:
-        """Keep the connections' heartbeats; the work of the timer thread."""
+        """Run the periodic work of all connections, on the timer thread."""
         interval = self.heartbeat_seconds / TICKS_PER_HEARTBEAT
         while not self.stopping.wait(interval):
             with self.lock:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/pause_tolerant_socket.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/pause_tolerant_socket.py
@@ -1,30 +1,30 @@
-"""Wait for a peer only by the time in which this process ran."""
+"""Read from sockets with a timeout that ignores pauses of this process."""
 
 import select
 import socket
 from typing import Self
 
 WAIT_SLICES = 5
-"""Parts of a wait. A pause of this process costs the wait one of them at most, and the
-peer, which may have been paused with it, has the others to answer in."""
+"""Polls per wait. A pause of this process uses up at most one of them, which leaves the
+others for an answer of the peer, which may have been paused at the same time."""
 MILLISECONDS = 1000
 
 
 class PauseTolerantSocket(socket.socket):
-    """Read with a timeout that no pause of this process uses up.
-
-    A machine that is paused, or starved, wakes with every wait on it over, before a
-    peer that was paused with it can have sent a byte. Taken for that peer's silence, it
-    makes an entry give a hand-over up and place the stream again, at a second engine:
-    three of sixteen pauses of 1.3 and 2.3 s within a hand-over did so at a silence of
-    1 s. Waited for in slices, a peer that is there has four fifths of the time left
-    after a pause, and one that is silent is given up after the whole, as before; then
-    none of forty such pauses did.
+    """Read with a timeout that a pause of this process can't use up.
+
+    After a machine was paused or starved of CPU, every timeout on it has expired before
+    a peer that was paused too can have sent a byte. An entry that takes this for a
+    silent peer abandons the hand-over and places the stream again, on a second engine:
+    with a read timeout of 1 s, three of sixteen pauses of 1.3 and 2.3 s during a
+    hand-over did so. Waiting in slices leaves a live peer four fifths of the timeout
+    after a pause, and none of forty such pauses did it. A silent peer still times out
+    after the full timeout.
     """
 
     @classmethod
     def from_connected(cls, connected: socket.socket) -> Self:
-        """Take over a connected socket."""
+        """Wrap a connected socket, which is detached."""
         timeout = connected.gettimeout()
         kind = (connected.family, connected.type, connected.proto)
         taken = cls(*kind, fileno=connected.detach())
@@ -32,12 +32,12 @@
         return taken
 
     def recv_into(self, buffer: memoryview, *more: int) -> int:
-        """Read what has arrived; `TimeoutError` after the timeout."""
+        """Read the available bytes; raise `TimeoutError` after the timeout."""
         self.wait_readable()
         return super().recv_into(buffer, *more)
 
     def wait_readable(self) -> None:
-        """Wait until there is something to read, or the end of it."""
+        """Wait until there are bytes or an end of file to read."""
         timeout = self.gettimeout()
         if not timeout:
             return
--- a/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
@@ -1,4 +1,4 @@
-"""Own the connection of a mailbox to one peer."""
+"""Manage the connection of a mailbox to one peer."""
 
 from collections.abc import Callable
 from random import Random
@@ -19,7 +19,7 @@
 )
 
 MAX_QUEUED_MESSAGES = 1024
-"""Far more than a burst; what may wait is bounded in bytes first."""
+"""Far more than a burst; the limit in bytes normally applies first."""
 MIN_RECONNECT_MILLISECONDS = 50
 MAX_RECONNECT_MILLISECONDS = 1000
 
@@ -27,7 +27,7 @@
 class Peer:
     """Send to one peer over a push socket that is dialled lazily.
 
-    Every call is short: nothing here waits for the network.
+    No call blocks on the network.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.forgotten = False
 
     def send(self, data: bytes) -> None:
-        """Send encoded bytes, or count why they were dropped."""
+        """Send an encoded message, or count why it was dropped."""
         now = monotonic()
         with self.lock:
             self.link.record_use(now)
@@ -67,33 +67,35 @@
             self.send_heartbeat(heartbeat)
 
     def send_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
-        """Send a heartbeat; a lost one is followed by another."""
+        """Send a heartbeat; a lost one is followed by later ones."""
         data = self.encode(heartbeat)
         with self.lock:
             self.try_send(data)
 
     def record_received(self, message: Message) -> None:
-        """Note that the peer sent something."""
+        """Record that the peer sent a message."""
         with self.lock:
             self.link.record_alive(monotonic())
         if isinstance(message, MailboxHeartbeat):
             self.handle_heartbeat(message)
 
     def handle_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
-        """Note a heartbeat, and answer it where it asks for that."""
+        """Record a heartbeat, and answer it if requested."""
         now = monotonic()
         with self.lock:
             self.link.record_heartbeat(heartbeat, now)
             self.dial_if_due(now)
-            wanted = heartbeat.reply_requested and self.link.dialled
+            must_answer = heartbeat.reply_requested and self.link.dialled
             answer = (
-                self.link.next_heartbeat(now, reply_requested=False) if wanted else None
+                self.link.next_heartbeat(now, reply_requested=False)
+                if must_answer
+                else None
             )
         if answer is not None:
             self.send_heartbeat(answer)
 
     def tick(self, random: Random) -> None:
-        """Do what is due now."""
+        """Perform the actions that are due now."""
         now = monotonic()
         with self.lock:
             effects = self.link.tick(now, random)
@@ -112,7 +114,7 @@
                     self.forgotten = True
 
     def request_acknowledgement(self) -> None:
-        """Ask for an answer at once, where bytes were sent and not answered for."""
+        """Request an answer at once, if there are unacknowledged bytes."""
         with self.lock:
             if not self.link.has_unacknowledged_bytes():
                 return
@@ -120,19 +122,19 @@
         self.send_heartbeat(heartbeat)
 
     def has_unacknowledged_bytes(self) -> bool:
-        """Tell whether bytes were sent that no heartbeat has vouched for."""
+        """Return whether sent bytes are not acknowledged yet."""
         with self.lock:
             return self.link.has_unacknowledged_bytes()
 
     def close(self) -> None:
-        """Close the socket; outside the lock, as closing waits for the library."""
+        """Close the socket, outside the lock, since closing blocks on the library."""
         with self.lock:
             socket, self.socket = self.socket, None
         if socket is not None:
             socket.close()
 
     def dial_if_due(self, now: float) -> None:
-        """Open the connection where there is none and its pause is over."""
+        """Dial a connection, if there is none and the backoff is over."""
         if self.link.dialled or now < self.link.dial_at:
             return
         self.socket = pynng.Push0(
@@ -145,7 +147,7 @@
         self.counters.add(CountedEvent.DIALLED)
 
     def try_send(self, data: bytes) -> bool:
-        """Hand bytes to the socket without waiting; tell whether it took them."""
+        """Pass bytes to the socket without blocking; return whether it took them."""
         if self.socket is None:
             return False
         try:
--- a/packages/fleet/src/cowslipshelf_fleet/internal/tags.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/tags.py
@@ -1,4 +1,4 @@
-"""Compute the keyed tags that show that a message comes from a cluster member."""
+"""Compute the message authentication codes (tags) of cluster members."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Tagger:
-    """Compute and check tags for one purpose, under one cluster key."""
+    """Compute and verify tags for one purpose under one cluster key."""
 
     key: bytes
     purpose: bytes
 
     @classmethod
     def from_cluster_key(cls, cluster_key: bytes, purpose: bytes) -> "Tagger":
-        """Derive a key of fixed length, since BLAKE2b takes 64 bytes at most."""
+        """Derive a key of fixed length, since BLAKE2b accepts at most 64 bytes."""
         return cls(blake2b(cluster_key).digest(), purpose)
 
     def tag(self, *parts: bytes) -> bytes:
-        """Return the tag of the parts; each is tagged with its length.
+        """Return the tag of the parts, each of which is hashed after its length.
 
-        Without the lengths, bytes could be moved from one part to its neighbour
-        under the same tag: from a request's path into its body, for example.
+        Without the lengths, moving bytes from one part to the next would not change
+        the tag: from a request's path into its body, for example.
         """
         digest = blake2b(key=self.key, digest_size=TAG_BYTES, person=self.purpose)
         for part in parts:
@@ -32,5 +32,5 @@
         return digest.digest()
 
     def accepts(self, tag: bytes, *parts: bytes) -> bool:
-        """Tell in constant time whether the tag is that of the parts."""
+        """Return whether the tag matches the parts, compared in constant time."""
         return compare_digest(tag, self.tag(*parts))
--- a/packages/fleet/src/cowslipshelf_fleet/mailboxes.py
+++ b/packages/fleet/src/cowslipshelf_fleet/mailboxes.py
@@ -1,4 +1,4 @@
-"""Offer mailboxes, which carry one-way messages between processes."""
+"""Provide mailboxes, which exchange one-way messages between processes."""
 
 from cowslipshelf_fleet.internal.counters import MailboxCounters
 from cowslipshelf_fleet.internal.mailbox import Mailbox, MailboxConfig, Received
