--- a/tests/common/fleet_attempts.py
+++ b/tests/common/fleet_attempts.py
@@ -1,4 +1,4 @@
-"""Serve scripted attempts over a real server."""
+"""Provide a real attempts server with scripted attempts, and its client."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -32,12 +32,12 @@
 LOWEST_PRIORITY = 9
 HEARTBEAT_SECONDS = 0.05
 SILENCE_SECONDS = 2.0
-"""For clients that wait for a silence which the test brings about."""
-PATIENT_SECONDS = 20.0
+"""Read timeout of clients in tests that silence a connection."""
+LONG_TIMEOUT_SECONDS = 20.0
 
 
 def hand_over_of(attempt: str, body: bytes = b"body", priority: int = 0) -> HandOver:
-    """Return a hand-over of which only some fields matter here."""
+    """Return a hand-over; only the parameters and the epoch matter in these tests."""
     return HandOver(
         request_id="request",
         attempt_id=attempt,
@@ -62,13 +62,13 @@
 
 
 def frames_of(pieces: list[bytes]) -> list[Frame]:
-    """Return a whole stream with one chunk for each piece."""
+    """Return the frames of a whole stream, with one chunk per piece."""
     chunks = [StreamChunk(n, piece) for n, piece in enumerate(pieces, start=1)]
     return [StreamHead(200, ()), *chunks, StreamEnd(len(pieces))]
 
 
 class ScriptedHandler:
-    """Answer every attempt with the same frames, written while they are read."""
+    """Answer every attempt with the same frames, written concurrently with reads."""
 
     def __init__(self) -> None:
         self.script: list[Frame] = []
@@ -78,7 +78,7 @@
         self.buffers: dict[AttemptId, FrameBuffer] = {}
 
     def hand_over(self, hand_over: HandOver) -> AttemptRefused | FrameBuffer:
-        """Take the attempt, unless it has the lowest priority."""
+        """Accept the attempt, unless it has the lowest priority."""
         self.handed_over.append(hand_over)
         if hand_over.priority == LOWEST_PRIORITY:
             refusal = Refusal(RefusalCode.NOT_RUN, RefusalReason.BUSY, "hand over")
@@ -88,7 +88,7 @@
         return buffer
 
     def write(self, buffer: FrameBuffer, script: list[Frame]) -> None:
-        """Write the script, as a runner would from its own thread."""
+        """Append the script to the buffer, as a runner does on its own thread."""
         for frame in script:
             buffer.append(frame)
 
@@ -99,22 +99,22 @@
     def revoke(
         self, attempt_id: AttemptId, epoch: Epoch, load_sequence: int
     ) -> NeverRan | MayHaveRun:
-        """Promise nothing for known attempts and other starts."""
+        """Report that known attempts, and those of other epochs, may have run."""
         self.revoked_sequences.append(load_sequence)
         if attempt_id in self.buffers or epoch != EPOCH:
             return MayHaveRun(attempt_id, known=epoch == EPOCH)
         return NeverRan(attempt_id)
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Note the attempt."""
+        """Record the attempt."""
         self.cancelled.append(attempt_id)
 
 
 @contextmanager
 def serving(
-    handler: ScriptedHandler, stalled_seconds: float = PATIENT_SECONDS
+    handler: ScriptedHandler, stalled_seconds: float = LONG_TIMEOUT_SECONDS
 ) -> Iterator[AttemptsServer]:
-    """Run a server of the handler's attempts."""
+    """Run a server for the handler's attempts."""
     config = AttemptsServerConfig(
         "127.0.0.1:0", CLUSTER_KEY, HEARTBEAT_SECONDS, stalled_seconds
     )
@@ -127,16 +127,16 @@
 
 
 def client(
-    silence_seconds: float = PATIENT_SECONDS, cluster_key: bytes = CLUSTER_KEY
+    silence_seconds: float = LONG_TIMEOUT_SECONDS, cluster_key: bytes = CLUSTER_KEY
 ) -> AttemptsClient:
-    """Return a client of any server."""
+    """Return a client for any server."""
     return AttemptsClient.from_config(
-        AttemptsClientConfig(PATIENT_SECONDS, silence_seconds, cluster_key)
+        AttemptsClientConfig(LONG_TIMEOUT_SECONDS, silence_seconds, cluster_key)
     )
 
 
 def read_until_lost(stream: AttemptStream, frames: list[Frame]) -> bool:
-    """Collect frames, heartbeats left out; tell whether the stream was lost."""
+    """Collect frames without heartbeats; return whether the stream was lost."""
     try:
         for frame in stream:
             if not isinstance(frame, StreamHeartbeat):
@@ -147,7 +147,7 @@
 
 
 def whole_answer(outcome: object) -> list[Frame]:
-    """Return the frames of a stream that must not be lost."""
+    """Return the frames of a stream, and assert that it was not lost."""
     assert isinstance(outcome, AttemptStream)
     frames: list[Frame] = []
     assert not read_until_lost(outcome, frames)
@@ -155,5 +155,5 @@
 
 
 def chunks(frames: list[Frame]) -> list[StreamChunk]:
-    """Return the frames that carry the answer."""
+    """Return the frames with data of the answer."""
     return [frame for frame in frames if isinstance(frame, StreamChunk)]
--- a/tests/cover/fleet/conftest.py
+++ b/tests/cover/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Share one sidecar's server among the tests of a module."""
+"""Share the server of one sidecar between the tests of a module."""
 
 import pytest
 
--- a/tests/cover/fleet/test_attempts.py
+++ b/tests/cover/fleet/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts over HTTP, with failures between client and server."""
+"""Test attempts over HTTP, with failures between client and server."""
 
 from threading import Thread
 
@@ -80,14 +80,14 @@
     assert entry.resume(server.address, "unknown", 0) is None
 
 
-def test_whoever_lacks_the_cluster_key_reaches_nothing(server, handler):
-    stranger = client(cluster_key=b"other key" * 100)
+def test_a_client_without_the_cluster_key_reaches_nothing(server, handler):
+    unauthorized = client(cluster_key=b"other key" * 100)
     before = len(handler.handed_over), len(handler.cancelled)
-    failed = stranger.hand_over(server.address, hand_over_of("stranger"))
+    failed = unauthorized.hand_over(server.address, hand_over_of("stranger"))
     assert isinstance(failed, HandOverFailed)
-    assert stranger.resume(server.address, "1", 0) is None
-    assert stranger.revoke(server.address, "1", EPOCH) is None
-    assert not stranger.cancel(server.address, "1")
+    assert unauthorized.resume(server.address, "1", 0) is None
+    assert unauthorized.revoke(server.address, "1", EPOCH) is None
+    assert not unauthorized.cancel(server.address, "1")
     assert before == (len(handler.handed_over), len(handler.cancelled))
 
 
@@ -97,10 +97,10 @@
     st.lists(st.integers(200, 1500), max_size=6),
 )
 def test_a_stream_cut_anywhere_is_resumed_exactly(server, handler, pieces, cuts):
-    """The caller must get every byte of its answer once, in order.
+    """A caller could miss or repeat parts of its answer after a resume.
 
-    The connection is cut in mid-answer, again and again, each time after another
-    number of bytes; the entry resumes after the last chunk that it has whole.
+    The connection is repeatedly cut in the middle of the answer, after different
+    numbers of bytes; the entry resumes after the last complete chunk.
     """
     handler.script = frames_of(pieces)
     entry, frames = client(), []
@@ -119,10 +119,10 @@
 
 
 def test_a_stream_gone_silent_is_lost_in_time_and_resumed(server, handler):
-    """The caller's answer stops for good in the middle, and no error shows.
+    """An answer could stop in the middle without any error.
 
-    The connection goes silent after the first chunk; heartbeats stop with it. The
-    entry notices by their absence, and reads on over a new connection.
+    The connection goes silent after the first chunk, and so do its heartbeats. The
+    entry detects that by the read timeout, and resumes over a new connection.
     """
     entry, frames, buffer = client(SILENCE_SECONDS), [], FrameBuffer()
     handler.script = []
@@ -145,10 +145,10 @@
 
 
 def test_heartbeats_fill_an_idle_stream(server, handler):
-    """A long prompt's answer begins late; its connection must not count as lost.
+    """The connection of a long prompt, whose answer starts late, could count as lost.
 
-    Nothing is written for several heartbeats. The reader gets them, to look at its
-    deadline meanwhile, and then the whole answer.
+    No frame is written for several heartbeat intervals. The reader gets heartbeats, so
+    that it can check its deadline, and then the whole answer.
     """
     handler.script = []
     stream = client().hand_over(server.address, hand_over_of("idle"))
@@ -169,10 +169,10 @@
 
 
 def test_a_client_that_stops_reading_costs_no_thread():
-    """A frozen entry would hold a thread for each of its streams.
+    """A frozen entry could occupy a server thread for each of its streams.
 
-    It asks for a long answer and reads nothing; the server's sends wait. They give
-    up in time, and the frames can still be had over a new connection.
+    It requests a long answer and reads nothing, so the server blocks in sending. The
+    send times out, and the frames are still available over a new connection.
     """
     handler = ScriptedHandler()
     handler.script = frames_of([bytes(500_000)] * 20)
@@ -192,7 +192,7 @@
 
 
 def test_many_streams_run_at_once():
-    """Every stream holds a thread; the threads must grow with the streams."""
+    """Every stream occupies a thread, so the thread pool must grow with the streams."""
     handler = ScriptedHandler()
     with serving(handler) as server:
         entry = client()
@@ -208,7 +208,7 @@
 
 
 def test_a_stream_is_closed_from_another_thread():
-    """A cancelled request must not wait for its sidecar's next frame."""
+    """A cancelled request must not wait for the next frame of its sidecar."""
     handler = ScriptedHandler()
     with serving(handler) as server:
         stream = client().hand_over(server.address, hand_over_of("closed"))
--- a/tests/cover/fleet/test_envelopes.py
+++ b/tests/cover/fleet/test_envelopes.py
@@ -1,4 +1,4 @@
-"""Properties of what mailboxes accept from the network."""
+"""Test which bytes mailboxes accept from the network."""
 
 import pytest
 from hypothesis import example, given, settings
@@ -15,12 +15,12 @@
 )
 from cowslipshelf_fleet.mailboxes import Mailbox, MailboxConfig
 
-MOST_BYTES = 100_000
+MAX_BYTES = 100_000
 FEW = settings(derandomize=True, deadline=None, max_examples=25)
 
 
 def codec(key: bytes = b"cluster key") -> EnvelopeCodec:
-    return EnvelopeCodec.from_config(key, ANY_MESSAGE, MOST_BYTES)
+    return EnvelopeCodec.from_config(key, ANY_MESSAGE, MAX_BYTES)
 
 
 def envelopes(message: st.SearchStrategy) -> st.SearchStrategy[Envelope]:
@@ -28,7 +28,7 @@
     return st.builds(Envelope, names, names, names, st.integers(0, 2**60), message)
 
 
-def quiet_mailbox(received: list) -> Mailbox:
+def unstarted_mailbox(received: list) -> Mailbox:
     config = MailboxConfig(
         instance="a",
         epoch="e",
@@ -37,7 +37,7 @@
         heartbeat_seconds=1.0,
         silence_seconds=3.0,
         message_types=ANY_MESSAGE,
-        max_message_bytes=MOST_BYTES,
+        max_message_bytes=MAX_BYTES,
     )
     return Mailbox.from_config(config, received.append, lambda: 1)
 
@@ -79,7 +79,7 @@
 @given(st.lists(st.binary(max_size=200), max_size=8))
 def test_arbitrary_bytes_are_counted_and_reach_nobody(pieces):
     received = []
-    mailbox = quiet_mailbox(received)
+    mailbox = unstarted_mailbox(received)
     for piece in pieces:
         mailbox.handle_data(piece)
     assert sum(rejections(mailbox).values()) == len(pieces)
@@ -91,21 +91,21 @@
 @example(b"\x91" * 90_000)
 @example(b"\x95\xa1a\xa1b\xa1c\x00\x93\xa8Withdraw\xa1\xff\xa1e")
 def test_arbitrary_bytes_under_a_right_tag_never_raise(content):
-    """A member of another version, or a faulty one, has the key and sends anything."""
+    """A faulty member, or one of another version, can send any bytes under the key."""
     received = []
-    mailbox = quiet_mailbox(received)
+    mailbox = unstarted_mailbox(received)
     version = PROTOCOL_VERSION.to_bytes(1)
     mailbox.handle_data(version + mailbox.codec.tagger.tag(version, content) + content)
     assert rejections(mailbox)["rejected_undecodable"] == 1 - len(received)
 
 
 def test_each_reason_for_rejection_is_counted_apart():
-    mailbox = quiet_mailbox([])
+    mailbox = unstarted_mailbox([])
     message = Envelope("b", "127.0.0.1:1", "e", 1, Withdraw("u", "e"))
     sealed = mailbox.codec.encode(message)
     mailbox.handle_data(codec(b"other key").encode(message))
     mailbox.handle_data(bytes([PROTOCOL_VERSION + 1]) + sealed[1:])
-    mailbox.handle_data(bytes(MOST_BYTES + 1))
+    mailbox.handle_data(bytes(MAX_BYTES + 1))
     counted = rejections(mailbox)
     for reason in (
         RejectionReason.WRONG_TAG,
@@ -116,10 +116,10 @@
 
 
 def test_a_failing_receiver_does_not_stop_the_mailbox():
-    """A fault in one receiver must not cost the process all later messages.
+    """A failure of the receiver could make the process lose all later messages.
 
-    The receiver runs on the only receiving thread; an exception that ended it would
-    leave a process that sends, looks alive and hears nothing.
+    The receiver runs on the only receiving thread. If an exception ended that thread,
+    the process would send and look alive, but receive nothing.
     """
     received = []
 
@@ -127,7 +127,7 @@
         received.append(message)
         raise RuntimeError("a fault")
 
-    mailbox = quiet_mailbox([])
+    mailbox = unstarted_mailbox([])
     mailbox.receive = receive
     envelope = Envelope("b", "127.0.0.1:1", "e", 1, Withdraw("u", "e"))
     for _ in range(2):
@@ -139,8 +139,8 @@
 @FEW
 @given(st.floats(0.05, 60.0), st.floats(0.1, 600.0))
 def test_heartbeats_fit_into_the_silence_deadline(heartbeat, silence):
-    """Settings allow two intervals in it, which is too few for an answer to be told."""
-    mailbox = quiet_mailbox([])
+    """Settings allow only two intervals, too few for an acknowledgement to arrive."""
+    mailbox = unstarted_mailbox([])
     mailbox.config = mailbox.config._replace(
         heartbeat_seconds=heartbeat, silence_seconds=silence
     )
--- a/tests/cover/fleet/test_frames.py
+++ b/tests/cover/fleet/test_frames.py
@@ -1,4 +1,4 @@
-"""Properties of frames: their encoding, and the buffers that keep them."""
+"""Test the encoding of frames, and the buffers that hold them."""
 
 from threading import Thread
 
@@ -67,7 +67,7 @@
     assert buffer.read_after(after, timeout=0.0) == expected
 
 
-GIVEN_UP = Refusal(RefusalCode.FAILED, RefusalReason.CANCELLED, "run")
+ABANDONED = Refusal(RefusalCode.FAILED, RefusalReason.CANCELLED, "run")
 CHUNK_RANK = 2
 FRAME_RANKS = {
     AttemptReserved: 0,
@@ -81,7 +81,7 @@
 @MANY
 @given(st.lists(values_of(Frame), max_size=8))
 def test_a_buffer_holds_only_streams_in_order(frames):
-    """Whatever a faulty writer does, no reader sees chunks missing or doubled."""
+    """Whatever a faulty writer does, no reader gets missing or duplicate chunks."""
     buffer = FrameBuffer()
     for frame in frames:
         try:
@@ -91,7 +91,7 @@
     kept = buffer.read_after(0, timeout=0.0)
     chunks = [frame for frame in kept if isinstance(frame, StreamChunk)]
     assert [chunk.sequence for chunk in chunks] == list(range(1, len(chunks) + 1))
-    # Reserved, head or part, chunks and end come in this order; all but chunks once.
+    # Reserved, head or part, chunks and end, in this order; only chunks repeat.
     ranks = [FRAME_RANKS[type(frame)] for frame in kept]
     assert ranks == sorted(ranks)
     assert all(ranks.count(rank) <= 1 for rank in ranks if rank != CHUNK_RANK)
@@ -105,11 +105,11 @@
 
 @MANY
 @given(PIECES, st.integers(0, 12))
-def test_a_stream_given_up_ends_after_what_was_sent(pieces, sent):
-    """A deadline passes mid-stream, while the upstream's reader still writes.
+def test_an_aborted_stream_ends_after_what_was_sent(pieces, sent):
+    """A deadline passes in mid-stream, while the reader of the upstream still writes.
 
-    Whoever gives the attempt up can't know how many chunks there are by then. The
-    reader's next frames come after the end: they must be neither sent nor an error.
+    The thread that aborts the attempt can't know how many chunks there are by then.
+    Frames written after the end must be neither sent nor an error.
     """
     frames = frames_of(pieces)
     buffer = FrameBuffer()
@@ -152,7 +152,7 @@
 
 
 def test_a_replaced_reader_gets_nothing_more():
-    """Two responses must not share an attempt: each resume would hold a thread."""
+    """If two responses shared an attempt, each resume would occupy a thread."""
     buffer = FrameBuffer()
     first = buffer.replace_reader()
     second = buffer.replace_reader()
@@ -171,18 +171,18 @@
 @MANY
 @given(st.lists(st.binary(max_size=20), max_size=12), st.booleans())
 def test_a_stream_ends_once_however_many_end_it_and_when(pieces, begun):
-    """Check that giving up an attempt in mid-answer ends its stream, and just once.
+    """Check that cancelling an attempt in mid-answer ends its stream exactly once.
 
-    A caller hangs up while tokens come. The sidecar ends the frames for it, and the
-    thread that reads the engine ends them as well when its stream is cut.
+    A caller disconnects while tokens arrive. The sidecar ends the stream, and the
+    thread that reads from the engine ends it too when its connection is cut.
     """
     buffer = FrameBuffer()
     if begun:
         buffer.append(StreamHead(200, ()))
     for number, piece in enumerate(pieces, start=1):
         buffer.append(StreamChunk(number, piece))
-    buffer.end(GIVEN_UP)
+    buffer.end(ABANDONED)
     buffer.end(None)
     kept = buffer.read_after(0, timeout=0.0)
-    assert kept[-1] == StreamEnd(len(pieces), GIVEN_UP)
+    assert kept[-1] == StreamEnd(len(pieces), ABANDONED)
     assert sum(map(is_end, kept)) == 1
--- a/tests/cover/fleet/test_hand_overs.py
+++ b/tests/cover/fleet/test_hand_overs.py
@@ -1,4 +1,4 @@
-"""Hand-overs that fail: what the entry is told, and what the sidecar starts."""
+"""Test failing hand-overs: what the entry gets, and what the sidecar starts."""
 
 import socket
 
@@ -29,10 +29,10 @@
 def test_a_failed_hand_over_tells_whether_it_may_have_arrived(
     server, handler, caller_bytes, target_bytes
 ):
-    """A second run of a payment line follows from a wrong "it did not arrive".
+    """A payment could run twice if a failure wrongly stated "it did not arrive".
 
-    The connection is cut after any number of the request's or the answer's bytes.
-    Whatever the sidecar saw, the entry must have been told that it may have.
+    The connection is cut after any number of bytes of the request or the answer. If
+    the sidecar may have received the hand-over, the failure must say so.
     """
     handler.script = frames_of([b"a"])
     handler.handed_over.clear()
@@ -59,17 +59,17 @@
     assert not outcome.may_have_arrived
 
 
-def kept_connection(entry: AttemptsClient, address: str) -> None:
-    """Leave one connection in the pool."""
+def leave_idle_connection(entry: AttemptsClient, address: str) -> None:
+    """Make a request that leaves one idle connection in the pool."""
     assert entry.cancel(address, "any")
 
 
 def test_a_kept_connection_that_the_peer_closed_is_not_used(server, handler):
-    """A request that may run only once must not be risked on a dead connection."""
+    """A request that may run only once must not be sent on a dead connection."""
     handler.script = frames_of([b"a"])
     entry = client()
     with Forwarder(server.address) as forwarder:
-        kept_connection(entry, forwarder.address)
+        leave_idle_connection(entry, forwarder.address)
         forwarder.cut_existing()
         outcome = entry.hand_over(forwarder.address, hand_over_of("fresh"))
         assert whole_answer(outcome) == handler.script
@@ -77,25 +77,25 @@
 
 
 def test_a_kept_connection_is_not_used_after_a_pause(server, handler, monkeypatch):
-    """A pooled connection goes silent while nobody uses it, and no error shows.
+    """A pooled connection goes silent while it is idle, without any error.
 
-    The next hand-over sent on it would go nowhere, and its outcome be unknown.
+    The next hand-over sent on it would be lost, with an unknown outcome.
     """
     monkeypatch.setattr(fresh_connections, "MAX_IDLE_SECONDS", 0.0)
     handler.script = frames_of([b"a"])
     entry = client(SILENCE_SECONDS)
     with Forwarder(server.address) as forwarder:
-        kept_connection(entry, forwarder.address)
+        leave_idle_connection(entry, forwarder.address)
         forwarder.silence_existing()
         outcome = entry.hand_over(forwarder.address, hand_over_of("after pause"))
         assert whole_answer(outcome) == handler.script
 
 
 def test_a_hand_over_that_nobody_waits_for_is_not_run():
-    """An entry gave up while its request waited; its retry runs elsewhere.
+    """An entry abandoned a request that waited, and its retry runs elsewhere.
 
-    The request sits in the server's queue, whole, when its connection is closed.
-    Started then, it would take an engine's time for an answer that nobody reads.
+    The complete request is in the server's queue when its connection is closed. If it
+    were started, it would use engine time for an answer that nobody reads.
     """
     handler = ScriptedHandler()
     handler.script = frames_of([b"a"])
--- a/tests/cover/fleet/test_links.py
+++ b/tests/cover/fleet/test_links.py
@@ -1,4 +1,4 @@
-"""Properties of the decisions about connections, without any connection."""
+"""Test the decisions about connections, without real connections."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -39,8 +39,8 @@
 
 
 @dataclass
-class Side:
-    """Run one side of a pair of links, as a mailbox would."""
+class LinkSide:
+    """Drive one side of a pair of links, as a mailbox does."""
 
     link: PeerLink
     delay_ticks: int = 0
@@ -64,7 +64,7 @@
                 case ForgetPeer():
                     self.forgotten = True
 
-    def take(self, heartbeat: MailboxHeartbeat, now: float) -> None:
+    def receive(self, heartbeat: MailboxHeartbeat, now: float) -> None:
         if self.forgotten:
             if not heartbeat.in_use:
                 return
@@ -93,15 +93,15 @@
     delays: tuple[int, int] = (0, 0),
     other_number: int = 2 * FIRST_NUMBER,
     silent_from: int | None = None,
-) -> tuple[Side, Side]:
-    """Tick two sides; the first uses its link at the first ticks, as listed.
+) -> tuple[LinkSide, LinkSide]:
+    """Tick two sides; the first one uses its link at the ticks marked in `uses`.
 
-    From a tick on, what the first one sends may be lost; the other one is heard, and
-    then uses its link as well.
+    From `silent_from` on, everything that the first side sends is lost. The other
+    side's heartbeats still arrive, and if `silent_from` is set it uses its link too.
     """
     random = Random(0)
     other_link = new_link(number=other_number)
-    sides = (Side(new_link(), delays[0]), Side(other_link, delays[1]))
+    sides = (LinkSide(new_link(), delays[0]), LinkSide(other_link, delays[1]))
     for tick in range(ticks):
         now = tick * TICK_SECONDS
         if tick < len(uses) and uses[tick]:
@@ -113,7 +113,7 @@
         for side, other in (sides, sides[::-1]):
             side.tick(now, random)
             while side.inbox and side.inbox[0][0] <= tick:
-                side.take(side.inbox.pop(0)[1], now)
+                side.receive(side.inbox.pop(0)[1], now)
             due = tick + other.delay_ticks
             if side is sides[1] or silent_from is None or tick < silent_from:
                 other.inbox += [(due, message) for message in side.outbox]
@@ -132,8 +132,8 @@
 @MANY
 @given(st.lists(st.booleans(), max_size=100), DELAYS, NUMBERS)
 @example([True], (0, 0), 2 * FIRST_NUMBER)
-def test_two_unused_peers_let_go_of_each_other(uses, delays, number):
-    """Heartbeats must end: each side's answers could keep the other one awake."""
+def test_two_unused_peers_forget_each_other(uses, delays, number):
+    """The answers of each side could keep the heartbeats of the other one going."""
     last_use = IDLE_SECONDS + 4 * SILENCE_SECONDS
     ticks = len(uses) + int(last_use / TICK_SECONDS)
     first, second = run_pair(uses, ticks, delays, number)
@@ -143,7 +143,7 @@
 @MANY
 @given(st.tuples(st.integers(0, 1), st.integers(0, 1)), NUMBERS)
 def test_a_pair_in_use_exchanges_two_heartbeats_in_each_interval(delays, number):
-    """Control may take a few percent of a core, and heartbeats are most of it."""
+    """Control traffic may use a few percent of a core, most of it for heartbeats."""
     seconds = 100
     ticks = int(seconds / TICK_SECONDS)
     first, second = run_pair([True] * ticks, ticks, delays, number)
@@ -155,9 +155,9 @@
 @MANY
 @given(st.integers(0, 200), st.integers(1, 100), DELAYS, NUMBERS)
 def test_a_connection_gone_silent_is_closed_in_time(start, seconds, delays, number):
-    """The peer's own connection may still work, and its heartbeats arrive.
+    """The connection from the peer may still work, so that its heartbeats arrive.
 
-    They repeat what it heard last before the silence, which is no new answer.
+    They repeat the last acknowledgement before the silence, which is not a new one.
     """
     ticks = start + int(seconds / TICK_SECONDS)
     first, _ = run_pair([True] * ticks, ticks, delays, number, silent_from=start)
@@ -169,7 +169,7 @@
 @MANY
 @given(st.lists(st.integers(1, 400) | st.none(), max_size=60))
 def test_bytes_that_wait_for_a_peer_are_bounded(steps):
-    """Steps are sizes of messages offered, or a heartbeat that is answered late."""
+    """Steps are sizes of offered messages, or None for a heartbeat answered late."""
     link, unanswered = new_link(), []
     link.dial(0.0)
     for step in steps:
@@ -184,21 +184,23 @@
 
 @MANY
 @given(st.lists(st.integers(0, 3), min_size=1, max_size=5), st.integers(-5, 20))
-def test_only_a_new_answer_to_the_present_connection_vouches_for_it(beats, heard):
+def test_only_a_new_answer_to_the_current_connection_confirms_it(
+    heartbeat_counts, acknowledged
+):
     """Late answers to a replaced connection must not keep a silent new one open.
 
-    Nor may the same answer told again, since the peer repeats what it heard last in
-    each of its heartbeats; nor one that an earlier start of this process asked for.
+    Nor may a repeated answer, since each heartbeat of the peer repeats the last number
+    it received, or an answer to an earlier start of this process.
     """
     link = new_link()
-    for number_of_beats in beats:
+    for heartbeat_count in heartbeat_counts:
         link.dial(0.0)
-        present = [
+        current = [
             link.next_heartbeat(0.0, reply_requested=False).number
-            for _ in range(number_of_beats)
+            for _ in range(heartbeat_count)
         ]
-    heard += FIRST_NUMBER
-    link.record_heartbeat(answer_to(heard), 1.0)
-    assert (link.acknowledged_at == 1.0) == (heard in present)
-    link.record_heartbeat(answer_to(heard), 2.0)
+    acknowledged += FIRST_NUMBER
+    link.record_heartbeat(answer_to(acknowledged), 1.0)
+    assert (link.acknowledged_at == 1.0) == (acknowledged in current)
+    link.record_heartbeat(answer_to(acknowledged), 2.0)
     assert link.acknowledged_at < 2.0
--- a/tests/cover/fleet/test_mailbox.py
+++ b/tests/cover/fleet/test_mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes over real connections, with failures between them."""
+"""Test mailboxes over real connections, with failures between them."""
 
 import socket
 
@@ -11,7 +11,7 @@
 SILENCE_SECONDS = 0.4
 
 
-def started(name: str, received: list, **settings) -> Mailbox:
+def start_mailbox(name: str, received: list, **settings) -> Mailbox:
     config = MailboxConfig(
         instance=name,
         epoch=f"epoch of {name}",
@@ -28,8 +28,10 @@
     return mailbox
 
 
-def arrives(sender: Mailbox, address: str, received: list, mark: str) -> None:
-    """Send again and again, as all users of mailboxes do, until one arrives."""
+def send_until_received(
+    sender: Mailbox, address: str, received: list, mark: str
+) -> None:
+    """Send until a message arrives; all users of mailboxes send repeatedly."""
 
     def attempt() -> bool:
         sender.send(address, Withdraw(mark, "e"))
@@ -40,8 +42,8 @@
 
 def test_a_message_arrives_with_what_is_known_of_its_sender():
     received = []
-    sender, receiver = started("a", []), started("b", received)
-    arrives(sender, receiver.address, received, "u")
+    sender, receiver = start_mailbox("a", []), start_mailbox("b", received)
+    send_until_received(sender, receiver.address, received, "u")
     first = received[0]
     assert (first.sender, first.sender_epoch) == ("a", "epoch of a")
     assert first.sender_address == sender.address
@@ -51,17 +53,17 @@
 
 
 def test_a_connection_gone_silent_is_replaced():
-    """An entry stops hearing of an upstream that is alive, for good.
+    """An entry could permanently stop receiving from an upstream that is alive.
 
-    The two processes exchange messages; something between them loses track of
-    their connection, so it takes bytes and delivers none, and no error shows. New
-    connections work. Without heartbeats the sender would use the dead one for ever.
+    A device between two processes drops the state of their connection, which then
+    accepts bytes and delivers none, without any error. New connections work. Without
+    heartbeats, the sender would use the dead connection forever.
     """
     received = []
-    sender, receiver = started("a", []), started("b", received)
+    sender, receiver = start_mailbox("a", []), start_mailbox("b", received)
     with Forwarder(receiver.address) as forwarder:
         for mark in ("before", "after", "again"):
-            arrives(sender, forwarder.address, received, mark)
+            send_until_received(sender, forwarder.address, received, mark)
             forwarder.silence_existing()
         assert sender.counters.connections_silent >= 2
         sender.stop()
@@ -69,31 +71,37 @@
 
 
 def test_a_dead_peer_is_reached_again_when_it_returns():
-    """A process restarts on its address after its peers tried it for a while."""
+    """A process restarts at its address after its peers tried it for a while."""
     received = []
-    sender, receiver = started("a", []), started("b", received)
+    sender, receiver = start_mailbox("a", []), start_mailbox("b", received)
     address = receiver.address
-    arrives(sender, address, received, "before")
+    send_until_received(sender, address, received, "before")
     receiver.stop()
-    wait_for(lambda: sender.send(address, Withdraw("lost", "e")) or gone_silent(sender))
-    returned = started("b", received, listen_address=address)
-    arrives(sender, address, received, "after")
+    wait_for(
+        lambda: (
+            sender.send(address, Withdraw("lost", "e")) or has_silent_connection(sender)
+        )
+    )
+    returned = start_mailbox("b", received, listen_address=address)
+    send_until_received(sender, address, received, "after")
     sender.stop()
     returned.stop()
 
 
-def gone_silent(mailbox: Mailbox) -> bool:
+def has_silent_connection(mailbox: Mailbox) -> bool:
     return mailbox.counters.connections_silent > 0
 
 
 def test_a_dead_peer_costs_bounded_memory():
-    """A burst of messages to a dead process must be dropped, not kept.
+    """A burst of messages to a dead process could fill the memory of the sender.
 
-    The process that they are for is frozen: its port takes connections and bytes,
-    and nobody answers. Its senders go on at full speed. What waits for one peer
-    stays under the limit, and the rest is counted as dropped.
+    The receiving process is frozen: its port accepts connections and bytes, but never
+    answers, while the sender continues at full speed. The bytes queued for one peer
+    stay under the limit, and the other messages are counted as dropped.
     """
-    sender = started("a", [], max_unacknowledged_bytes=10_000, silence_seconds=60.0)
+    sender = start_mailbox(
+        "a", [], max_unacknowledged_bytes=10_000, silence_seconds=60.0
+    )
     with socket.create_server(("127.0.0.1", 0)) as frozen:
         address = "{}:{}".format(*frozen.getsockname())
         for _ in range(200):
@@ -105,13 +113,13 @@
 
 
 def test_what_was_sent_before_stopping_arrives():
-    """A sidecar that leaves says so last; its entries must not wait for its lease.
+    """A leaving sidecar announces it last, so that entries need not await its lease.
 
-    Closing a connection drops what still waits on it.
+    Closing the connection would drop the messages still queued on it.
     """
     received = []
-    receiver = started("b", received)
-    sender = started("a", [], flush_seconds=60.0)
+    receiver = start_mailbox("b", received)
+    sender = start_mailbox("a", [], flush_seconds=60.0)
     for number in range(100):
         sender.send(receiver.address, Withdraw(f"{number}", "e"))
     sender.stop()
@@ -121,17 +129,17 @@
 
 def test_an_idle_peer_is_forgotten_on_both_sides():
     received = []
-    sender = started("a", [], idle_seconds=0.1)
-    receiver = started("b", received, idle_seconds=0.1)
-    arrives(sender, receiver.address, received, "u")
+    sender = start_mailbox("a", [], idle_seconds=0.1)
+    receiver = start_mailbox("b", received, idle_seconds=0.1)
+    send_until_received(sender, receiver.address, received, "u")
     wait_for(lambda: not sender.peers and not receiver.peers)
-    arrives(sender, receiver.address, received, "v")
+    send_until_received(sender, receiver.address, received, "v")
     sender.stop()
     receiver.stop()
 
 
 def test_an_oversized_message_is_dropped_where_it_is_sent():
-    sender = started("a", [], max_message_bytes=1000)
+    sender = start_mailbox("a", [], max_message_bytes=1000)
     sender.send("127.0.0.1:1", Withdraw("u" * 1000, "e"))
     assert sender.counters.dropped_oversized == 1
     assert not sender.peers
