--- a/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/chunked_body.py
@@ -1,7 +1,7 @@
-"""Read a body in chunks, with a bound on everything that a caller can send.
+"""Read a body with chunked encoding, with a limit on every part of it.
 
-The HTTP library's own reader bounds the data but not the lines between: a line without
-an end would grow in memory for as long as its caller cares to send it.
+The HTTP library's own reader limits the data but not the lines between the chunks: a
+line without an end would grow in memory for as long as its caller keeps sending.
 """
 
 import re
@@ -11,13 +11,13 @@
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 
 CRLF = b"\r\n"
-MOST_LINE_BYTES = 1024
-MOST_TRAILERS = 32
+MAX_LINE_BYTES = 1024
+MAX_TRAILERS = 32
 SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(;[^\r\n]*)?\r\n")
 
 
 def too_large(limit: int) -> BadCallError:
-    """Refuse a body above the limit."""
+    """Return the error for a body above the limit."""
     detail = f"a body may have {limit} bytes"
     return BadCallError(
         Refusal(RefusalCode.NOT_RUN, RefusalReason.TOO_LARGE, "parse", detail=detail)
@@ -25,7 +25,7 @@
 
 
 def read_chunked(reader: BufferedReader, limit: int) -> bytes:
-    """Read to the end of the body; raises ValueError where its form is wrong."""
+    """Read the body to its end; raises ValueError if it is malformed."""
     parts: list[bytes] = []
     size = 0
     while length := _chunk_length(reader):
@@ -41,15 +41,15 @@
 
 
 def _chunk_length(reader: BufferedReader) -> int:
-    match = SIZE_LINE.fullmatch(reader.readline(MOST_LINE_BYTES))
+    match = SIZE_LINE.fullmatch(reader.readline(MAX_LINE_BYTES))
     if match is None:
         raise ValueError("a chunk has no valid size")
     return int(match[1], 16)
 
 
 def _skip_trailers(reader: BufferedReader) -> None:
-    for _ in range(MOST_TRAILERS):
-        line = reader.readline(MOST_LINE_BYTES)
+    for _ in range(MAX_TRAILERS):
+        line = reader.readline(MAX_LINE_BYTES)
         if line == CRLF:
             return
         if not line.endswith(CRLF):
--- a/packages/cli/src/cowslipshelf_cli/internal/checking.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/check_command.py
@@ -1,11 +1,11 @@
-"""Check settings files, each by itself and together."""
+"""Implement the command `check`: settings files alone and as one fleet."""
 
 from collections.abc import Sequence
 
 from result import Err, Ok
 
 from cowslipshelf_cli.exit_codes import ExitCode
-from cowslipshelf_cli.internal.writing import Writer
+from cowslipshelf_cli.internal.output import Writer
 from cowslipshelf_host.settings import (
     LoadedSettings,
     SettingsProblem,
@@ -15,7 +15,7 @@
 
 
 def check(files: Sequence[str], writer: Writer) -> ExitCode:
-    """Check files and print every problem in them."""
+    """Check files and show every problem in them."""
     problems: list[SettingsProblem] = []
     sound: list[LoadedSettings] = []
     for file in files:
--- a/packages/cli/src/cowslipshelf_cli/internal/load/command.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/command.py
@@ -1,4 +1,4 @@
-"""Run the command `load`."""
+"""Implement the command `load`."""
 
 import math
 from pathlib import Path
@@ -6,12 +6,17 @@
 import msgspec
 
 from cowslipshelf_cli.exit_codes import ExitCode
+from cowslipshelf_cli.internal.command_context import (
+    CommandContext,
+    check_address,
+    read_text,
+)
 from cowslipshelf_cli.internal.commands import Load
 from cowslipshelf_cli.internal.failures import CommandFailedError
-from cowslipshelf_cli.internal.load.open_loop import Pace, run_open_loop
+from cowslipshelf_cli.internal.load.open_loop import LoadClock, run_open_loop
 from cowslipshelf_cli.internal.load.outcome import Ending
 from cowslipshelf_cli.internal.load.report import figures_document, figures_lines
-from cowslipshelf_cli.internal.load.sending import Sender, SenderConfig
+from cowslipshelf_cli.internal.load.sender import Sender, SenderConfig
 from cowslipshelf_cli.internal.load.shape import (
     Arrival,
     CustomerShare,
@@ -23,45 +28,40 @@
 from cowslipshelf_cli.internal.load.statistics import (
     FiguresConfig,
     UnloadedTime,
-    sum_up,
-)
-from cowslipshelf_cli.internal.surroundings import (
-    Surroundings,
-    check_address,
-    read_text,
+    summarize,
 )
-from cowslipshelf_cli.internal.writing import Writer, json_text
+from cowslipshelf_cli.internal.output import Writer, json_text
 
 BROKEN_ENDINGS = frozenset({Ending.CUT, Ending.UNREACHABLE})
 
 
 class LoadCustomer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Be a customer that requests are sent for."""
+    """Hold a customer, its key and its share of the requests."""
 
     name: str
     key: str
     share: float = 1.0
 
     def __repr__(self) -> str:
-        """Leave the key out."""
+        """Omit the key."""
         return f"LoadCustomer(name={self.name!r})"
 
 
-def run_load(command: Load, surroundings: Surroundings, writer: Writer) -> ExitCode:
-    """Send a load, sum it up and show the figures."""
-    customers = read_customers(command, surroundings)
+def run_load(command: Load, context: CommandContext, writer: Writer) -> ExitCode:
+    """Send a load and show its figures."""
+    customers = read_customers(command, context)
     shape = shape_of(command, customers)
     config = sender_config(command, customers)
     sender = Sender(config)
     try:
         unloaded = calibrate(command, sender, customers[0].name)
         outcomes = run_open_loop(
-            draw_arrivals(shape), sender.send, config.most_concurrent, Pace()
+            draw_arrivals(shape), sender.send, config.max_concurrent, LoadClock()
         )
     finally:
         sender.close()
     measure = FiguresConfig(command.short_tokens, command.deadline, unloaded)
-    figures = sum_up(outcomes, measure)
+    figures = summarize(outcomes, measure)
     document = figures_document(shape, unloaded, figures)
     if command.output is not None:
         write_figures(command.output, json_text(document))
@@ -70,7 +70,7 @@
 
 
 def exit_code(endings: set[Ending]) -> ExitCode:
-    """Judge a load; under overload refusals are right, but not of everything."""
+    """Choose the exit code; refusals are expected under overload, if some succeed."""
     if endings & BROKEN_ENDINGS:
         return ExitCode.NOT_WHOLE
     if Ending.REFUSED in endings and Ending.WHOLE not in endings:
@@ -78,11 +78,9 @@
     return ExitCode.DONE
 
 
-def read_customers(
-    command: Load, surroundings: Surroundings
-) -> tuple[LoadCustomer, ...]:
+def read_customers(command: Load, context: CommandContext) -> tuple[LoadCustomer, ...]:
     """Read the customers and their keys."""
-    text = read_text(command.customers, surroundings)
+    text = read_text(command.customers, context)
     try:
         customers = msgspec.json.decode(text, type=tuple[LoadCustomer, ...])
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
@@ -98,7 +96,7 @@
             "list each customer once",
         )
     for customer in customers:
-        # The key goes into a header, which a line break in it would end early.
+        # The key becomes part of a header, which a line break would end early.
         if not (customer.key.isascii() and customer.key.isprintable()):
             raise CommandFailedError(
                 ExitCode.USAGE,
@@ -109,7 +107,7 @@
 
 
 def shape_of(command: Load, customers: tuple[LoadCustomer, ...]) -> LoadShape:
-    """Take the shape of the load from the options."""
+    """Build the shape of the load from the options."""
     shape = LoadShape(
         seed=command.seed,
         arrivals_per_second=command.rate,
@@ -130,7 +128,7 @@
 
 
 def sender_config(command: Load, customers: tuple[LoadCustomer, ...]) -> SenderConfig:
-    """Take from the options where requests go and what they ask for."""
+    """Build the sender's configuration from the options."""
     for address in command.callers:
         check_address(address)
     positive = (command.most_concurrent, command.output_tokens, command.deadline)
@@ -145,14 +143,14 @@
         model=command.model,
         output_tokens=command.output_tokens,
         deadline_seconds=command.deadline,
-        most_concurrent=command.most_concurrent,
+        max_concurrent=command.most_concurrent,
         marker=f"load-{command.seed}",
         keys={customer.name: customer.key for customer in customers},
     )
 
 
 def calibrate(command: Load, sender: Sender, customer: str) -> UnloadedTime | None:
-    """Time short prompts one after the other, before anything else is sent."""
+    """Measure short prompts one at a time, before the load is sent."""
     samples: list[tuple[int, float]] = []
     low = min(command.shortest_tokens, command.short_tokens)
     for index in range(command.calibrate):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/routes_exchange.py
@@ -36,9 +36,9 @@
         self.copies = 0
         """Copies of configurations received, useful or not."""
 
-    def answer(self, address: str, question: FetchRoutes) -> None:
+    def answer(self, address: str, query: FetchRoutes) -> None:
         """Send the configuration in force to a gateway with an older one."""
-        if self.view.document.version > question.have_version:
+        if self.view.document.version > query.have_version:
             self.messenger.send(address, RoutesSnapshot(self.view.document, False))
 
     def fetch_when_due(self) -> None:
@@ -78,11 +78,11 @@
         if snapshot.query_id:
             self.client.record_answer(snapshot)
         elif sender != self.view.settings.instance:
-            self.record_copy(sender, document)
+            self.log_copy(sender, document)
         if document.body and self.apply_routes(document):
             self.fetch.record_copy(len(document.body), time.monotonic())
 
-    def record_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
+    def log_copy(self, sender: InstanceId, document: RoutesDocument) -> None:
         """Log and count a received copy; needless copies saturate links."""
         self.copies += 1
         LOG.info(
--- a/packages/standins/src/cowslipshelf_standins/__main__.py
+++ b/packages/standins/src/cowslipshelf_standins/__main__.py
@@ -26,7 +26,7 @@
 
 
 class Ready(msgspec.Struct, frozen=True):
-    """Tell where the stand-ins of this process listen."""
+    """Report the addresses at which this process's stand-ins listen."""
 
     kind: str
     address: str
@@ -52,20 +52,20 @@
     flag = "--" + name.replace("_", "-")
     match default:
         case bool():
-            options.add_argument(flag, type=is_true, default=default)
+            options.add_argument(flag, type=parse_bool, default=default)
         case tuple():
             options.add_argument(flag, nargs="*", default=default)
         case _:
             options.add_argument(flag, type=type(default), default=default)
 
 
-def is_true(text: str) -> bool:
-    """Read a truth value."""
+def parse_bool(text: str) -> bool:
+    """Return whether a flag's value means true."""
     return text.lower() in TRUE_WORDS
 
 
 def start_servers(arguments: Namespace) -> list[StandInServer]:
-    """Start the stand-ins that the arguments ask for."""
+    """Start the stand-ins that the arguments describe."""
     server_type, config_type = SERVERS[arguments.kind]
     values = {name: getattr(arguments, name) for name in config_type._fields}
     values = {n: tuple(v) if isinstance(v, list) else v for n, v in values.items()}
@@ -75,7 +75,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run stand-ins until a signal ends the process."""
+    """Run stand-ins until SIGINT or SIGTERM."""
     parsed = build_parser().parse_args(arguments)
     ended = Event()
     for number in (SIGINT, SIGTERM):
