--- a/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/peer.py
@@ -1,4 +1,4 @@
-"""Own the connection of a mailbox to one peer."""
+"""Manage the connection of a mailbox to one peer."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,22 +12,22 @@
 from cowslipshelf_fleet.internal.envelope import MailboxHeartbeat
 from cowslipshelf_fleet.internal.link import (
     CloseConnection,
-    DialAnew,
     ForgetPeer,
+    OpenConnection,
     PeerLink,
     SendHeartbeat,
 )
 
-QUEUED_MESSAGES = 1024
-"""Far more than a burst; what may wait is bounded in bytes first."""
-LEAST_REDIAL_MILLISECONDS = 50
-MOST_REDIAL_MILLISECONDS = 1000
+MAX_QUEUED_MESSAGES = 1024
+"""Far more than a burst; the limit in bytes normally applies first."""
+MIN_RECONNECT_MILLISECONDS = 50
+MAX_RECONNECT_MILLISECONDS = 1000
 
 
 class Peer:
     """Send to one peer over a push socket that is dialled lazily.
 
-    Every call is short: nothing here waits for the network.
+    No call blocks on the network.
     """
 
     def __init__(
@@ -46,19 +46,19 @@
         self.forgotten = False
 
     def send(self, data: bytes) -> None:
-        """Send encoded bytes, or count why they were dropped."""
+        """Send an encoded message, or count why it was dropped."""
         now = monotonic()
         with self.lock:
-            self.link.use(now)
+            self.link.record_use(now)
             self.dial_if_due(now)
             if not self.link.dialled:
                 self.counters.add(CountedEvent.NOT_CONNECTED)
                 return
-            if not self.link.admits(len(data)) or not self.push(data):
+            if not self.link.can_send(len(data)) or not self.try_send(data):
                 self.counters.add(CountedEvent.NO_ROOM)
                 return
-            self.link.sent(len(data))
-            early = self.link.wants_early_heartbeat()
+            self.link.record_sent(len(data))
+            early = self.link.needs_early_heartbeat()
             heartbeat = (
                 self.link.next_heartbeat(now, reply_requested=True) if early else None
             )
@@ -67,39 +67,41 @@
             self.send_heartbeat(heartbeat)
 
     def send_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
-        """Send a heartbeat; a lost one is followed by another."""
+        """Send a heartbeat; a lost one is followed by later ones."""
         data = self.encode(heartbeat)
         with self.lock:
-            self.push(data)
+            self.try_send(data)
 
-    def heard(self, message: Message) -> None:
-        """Note that the peer sent something."""
+    def record_received(self, message: Message) -> None:
+        """Record that the peer sent a message."""
         with self.lock:
-            self.link.heard_anything(monotonic())
+            self.link.record_alive(monotonic())
         if isinstance(message, MailboxHeartbeat):
-            self.heard_heartbeat(message)
+            self.handle_heartbeat(message)
 
-    def heard_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
-        """Note a heartbeat, and answer it where it asks for that."""
+    def handle_heartbeat(self, heartbeat: MailboxHeartbeat) -> None:
+        """Record a heartbeat, and answer it if requested."""
         now = monotonic()
         with self.lock:
-            self.link.heard(heartbeat, now)
+            self.link.record_heartbeat(heartbeat, now)
             self.dial_if_due(now)
-            wanted = heartbeat.reply_requested and self.link.dialled
+            must_answer = heartbeat.reply_requested and self.link.dialled
             answer = (
-                self.link.next_heartbeat(now, reply_requested=False) if wanted else None
+                self.link.next_heartbeat(now, reply_requested=False)
+                if must_answer
+                else None
             )
         if answer is not None:
             self.send_heartbeat(answer)
 
     def tick(self, random: Random) -> None:
-        """Do what is due now."""
+        """Perform the actions that are due now."""
         now = monotonic()
         with self.lock:
             effects = self.link.tick(now, random)
         for effect in effects:
             match effect:
-                case DialAnew():
+                case OpenConnection():
                     with self.lock:
                         self.dial_if_due(now)
                 case SendHeartbeat(heartbeat):
@@ -111,41 +113,41 @@
                     self.counters.add(CountedEvent.IDLE)
                     self.forgotten = True
 
-    def ask_for_answer(self) -> None:
-        """Ask for an answer at once, where bytes were sent and not answered for."""
+    def request_acknowledgement(self) -> None:
+        """Request an answer at once, if there are unacknowledged bytes."""
         with self.lock:
-            if not self.link.has_unanswered():
+            if not self.link.has_unacknowledged_bytes():
                 return
             heartbeat = self.link.next_heartbeat(monotonic(), reply_requested=True)
         self.send_heartbeat(heartbeat)
 
-    def has_unanswered(self) -> bool:
-        """Tell whether bytes were sent that no heartbeat has vouched for."""
+    def has_unacknowledged_bytes(self) -> bool:
+        """Return whether sent bytes are not acknowledged yet."""
         with self.lock:
-            return self.link.has_unanswered()
+            return self.link.has_unacknowledged_bytes()
 
     def close(self) -> None:
-        """Close the socket; outside the lock, as closing waits for the library."""
+        """Close the socket, outside the lock, since closing blocks on the library."""
         with self.lock:
             socket, self.socket = self.socket, None
         if socket is not None:
             socket.close()
 
     def dial_if_due(self, now: float) -> None:
-        """Open the connection where there is none and its pause is over."""
+        """Dial a connection, if there is none and the backoff is over."""
         if self.link.dialled or now < self.link.dial_at:
             return
         self.socket = pynng.Push0(
-            send_buffer_size=QUEUED_MESSAGES,
-            reconnect_time_min=LEAST_REDIAL_MILLISECONDS,
-            reconnect_time_max=MOST_REDIAL_MILLISECONDS,
+            send_buffer_size=MAX_QUEUED_MESSAGES,
+            reconnect_time_min=MIN_RECONNECT_MILLISECONDS,
+            reconnect_time_max=MAX_RECONNECT_MILLISECONDS,
         )
         self.socket.dial(f"tcp://{self.address}", block=False)
         self.link.dial(now)
         self.counters.add(CountedEvent.DIALLED)
 
-    def push(self, data: bytes) -> bool:
-        """Hand bytes to the socket without waiting; tell whether it took them."""
+    def try_send(self, data: bytes) -> bool:
+        """Pass bytes to the socket without blocking; return whether it took them."""
         if self.socket is None:
             return False
         try:
