--- a/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
@@ -1,4 +1,4 @@
-"""Put refusals into the published error shape, with a status by their reason."""
+"""Convert refusals to the published error shape; their reason gives the status."""
 
 import math
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.identifiers import RequestId
 
-LEAST_RETRY_AFTER_SECONDS = 1.0
+MIN_RETRY_AFTER_SECONDS = 1.0
 
 STATUS_BY_REASON = {
     RefusalReason.BUSY: 503,
@@ -37,7 +37,7 @@
     RefusalReason.CANCELLED: 503,
 }
 
-STATUSES_THAT_INVITE_A_RETRY = frozenset({429, 503})
+RETRYABLE_STATUSES = frozenset({429, 503})
 BAD_GATEWAY = 502
 TOO_LARGE = 413
 CONFLICT = 409
@@ -52,7 +52,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Be the error object of the published shape."""
+    """Hold the error object of the published shape."""
 
     message: str
     type: str
@@ -70,7 +70,7 @@
 
 
 class RefusalResponse(NamedTuple):
-    """Be a refusal as it goes over HTTP."""
+    """Hold a refusal as an HTTP response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -78,46 +78,46 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Choose the HTTP status; only "not run" invites a retry by its status."""
+    """Return the HTTP status; only "not run" gets one that invites a retry."""
     status = STATUS_BY_REASON[refusal.reason]
     if refusal.code is RefusalCode.NOT_RUN:
         return status
-    if status in STATUSES_THAT_INVITE_A_RETRY:
+    if status in RETRYABLE_STATUSES:
         return BAD_GATEWAY
     if status == TOO_LARGE:
-        # Not the request is too large but its stored answer, which a resend asks for.
+        # The stored answer that a resend asks for is too large, not the request.
         return CONFLICT
     return status
 
 
-def response_to(
+def error_response(
     refusal: Refusal, request_id: RequestId, status: int | None = None
 ) -> RefusalResponse:
-    """Write a refusal in place of an answer; its reason gives the status if none is."""
+    """Return a refusal as a response; its reason gives a missing status."""
     status = status or status_of(refusal)
     seconds = refusal.retry_after_seconds
-    if status in STATUSES_THAT_INVITE_A_RETRY:
-        seconds = max(seconds or 0.0, LEAST_RETRY_AFTER_SECONDS)
+    if status in RETRYABLE_STATUSES:
+        seconds = max(seconds or 0.0, MIN_RETRY_AFTER_SECONDS)
     headers = [("Content-Type", "application/json")]
     if seconds is not None:
-        whole = math.ceil(max(seconds, LEAST_RETRY_AFTER_SECONDS))
-        headers.append(("Retry-After", str(whole)))
-    if _must_not_be_repeated(refusal):
-        # Published clients repeat most error statuses unless told not to.
+        whole_seconds = math.ceil(max(seconds, MIN_RETRY_AFTER_SECONDS))
+        headers.append(("Retry-After", str(whole_seconds)))
+    if _must_not_retry(refusal):
+        # Published clients retry most error statuses unless told not to.
         headers.append(("X-Should-Retry", "false"))
     body = msgspec.json.encode(_document(refusal, status, request_id, seconds))
     return RefusalResponse(status, tuple(headers), body)
 
 
-def event_of(refusal: Refusal, request_id: RequestId) -> bytes:
-    """Write a refusal as an event of a stream that already began."""
+def error_event(refusal: Refusal, request_id: RequestId) -> bytes:
+    """Encode a refusal as an event of a stream that has already started."""
     status = status_of(refusal)
     seconds = refusal.retry_after_seconds
     body = msgspec.json.encode(_document(refusal, status, request_id, seconds))
     return b"data: " + body + b"\n\n"
 
 
-def _must_not_be_repeated(refusal: Refusal) -> bool:
+def _must_not_retry(refusal: Refusal) -> bool:
     return (
         refusal.code is RefusalCode.OUTCOME_UNKNOWN
         and refusal.reason is not RefusalReason.STILL_RUNNING
@@ -144,10 +144,10 @@
 
 
 def _message(refusal: Refusal) -> str:
-    claims = {
+    summaries = {
         RefusalCode.NOT_RUN: "The request did not run",
         RefusalCode.OUTCOME_UNKNOWN: "The request may have run",
         RefusalCode.FAILED: "The request did not finish",
     }
-    why = refusal.detail or refusal.reason.value.replace("_", " ")
-    return f"{claims[refusal.code]}: {why}."
+    cause = refusal.detail or refusal.reason.value.replace("_", " ")
+    return f"{summaries[refusal.code]}: {cause}."
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_client.py
@@ -1,4 +1,4 @@
-"""Reach the attempts of sidecars over HTTP."""
+"""Access the attempts of sidecars over HTTP."""
 
 from time import monotonic
 from typing import NamedTuple
@@ -36,32 +36,32 @@
     encoder,
     refused_decoder,
     request_tag,
+    request_target,
     revoked_decoder,
-    target_of,
 )
 from cowslipshelf_fleet.internal.fresh_connections import FreshConnectionPool
 
-MOST_POOLS = 512
-MOST_KEPT_CONNECTIONS = 8
-"""Kept for each sidecar; only fresh ones are used again, so few are of use, and one
-that the sidecar has closed meanwhile holds a file descriptor until its turn."""
+MAX_POOLS = 512
+MAX_IDLE_CONNECTIONS = 8
+"""Idle connections per sidecar. Only recently used ones are reused, so few are useful,
+and one that the sidecar has closed holds a file descriptor until the pool picks it."""
 
 HAND_OVER_STEP = "hand over"
 
 
 class AttemptsClientConfig(NamedTuple):
-    """Say how long an entry waits for sidecars."""
+    """Configure the timeouts and the key for requests to sidecars."""
 
     connect_seconds: float
     silence_seconds: float
-    """Longest time without a byte from the sidecar, heartbeats included."""
+    """Maximum time without a byte from the sidecar, heartbeats included."""
     cluster_key: bytes
 
 
 class AttemptsClient:
-    """Hand attempts to sidecars and read their frames; safe between threads.
+    """Hand over attempts to sidecars and read their frames; thread-safe.
 
-    Nothing is ever sent twice by the client itself.
+    The client never retries a request.
     """
 
     def __init__(self, config: AttemptsClientConfig) -> None:
@@ -69,12 +69,12 @@
             connect=config.connect_seconds, read=config.silence_seconds
         )
         self.tagger = attempts_tagger(config.cluster_key)
-        self.pools = PoolManager(num_pools=MOST_POOLS, maxsize=MOST_KEPT_CONNECTIONS)
+        self.pools = PoolManager(num_pools=MAX_POOLS, maxsize=MAX_IDLE_CONNECTIONS)
         self.pools.pool_classes_by_scheme = {"http": FreshConnectionPool}
 
     @classmethod
     def from_config(cls, config: AttemptsClientConfig) -> "AttemptsClient":
-        """Make a client without connections."""
+        """Create a client without connections."""
         return cls(config)
 
     def hand_over(
@@ -83,21 +83,21 @@
         """Send an attempt, once, and return its frames or why there are none."""
         body = encoder.encode(hand_over)
         try:
-            response = self.ask(address, "POST", HandOverRequest(), body)
-            return self.hand_over_answer(address, response)
+            response = self.send_request(address, "POST", HandOverRequest(), body)
+            return self.parse_hand_over_response(address, response)
         except (NewConnectionError, ConnectTimeoutError) as error:
-            # Both are raised only while connecting: no byte of the request left.
+            # Both are raised only while connecting: no byte of the request was sent.
             return HandOverFailed(False, HAND_OVER_STEP, address, str(error))
         except (HTTPError, OSError, msgspec.MsgspecError) as error:
             return HandOverFailed(True, HAND_OVER_STEP, address, str(error))
 
-    def hand_over_answer(
+    def parse_hand_over_response(
         self, address: str, response: BaseHTTPResponse
     ) -> AttemptStream | AttemptRefused | HandOverFailed:
-        """Return what the sidecar's answer to a hand-over says."""
+        """Parse the response of the sidecar to a hand-over."""
         if response.status == STATUS_STREAM:
             return AttemptStream(response, address)
-        content = read_whole(response)
+        content = read_body(response)
         if response.status == STATUS_REFUSED:
             return refused_decoder.decode(content)
         detail = f"status {response.status} {content[:200]!r}"
@@ -106,13 +106,13 @@
     def resume(
         self, address: str, attempt_id: AttemptId, after_sequence: int
     ) -> AttemptStream | None:
-        """Return the frames after a chunk, or None where they can't be had."""
+        """Return the frames after a chunk, or None if they are not available."""
         request = FramesRequest(attempt_id, after_sequence)
         try:
-            response = self.ask(address, "GET", request)
+            response = self.send_request(address, "GET", request)
             if response.status == STATUS_STREAM:
                 return AttemptStream(response, address)
-            read_whole(response)
+            read_body(response)
         except (HTTPError, OSError):
             return None
         return None
@@ -124,11 +124,13 @@
         epoch: Epoch,
         load_sequence: int = 0,
     ) -> NeverRan | MayHaveRun | None:
-        """Ask for the promise that an attempt never runs; None is no answer."""
+        """Ask for the guarantee that an attempt never runs; None if unanswered."""
         body = encoder.encode(RevokeBody(epoch, load_sequence))
         try:
-            response = self.ask(address, "POST", RevokeRequest(attempt_id), body)
-            content = read_whole(response)
+            response = self.send_request(
+                address, "POST", RevokeRequest(attempt_id), body
+            )
+            content = read_body(response)
             if response.status != STATUS_STREAM:
                 return None
             return revoked_decoder.decode(content)
@@ -138,20 +140,22 @@
     def begin(
         self, address: str, attempt_id: AttemptId, parts: tuple[KvReference, ...]
     ) -> bool:
-        """Let a reserved attempt begin; return whether the sidecar surely heard it."""
+        """Start a reserved attempt; return whether the sidecar confirmed it."""
         body = encoder.encode(PartsReady(parts))
         try:
-            response = self.ask(address, "POST", PartsRequest(attempt_id), body)
-            read_whole(response)
+            response = self.send_request(
+                address, "POST", PartsRequest(attempt_id), body
+            )
+            read_body(response)
         except (HTTPError, OSError):
             return False
         return response.status == STATUS_DONE
 
     def cancel(self, address: str, attempt_id: AttemptId) -> bool:
-        """Cancel an attempt; return whether the sidecar is known to have heard it."""
+        """Cancel an attempt; return whether the sidecar confirmed it."""
         try:
-            response = self.ask(address, "DELETE", CancelRequest(attempt_id))
-            read_whole(response)
+            response = self.send_request(address, "DELETE", CancelRequest(attempt_id))
+            read_body(response)
         except (HTTPError, OSError):
             return False
         return response.status == STATUS_DONE
@@ -160,11 +164,11 @@
         """Close the connections that are not in use."""
         self.pools.clear()
 
-    def ask(
+    def send_request(
         self, address: str, method: str, request: AttemptsRequest, body: bytes = b""
     ) -> BaseHTTPResponse:
-        """Send one request once, and return the beginning of its answer."""
-        target = target_of(request)
+        """Send a request once, and return the response with its body unread."""
+        target = request_target(request)
         host, port = parse_address(address)
         pool = self.pools.connection_from_host(host, port, "http")
         headers = {
@@ -184,10 +188,10 @@
         )
 
 
-def read_whole(response: BaseHTTPResponse) -> bytes:
-    """Read a short answer and give its connection back."""
+def read_body(response: BaseHTTPResponse) -> bytes:
+    """Read the whole body of a short response and release its connection."""
     connection = response.connection
     content = response.read()
-    connection.last_heard = monotonic()
+    connection.last_received_at = monotonic()
     response.release_conn()
     return content
--- a/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/frame_buffer.py
@@ -1,4 +1,4 @@
-"""Keep the frames of one attempt, so that a cut stream can be read again."""
+"""Buffer the frames of one attempt, so that an interrupted stream can resume."""
 
 from threading import Condition
 from time import monotonic
@@ -14,42 +14,43 @@
 )
 from cowslipshelf_fleet.errors import FrameOrderError
 
-MOST_BUFFERED_BYTES = 16 * 1024 * 1024
-MOST_FRAMES_READ = 256
-"""Frames read at once, so that a resume doesn't copy a whole answer in one piece."""
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024
+MAX_FRAMES_PER_READ = 256
+"""Limit on frames per read, so that a resume doesn't copy a whole answer at once."""
 FRAME_OVERHEAD_BYTES = 128
-"""Memory of a frame besides its data, so that many empty frames are bounded too."""
+"""Memory of a frame besides its data, so that many empty frames are limited too."""
 
 
 class FrameBuffer:
-    """Hold all frames of an attempt until it is forgotten; safe between threads.
+    """Hold all frames of an attempt until it is forgotten; thread-safe.
 
-    One thread writes; another may end the stream meanwhile; each response reads.
-    Positions count frames; sequence numbers count chunks, from one.
+    One thread writes, another one may end the stream meanwhile, and each response
+    reads. Positions count frames; sequence numbers count chunks, from one.
     """
 
-    def __init__(self, max_bytes: int = MOST_BUFFERED_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
         self.max_bytes = max_bytes
         self.frames: list[Frame] = []
-        self.bytes = 0
+        self.buffered_bytes = 0
         self.last_sequence = 0
         self.frames_before_chunks = 0
-        self.began = False
-        """Whether a head came, or the one word on a part of a prompt."""
+        self.started = False
+        """Whether a `StreamHead` or a `PartPrefilled` was appended."""
         self.finished = False
         """Whether the last frame of the stream was appended."""
         self.read_to_end = False
-        """Whether a reader has taken the last frame."""
+        """Whether a reader has read the last frame."""
         self.closed = False
-        self.reader = 0
+        self.current_reader = 0
+        """Number of the only reader that still gets frames."""
         self.changed = Condition()
 
     def append(self, frame: Frame) -> bool:
-        """Add the next frame; return False, and add nothing, where it is too much.
+        """Append the next frame, or return False if it is not accepted.
 
-        The writer must then end the stream with a refusal: the last frame is
-        always taken. Frames already sent can't make room, since a resumed stream
-        may need them.
+        If the buffer is full, the writer must end the stream with a refusal: the last
+        frame is always accepted. Frames already sent can't be discarded to make room,
+        since a resumed stream may need them.
         """
         size = frame_size(frame)
         with self.changed:
@@ -57,27 +58,31 @@
                 return False
             self.check_order(frame)
             is_last = isinstance(frame, StreamEnd)
-            if self.closed or (self.bytes + size > self.max_bytes and not is_last):
+            if self.closed or (
+                self.buffered_bytes + size > self.max_bytes and not is_last
+            ):
                 return False
             self.frames.append(frame)
-            self.bytes += size
-            self.note(frame)
+            self.buffered_bytes += size
+            self.update_state(frame)
             self.changed.notify_all()
             return True
 
     def end(self, refusal: Refusal | None = None, upstream_ended: bool = False) -> bool:
-        """End the stream after all that was added; False where it had ended."""
+        """End the stream after the appended frames; return False if it had ended."""
         with self.changed:
             end = StreamEnd(self.last_sequence, refusal, upstream_ended)
             return self.append(end)
 
     def read_after(self, sequence: int, timeout: float) -> list[Frame]:
-        """Return the next frames after a chunk; wait `timeout` seconds for one.
+        """Return the next frames after a chunk; wait up to `timeout` seconds for one.
 
-        Sequence zero stands for the beginning, the head included: whoever has
-        seen the head and no chunk gets the head again.
+        Sequence zero means the start, including the head: a client that has received
+        the head but no chunk gets the head again.
         """
-        return self.read_from(self.position_after(sequence), timeout, self.reader)
+        return self.read_from(
+            self.position_after(sequence), timeout, self.current_reader
+        )
 
     def position_after(self, sequence: int) -> int:
         """Return the position of the first frame after a chunk."""
@@ -86,20 +91,20 @@
         with self.changed:
             return self.frames_before_chunks + sequence
 
-    def take_over(self) -> int:
+    def replace_reader(self) -> int:
         """Make the caller the only reader, and return its number.
 
-        A stream that fell silent is resumed over a new connection while the
-        response on the old one still waits; without this each resume would leave
-        a thread behind until the attempt's end.
+        A stream that went silent is resumed over a new connection while the response
+        on the old one still waits; without this, each resume would leave a blocked
+        thread behind until the attempt ends.
         """
         with self.changed:
-            self.reader += 1
+            self.current_reader += 1
             self.changed.notify_all()
-            return self.reader
+            return self.current_reader
 
     def read_from(self, position: int, timeout: float, reader: int) -> list[Frame]:
-        """Return the frames from a position on, for a reader not yet replaced."""
+        """Return the frames from a position on; a replaced reader gets none."""
         end = monotonic() + timeout
         with self.changed:
             while self.must_wait(position, reader):
@@ -107,41 +112,41 @@
                 if left <= 0:
                     return []
                 self.changed.wait(left)
-            if reader != self.reader:
+            if reader != self.current_reader:
                 return []
-            taken = self.frames[position : position + MOST_FRAMES_READ]
+            taken = self.frames[position : position + MAX_FRAMES_PER_READ]
             if self.finished and position + len(taken) >= len(self.frames):
                 self.read_to_end = True
             return taken
 
     def must_wait(self, position: int, reader: int) -> bool:
-        """Tell whether a reader at the position has to wait for something."""
-        if self.closed or self.finished or reader != self.reader:
+        """Return whether a reader at the position has to wait."""
+        if self.closed or self.finished or reader != self.current_reader:
             return False
         return position >= len(self.frames)
 
-    def ended_for(self, position: int, reader: int) -> bool:
-        """Tell whether a reader will never get anything more."""
+    def is_ended_for(self, position: int, reader: int) -> bool:
+        """Return whether a reader will never get another frame."""
         with self.changed:
-            if reader != self.reader or self.closed:
+            if reader != self.current_reader or self.closed:
                 return True
             return self.finished and position >= len(self.frames)
 
     def close(self) -> None:
-        """Forget the frames and let every reader go."""
+        """Discard the frames and wake every reader."""
         with self.changed:
             self.closed = True
             self.frames = []
-            self.bytes = 0
+            self.buffered_bytes = 0
             self.changed.notify_all()
 
     def check_order(self, frame: Frame) -> None:
-        """Raise `FrameOrderError` where a frame may not come next."""
+        """Raise `FrameOrderError` if the frame can't come next."""
         match frame:
             case AttemptReserved():
                 in_order = not self.frames
             case StreamHead() | PartPrefilled():
-                in_order = not self.began and not self.last_sequence
+                in_order = not self.started and not self.last_sequence
             case StreamChunk(sequence=sequence):
                 in_order = sequence == self.last_sequence + 1
             case StreamEnd(last_sequence=last_sequence):
@@ -151,13 +156,13 @@
         if not in_order:
             raise FrameOrderError(f"after chunk {self.last_sequence}: {frame!r:.100}")
 
-    def note(self, frame: Frame) -> None:
-        """Update what is known of the stream by a frame just added."""
+    def update_state(self, frame: Frame) -> None:
+        """Update the state of the stream for an appended frame."""
         match frame:
             case AttemptReserved():
                 self.frames_before_chunks += 1
             case StreamHead() | PartPrefilled():
-                self.began = True
+                self.started = True
                 self.frames_before_chunks += 1
             case StreamChunk(sequence=sequence):
                 self.last_sequence = sequence
@@ -166,6 +171,6 @@
 
 
 def frame_size(frame: Frame) -> int:
-    """Return about how much memory a frame takes, in bytes."""
+    """Return the approximate memory of a frame in bytes."""
     data = len(frame.data) if isinstance(frame, StreamChunk) else 0
     return data + FRAME_OVERHEAD_BYTES
--- a/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/engine_http.py
@@ -1,4 +1,4 @@
-"""Serve an engine over HTTP."""
+"""Serve an engine stand-in over HTTP."""
 
 from functools import cache
 from typing import Self
@@ -19,7 +19,7 @@
 from cowslipshelf_standins.internal.engine_loop import EngineLoop
 from cowslipshelf_standins.internal.event_stream import whole_answer
 from cowslipshelf_standins.internal.event_writer import EventWriter, StreamCutError
-from cowslipshelf_standins.internal.faults import FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector
 from cowslipshelf_standins.internal.http_serving import (
     BadRequestError,
     StandInHandler,
@@ -36,13 +36,13 @@
 
 
 class EngineHandler(StandInHandler):
-    """Answer the engine's paths."""
+    """Handle the requests to an engine."""
 
     server: "EngineServer"
 
     @property
     def engine(self) -> Engine:
-        """Return the engine that this connection speaks to."""
+        """Return the engine that this connection belongs to."""
         return self.server.engine
 
     def respond(self, body: bytes) -> None:
@@ -62,14 +62,14 @@
             case ("GET", ["v1", "load"]):
                 self.answer_json(200, engine.read_load())
             case ("GET", ["v1", "cache", "events"]):
-                self.answer_json(200, engine.cache_events(self.number("after")))
+                self.answer_json(200, engine.cache_events(self.query_number("after")))
             case ("POST", ["v1", "orders"]):
-                self.order(msgspec.json.decode(body, type=OrderBody))
+                self.run_order(msgspec.json.decode(body, type=OrderBody))
             case ("GET", ["v1", "orders"]):
                 self.answer_json(200, engine.orders.state())
             case ("POST", ["v1", "kv", "export"]):
                 wanted = msgspec.json.decode(body, type=KvExport)
-                self.answer_json(200, engine.export(wanted, uuid4().hex))
+                self.answer_json(200, engine.export_kv(wanted, uuid4().hex))
             case ("POST", ["v1", "kv", "import"]):
                 parts = msgspec.json.decode(body, type=KvImport).parts
                 self.answer_json(200, engine.kv_parts.add(parts))
@@ -79,12 +79,12 @@
             case _:
                 raise BadRequestError(404, "not_found", f"no path {self.path}")
 
-    def number(self, name: str) -> int:
-        """Return a number from the query; zero where it is missing."""
+    def query_number(self, name: str) -> int:
+        """Return a number from the query; 0 if it is missing."""
         return int(parse_qs(self.query).get(name, ["0"])[0])
 
     def start(self, body: bytes, chat: bool) -> None:
-        """Start an attempt and answer as it generates."""
+        """Start an attempt; stream its events or send the complete answer."""
         prompt = prompt_from_body(body, chat)
         attempt = self.engine.submit(prompt, self.start_options())
         if prompt.stream:
@@ -93,7 +93,7 @@
             self.answer_whole(attempt)
 
     def start_options(self) -> StartOptions:
-        """Read the headers that tell how to run an attempt."""
+        """Parse the headers of a request that starts an attempt."""
         headers = self.headers
         attempt_id = headers.get("X-Attempt-Id") or uuid4().hex
         start, _, end = headers.get("X-Token-Range", "0-").partition("-")
@@ -110,7 +110,7 @@
         )
 
     def resume(self, attempt_id: str) -> None:
-        """Stream an attempt's events after the last one that was seen."""
+        """Stream an attempt's events after `Last-Event-ID`."""
         attempt = self.engine.attempts.get(attempt_id)
         if attempt is None:
             raise BadRequestError(404, "unknown_attempt", f"no attempt {attempt_id}")
@@ -121,22 +121,22 @@
         self.stream(attempt, after)
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt, or only say so while that fault is in play."""
-        if self.server.switch.faults.lose_cancel:
+        """Cancel an attempt; under the fault `lose_cancel` only answer so."""
+        if self.server.injector.faults.lose_cancel:
             self.answer_json(200, Cancelled(True))
             return
         known = self.engine.cancel(attempt_id)
         self.answer_json(200 if known else 404, Cancelled(known))
 
-    def order(self, order: OrderBody) -> None:
-        """Carry an order out, or refuse it as old."""
-        accepted = self.engine.order(order)
+    def run_order(self, order: OrderBody) -> None:
+        """Run an order, or refuse it for an old fencing number."""
+        accepted = self.engine.run_order(order)
         newest = self.engine.orders.newest_fencing
         self.answer_json(200 if accepted else 409, OrderAnswer(accepted, newest))
 
     def answer_whole(self, attempt: Attempt) -> None:
-        """Answer with the whole output once it is there."""
-        attempt.all_done.wait()
+        """Send the complete answer once the attempt has finished."""
+        attempt.ended_event.wait()
         if attempt.state is AttemptState.CANCELLED:
             raise StreamCutError("the attempt was cancelled")
         self.answer_bytes(
@@ -144,9 +144,9 @@
         )
 
     def stream(self, attempt: Attempt, after: int) -> None:
-        """Stream events after a sequence number; cut the stream if cancelled."""
+        """Stream events after a sequence number; cut the stream on a cancel."""
         self.begin_stream(EVENT_STREAM_HEADERS)
-        writer = EventWriter(self.connection, attempt, after, self.server.switch)
+        writer = EventWriter(self.connection, attempt, after, self.server.injector)
         attempt.readers.append(writer)
         try:
             writer.run(self.engine.config.keep_alive_seconds)
@@ -155,30 +155,30 @@
 
 
 class EngineServer(StandInServer):
-    """Be one engine stand-in that listens."""
+    """Serve one engine stand-in."""
 
     def __init__(
         self, listen_address: str, config: EngineConfig, loop: EngineLoop
     ) -> None:
-        super().__init__(listen_address, EngineHandler, FaultSwitch())
-        self.engine = Engine(config, self.switch, loop)
+        super().__init__(listen_address, EngineHandler, FaultInjector())
+        self.engine = Engine(config, self.injector, loop)
 
     @classmethod
     def from_config(
         cls, config: EngineConfig, listen_address: str = "127.0.0.1:0"
     ) -> Self:
-        """Make an engine that listens but does not serve yet."""
+        """Create an engine that listens but does not serve yet."""
         return cls(listen_address, config, process_loop())
 
     def stop(self) -> None:
-        """Stop serving and end the engine."""
+        """Stop serving and stop the engine."""
         super().stop()
         self.engine.stop()
 
 
 @cache
 def process_loop() -> EngineLoop:
-    """Return the loop that all engines of this process share."""
+    """Return the loop shared by all engines of this process."""
     loop = EngineLoop()
     loop.start()
     return loop
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/assembly.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
@@ -1,8 +1,9 @@
-"""Put a whole answer together from an engine's stream.
+"""Assemble a non-streamed answer from an engine's stream.
 
-A whole answer is silent until it is ready, so a dead engine would show only at the
-deadline, and a cut answer could not be resumed. Asked for a stream instead, a living
-engine is never silent for long, and what has come before a cut is kept.
+An engine sends nothing of a non-streamed answer until it is complete, so a dead engine
+would be detected only at the deadline, and a truncated answer could not be resumed. So
+a stream is requested instead: a live engine never pauses one for long, and what arrived
+before a cut is kept.
 """
 
 from collections.abc import Callable, Iterator
@@ -18,7 +19,7 @@
     UpstreamStream,
 )
 
-ASSEMBLED_FIELDS = frozenset(
+ASSEMBLABLE_FIELDS = frozenset(
     (
         "frequency_penalty",
         "max_completion_tokens",
@@ -35,7 +36,7 @@
         "user",
     )
 )
-"""Fields of a request that leave a whole answer the sum of its chunks' texts."""
+"""Request fields with which a complete answer is its chunks' texts joined."""
 
 STREAM_FIELDS = {
     "stream": msgspec.Raw(b"true"),
@@ -45,26 +46,26 @@
 CHUNK_SUFFIX = ".chunk"
 JSON_TYPE = "application/json"
 
-# Chunks may carry fields that the published shape doesn't name; all are kept.
+# Chunks may have fields beyond the OpenAI format; all are kept.
 JsonObject = dict[str, Any]
 
 
 class ChoicesError(ValueError):
-    """Report a chunk that answers in another shape than was asked for."""
+    """Report a chunk with more choices than were requested."""
 
 
 @dataclass(slots=True)
 class AnswerAssembly:
-    """Hold what has come of a whole answer, over all its connections."""
+    """Collect a non-streamed answer over all connections of its attempt."""
 
     sequence: int = 0
     tokens: int = 0
-    first_piece_tokens: int = 0
-    """Tokens that the piece at the first token told of."""
+    reported_tokens: int = 0
+    """Tokens that the pieces yielded so far have counted."""
     answer: JsonObject = field(default_factory=dict)
     choice: JsonObject = field(default_factory=dict)
 
-    def take(self, piece: UpstreamPiece) -> None:
+    def add(self, piece: UpstreamPiece) -> None:
         """Add the next piece of the stream."""
         self.sequence = piece.sequence
         self.tokens += piece.tokens
@@ -81,15 +82,15 @@
                 merge(self.choice.setdefault("message", {}), message)
             merge(self.choice, choice)
 
-    def whole(self) -> bytes:
-        """Return the answer, once all of its stream has come."""
+    def encode_answer(self) -> bytes:
+        """Return the answer, once its stream is complete."""
         kind = str(self.answer.get("object", "")).removesuffix(CHUNK_SUFFIX)
         whole = self.answer | {"object": kind, "choices": [self.choice]}
         return msgspec.json.encode(whole)
 
 
 def merge(whole: JsonObject, part: JsonObject) -> None:
-    """Append the texts of a part and take over its other fields."""
+    """Append the text fields of a part and set its other fields."""
     for name, value in part.items():
         if name in TEXT_FIELDS and isinstance(value, str):
             whole[name] = (whole.get(name) or "") + value
@@ -98,56 +99,56 @@
 
 
 class AssembledStream(UpstreamStream):
-    """Give a whole answer as two pieces: an empty one at its first token, and all."""
+    """Yield an assembled answer: an empty piece at the first token, then all of it."""
 
     def __init__(
         self,
         answer: OpenAnswer,
         peer: str,
         assembly: AnswerAssembly,
-        pieces_given: int,
-        on_whole: Callable[[], object],
+        pieces_yielded: int,
+        on_complete: Callable[[], object],
     ) -> None:
         super().__init__(answer, peer, assembly.sequence, assembly.tokens)
         self.assembly = assembly
-        self.pieces_given = pieces_given
-        self.on_whole = on_whole
+        self.pieces_yielded = pieces_yielded
+        self.on_complete = on_complete
 
     @property
     def headers(self) -> Headers:
-        """Return the headers of a whole answer."""
+        """Return the headers of the assembled answer."""
         rest = (pair for pair in super().headers if pair[0].lower() != "content-type")
         return (*rest, ("Content-Type", JSON_TYPE))
 
     def read_events(self) -> Iterator[UpstreamPiece]:
-        """Yield an empty piece at the first token, and the whole answer at the end."""
+        """Yield an empty piece at the first token, and the answer at the end."""
         for piece in super().read_events():
-            self.assembly.take(piece)
-            if self.assembly.tokens and not self.pieces_given:
+            self.assembly.add(piece)
+            if self.assembly.tokens and not self.pieces_yielded:
                 yield self.next_piece(b"")
-        yield self.next_piece(self.assembly.whole())
-        self.on_whole()
+        yield self.next_piece(self.assembly.encode_answer())
+        self.on_complete()
 
     def next_piece(self, data: bytes) -> UpstreamPiece:
-        """Return the next piece, with the tokens that came since the last."""
-        given = self.assembly.first_piece_tokens if self.pieces_given else 0
+        """Return the next piece, with the tokens that arrived since the last one."""
+        given = self.assembly.reported_tokens if self.pieces_yielded else 0
         tokens = self.assembly.tokens - given
-        self.assembly.first_piece_tokens = self.assembly.tokens
-        self.pieces_given += 1
-        return UpstreamPiece(self.pieces_given, data, tokens)
+        self.assembly.reported_tokens = self.assembly.tokens
+        self.pieces_yielded += 1
+        return UpstreamPiece(self.pieces_yielded, data, tokens)
 
 
-def body_asking_for_a_stream(body: bytes) -> bytes | None:
-    """Return a request for a whole answer as one for a stream of the same.
+def stream_request_body(body: bytes) -> bytes | None:
+    """Turn the request for a non-streamed answer into one for a stream.
 
-    None where the request wants a stream anyway, or something whose chunks don't
-    simply add up.
+    Return None if the request asks for a stream already, or has fields outside
+    `ASSEMBLABLE_FIELDS`.
     """
     try:
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except msgspec.MsgspecError:
         return None
     wants_stream = bytes(fields.get("stream", b"false")) == b"true"
-    if wants_stream or not ASSEMBLED_FIELDS.issuperset(fields):
+    if wants_stream or not ASSEMBLABLE_FIELDS.issuperset(fields):
         return None
     return msgspec.json.encode(fields | STREAM_FIELDS)
--- a/tests/cover/cli/test_load_figures.py
+++ b/tests/cover/cli/test_load_figures.py
@@ -1,4 +1,4 @@
-"""Check how answers are judged and summed up."""
+"""Check how answers are classified and summarized."""
 
 import json
 import math
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from common.steady import STEADY
+from common.deterministic import DETERMINISTIC
 from cowslipshelf_cli.internal.load.answer_reader import AnswerReader
 from cowslipshelf_cli.load import (
     Arrival,
@@ -16,7 +16,7 @@
     Outcome,
     Quantiles,
     UnloadedTime,
-    sum_up,
+    summarize,
 )
 
 TOKEN = b'data: {"choices": [{"text": "x"}]}\n\n'
@@ -26,8 +26,8 @@
 
 def read(status: int, data: bytes, cuts: list[int]) -> AnswerReader:
     reader = AnswerReader(status)
-    places = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
-    for start, end in zip(places, places[1:], strict=False):
+    offsets = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
+    for start, end in zip(offsets, offsets[1:], strict=False):
         reader.feed(data[start:end])
     return reader
 
@@ -35,7 +35,7 @@
 CUTS = st.lists(st.integers(0, 200))
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 5), CUTS)
 def test_an_answer_is_whole_however_its_bytes_are_cut(tokens, cuts) -> None:
     reader = read(200, TOKEN * tokens + DONE, cuts)
@@ -43,12 +43,12 @@
     assert reader.tokens_seen == (tokens > 0)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 3), st.data())
 def test_no_beginning_of_an_answer_passes_for_a_whole_one(tokens, data) -> None:
-    """A summary lacks its last page and nobody is told.
+    """Guards against counting a truncated answer as complete.
 
-    The connection ends early, and the tool counts what came as an answer.
+    The connection closes early, after a part of the answer has arrived.
     """
     answer = TOKEN * tokens + DONE
     length = data.draw(st.integers(0, len(answer) - len(b"\n\n") - 1))
@@ -56,7 +56,7 @@
     assert ending is Ending.CUT
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(0, 3), CUTS, st.booleans())
 def test_an_error_within_an_answer_is_named(tokens, cuts, done) -> None:
     reader = read(200, TOKEN * tokens + REFUSAL + DONE * done, cuts)
@@ -64,7 +64,7 @@
     assert reader.tokens_seen == (tokens > 0)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.integers(400, 599), st.binary(), CUTS)
 def test_any_refusal_body_is_counted_under_some_name(status, body, cuts) -> None:
     ending, code = read(status, body, cuts).end()
@@ -77,7 +77,7 @@
     assert read(200, DONE + after, []).end()[0] is Ending.CUT
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.floats(1e-4, 1e4), min_size=1))
 def test_quantiles_are_those_of_the_values(values) -> None:
     found = Quantiles.from_values(values)
@@ -86,7 +86,7 @@
     assert found.most == pytest.approx(ordered[-1], rel=2e-3, abs=2e-6)
     for percent, value in ((50, found.p50), (95, found.p95), (99, found.p99)):
         rank = math.ceil(percent / 100 * len(values) - 1e-9)
-        # The library rounds a rank that lies between two values to the nearer one.
+        # The histogram rounds a rank that lies between two values to the nearer one.
         near = ordered[max(0, rank - 2) : rank + 1]
         assert near[0] * 0.998 - 2e-6 <= value <= near[-1] * 1.002 + 2e-6
 
@@ -94,7 +94,7 @@
 LENGTHS = st.lists(st.integers(1, 10_000), min_size=1, max_size=20)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.floats(1e-3, 1), st.floats(0, 1e-3), LENGTHS)
 def test_the_unloaded_time_follows_a_line(fixed, slope, lengths) -> None:
     unloaded = UnloadedTime.from_samples([(n, fixed + slope * n) for n in lengths])
@@ -102,7 +102,7 @@
         assert unloaded.seconds(n) == pytest.approx(fixed + slope * n, rel=1e-3)
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(st.tuples(st.integers(1, 10**4), st.floats(1e-6, 10)), min_size=1))
 def test_the_unloaded_time_is_never_negative(samples) -> None:
     unloaded = UnloadedTime.from_samples(samples)
@@ -130,10 +130,10 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(OUTCOMES, st.none() | st.just(UnloadedTime(0.1, 1e-5)))
 def test_every_planned_request_is_counted_once(outcomes, unloaded) -> None:
-    figures = sum_up(outcomes, FiguresConfig(10_000, 50.0, unloaded))
+    figures = summarize(outcomes, FiguresConfig(10_000, 50.0, unloaded))
     assert figures.planned == sum(figures.endings.values()) == len(outcomes)
     assert sum(figures.refusals.values()) == figures.endings.get("refused", 0)
     assert sum(each.planned for each in figures.customers.values()) == len(outcomes)
--- a/tests/cover/standins/test_event_writer.py
+++ b/tests/cover/standins/test_event_writer.py
@@ -1,4 +1,4 @@
-"""Check that slow readers neither block an engine nor lose a byte."""
+"""Test that slow readers neither block an engine nor lose a byte."""
 
 import socket
 from threading import Thread
@@ -15,7 +15,7 @@
     StreamCutError,
     chunk,
 )
-from cowslipshelf_standins.internal.faults import Faults, FaultSwitch
+from cowslipshelf_standins.internal.faults import FaultInjector, Faults
 from cowslipshelf_standins.internal.prompts import Prompt
 
 QUIET_SECONDS = 60.0
@@ -43,20 +43,20 @@
     )
 )
 def test_a_reader_that_stops_gets_every_byte_later_and_blocks_nobody(steps) -> None:
-    """A caller's connection takes nothing for a while.
+    """A reader accepts no data for a while.
 
-    The scheduler's thread writes for all streams; were it to block on this one, all
-    others would stand still.
+    The engine loop's thread writes to all streams. If it blocked on this one, all
+    others would stop.
     """
     attempt = new_attempt(1 + sum(n for kind, n in steps if kind == "generate"))
     ours, theirs = socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
-    writer = EventWriter(ours, attempt, 0, FaultSwitch())
+    writer = EventWriter(ours, attempt, 0, FaultInjector())
     received = b""
     for kind, number in steps:
         if kind == "generate":
             attempt.publish(AttemptState.DECODING, attempt.generated + number)
-            # Were this to block, the example would never end: nobody reads now.
+            # If this blocked, the test would hang: nothing is being read.
             writer.push()
         else:
             theirs.setblocking(False)
@@ -66,7 +66,7 @@
                 continue
     attempt.publish(AttemptState.FINISHED, attempt.generated + 1)
     writer.push()
-    # A delete of a finished attempt pushes once more.
+    # Deleting a finished attempt pushes once more.
     writer.push()
 
     def serve() -> None:
@@ -83,18 +83,18 @@
 
 
 @steady
-@given(events=st.integers(0, 6), most=st.integers(0, 6))
-def test_a_stream_is_cut_after_as_many_events_as_the_fault_says(events, most) -> None:
+@given(events=st.integers(0, 6), limit=st.integers(0, 6))
+def test_a_stream_is_cut_after_as_many_events_as_the_fault_says(events, limit) -> None:
     attempt = new_attempt(events + 1)
     ours, theirs = socket.socketpair()
-    switch = FaultSwitch()
-    switch.set(Faults(drop_after_events=most))
-    writer = EventWriter(ours, attempt, 0, switch)
+    injector = FaultInjector()
+    injector.set(Faults(drop_after_events=limit))
+    writer = EventWriter(ours, attempt, 0, injector)
     for number in range(events):
         attempt.publish(AttemptState.DECODING, number + 1)
         writer.push()
     attempt.publish(AttemptState.FINISHED, events + 1)
-    whole = most >= events + 2
+    whole = limit >= events + 2
     if whole:
         writer.run(QUIET_SECONDS)
     else:
@@ -103,5 +103,5 @@
     ours.close()
     received = read_to_end(theirs)
     theirs.close()
-    assert received.count(b"id: ") == min(most, events + 2)
+    assert received.count(b"id: ") == min(limit, events + 2)
     assert received.endswith(b"0\r\n\r\n") == whole
