--- a/packages/host/src/cowslipshelf_host/internal/storage/__init__.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the parts of a replica's durable storage."""
+"""Implement the durable storage of a replica."""
--- a/packages/host/src/cowslipshelf_host/internal/storage/errors.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/errors.py
@@ -4,7 +4,7 @@
 
 
 class StorageError(Exception):
-    """Say which step failed at which file, and what the operator can do."""
+    """Report which step failed for which file, and what the operator can do."""
 
     def __init__(
         self, step: str, path: Path, detail: str, offset: int | None = None
@@ -13,13 +13,13 @@
         self.path = path
         self.detail = detail
         self.offset = offset
-        """Offset in bytes of the damage in the file, where it is known."""
+        """Byte offset of the corruption in the file, if known."""
         where = f"{path}" if offset is None else f"{path} at offset {offset}"
         super().__init__(f"{step}: {where}: {detail}")
 
     @classmethod
     def corrupt(cls, path: Path, detail: str, offset: int | None = None):
-        """Describe damage to bytes that were synced."""
+        """Return the error for synced bytes that are corrupt or missing."""
         advice = (
             "this replica must be rebuilt from another: stop it, move its data "
             "folder away and start it with an empty one"
--- a/packages/host/src/cowslipshelf_host/internal/storage/files.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/files.py
@@ -1,4 +1,4 @@
-"""Write small files so that a crash leaves the old or the new content."""
+"""Write small files atomically and lock folders."""
 
 import fcntl
 import os
@@ -12,7 +12,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder durable."""
+    """Sync a folder, so that created, renamed and removed names are durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -21,14 +21,14 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of the data; a full disk may take only a part at first."""
+    """Write all of the data; one call may write only a part, as on a full disk."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
 
 
 def replace_record_file(path: Path, payload: bytes) -> None:
-    """Put a file of one record in place, durably, old or new but never mixed."""
+    """Replace a file of one record, durably; a crash leaves the old or the new."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
@@ -41,7 +41,7 @@
 
 
 def read_record_file(path: Path) -> bytes:
-    """Read a file of one record, or raise `StorageError` for damage."""
+    """Read a file of one record, or raise `StorageError` if it is corrupt."""
     data = path.read_bytes()
     found = scan_records(data)
     if len(found.records) != 1 or found.end != len(data):
@@ -50,10 +50,10 @@
 
 
 def lock_folder(path: Path) -> int:
-    """Lock a folder by a file in it; the lock ends with this process.
+    """Lock a folder by a file in it; the lock is released when the process ends.
 
-    Two processes that append to one log, as after a restart that left the old one
-    alive, would both believe in what the other has overwritten.
+    Without the lock, two processes could append to one log, as when a restart leaves
+    the old process running, and each would rely on entries that the other overwrote.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
     try:
--- a/packages/host/src/cowslipshelf_host/internal/storage/framing.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/framing.py
@@ -1,4 +1,4 @@
-"""Frame records with their length and checksums, and judge damage."""
+"""Frame records with length and checksums, and tell torn from corrupt ones."""
 
 import struct
 import zlib
@@ -8,34 +8,34 @@
 HEADER_FIELDS = struct.Struct("<III")
 SECTOR_BYTES = 512
 MIN_ZERO_BYTES = 32
-"""A shorter run of zeros at a sector's end may well belong to a record."""
+"""A shorter run of zeros at the end of a sector may be part of a record."""
 
 
 class FramedRecord(NamedTuple):
-    """Be a whole record of a file."""
+    """Hold a valid record and its offset in the file."""
 
     offset: int
     payload: bytes
 
 
 class ScanResult(NamedTuple):
-    """Be what a file holds, up to its first bad record if there is one."""
+    """Hold the records of a file before its first invalid one."""
 
     records: list[FramedRecord]
     end: int
-    """Offset after the last whole record."""
+    """Offset after the last valid record."""
     corrupt: bool
-    """True where bytes after the end were synced and have been damaged since."""
+    """Whether bytes after `end` were synced and became corrupt since."""
 
 
 def frame_record(payload: bytes, synced: int = 0) -> bytes:
-    """Return a record; `synced` is the length of the file known to be synced."""
+    """Return a framed record; `synced` is the synced length of the file, in bytes."""
     checked = HEADER_FIELDS.pack(len(payload), synced, zlib.crc32(payload))
     return checked + struct.pack("<I", zlib.crc32(checked)) + payload
 
 
 def scan_records(data: bytes) -> ScanResult:
-    """Read records from the start, and judge what follows the last whole one."""
+    """Read records until the first invalid one, and classify what follows."""
     records = []
     offset = 0
     while offset < len(data):
@@ -48,7 +48,7 @@
 
 
 def header_at(data: bytes, offset: int) -> tuple[int, int, int] | None:
-    """Return length, synced length and checksum, or nothing for a bad header."""
+    """Return length, synced length and checksum, or None for an invalid header."""
     if offset + HEADER.size > len(data):
         return None
     length, synced, checksum, header_checksum = HEADER.unpack_from(data, offset)
@@ -59,7 +59,7 @@
 
 
 def record_at(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of a whole record, or nothing for a bad one."""
+    """Return the payload of a record, or None if the record is invalid."""
     header = header_at(data, offset)
     if header is None:
         return None
@@ -71,13 +71,13 @@
 
 
 def is_torn(data: bytes, offset: int) -> bool:
-    """Tell whether a bad record was never synced, so that cutting it loses nothing.
+    """Return whether an invalid record was never synced, so that it can be truncated.
 
-    A crash leaves a record that the file ends in, or sectors of zeros where the
-    length of the file was written and the bytes were not. Anything else that
-    doesn't match its checksum was once synced and has been damaged, and cutting
-    it would silently take back what was promised. A later record that was written
-    when the file was already synced past this point proves the damage.
+    A crash can leave an incomplete record at the end of the file, or sectors of zeros
+    if the file's length was written and the data was not. Any other record with a wrong
+    checksum was synced and became corrupt later; truncating it would silently lose
+    acknowledged entries. A later record that was written when the file was already
+    synced past this offset proves the corruption.
     """
     if is_followed_by_synced(data, offset):
         return False
@@ -90,7 +90,7 @@
 
 
 def is_followed_by_synced(data: bytes, offset: int) -> bool:
-    """Tell whether a later whole record knows the bytes at an offset as synced."""
+    """Return whether a later valid record states that this offset was synced."""
     for later in range(offset + 1, len(data) - HEADER.size + 1):
         header = header_at(data, later)
         if header is None or header[1] <= offset:
@@ -101,7 +101,7 @@
 
 
 def has_zero_sector(data: bytes, offset: int) -> bool:
-    """Tell whether any sector from an offset on holds nothing but zeros."""
+    """Return whether any sector after an offset holds only zeros."""
     start = offset
     while start < len(data):
         end = min(len(data), start - start % SECTOR_BYTES + SECTOR_BYTES)
--- a/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/recovery.py
@@ -14,12 +14,12 @@
 
 
 class ForcedMembership(NamedTuple):
-    """Say what was done to a data folder, for the operator."""
+    """Report the forced membership of a data folder to the operator."""
 
     replica_id: ReplicaId
     term: int
     last_index: int
-    """Index of the entry that makes this replica the only member."""
+    """Index of the log entry that makes this replica the only member."""
     warning: str
 
 
@@ -28,8 +28,8 @@
 ) -> Result[ForcedMembership, StorageError]:
     """Make the replica of a folder the only member of a new cluster, durably.
 
-    The folder's lock proves that its process has stopped. `at` is in seconds
-    since 1970.
+    Taking the folder's lock ensures that no other process uses the folder. `at` is in
+    seconds since 1970.
     """
     return ReplicaStorage.from_config(config).and_then(
         lambda storage: force_in_storage(storage, operator, at)
@@ -39,13 +39,13 @@
 def force_in_storage(
     storage: ReplicaStorage, operator: str, at: float
 ) -> Result[ForcedMembership, StorageError]:
-    """Write the forced membership through a storage, then close it."""
+    """Write the forced membership to a storage, then close it."""
     try:
         stored = storage.load()
         if isinstance(stored, Err):
             return stored
         if stored.ok_value.snapshot is None and not stored.ok_value.entries:
-            # Forced, an empty folder would bring back the empty configuration.
+            # A cluster formed from an empty folder would have an empty configuration.
             detail = "it holds no state; choose the folder of another replica"
             return Err(StorageError("force members", storage.config.folder, detail))
         replica_id = stored.ok_value.replica_id
--- a/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
@@ -1,4 +1,4 @@
-"""Keep everything that a replica must not lose in one data folder."""
+"""Store a replica's identity, hard state, log and snapshot in one data folder."""
 
 import os
 import secrets
@@ -41,7 +41,7 @@
 
 
 class ReplicaStorageConfig(NamedTuple):
-    """Say where a replica's data lives, and whose it is."""
+    """Configure the data folder of a replica."""
 
     folder: Path
     instance: InstanceId
@@ -49,12 +49,12 @@
 
 
 def new_identity() -> str:
-    """Return a fresh identity for a data folder or a forced cluster."""
+    """Return a random identity for a data folder or a forced cluster."""
     return secrets.token_hex(IDENTITY_BYTES)
 
 
 class ReplicaStorage:
-    """Load, write and sync one data folder; only one process can hold it."""
+    """Load, write and sync one data folder, which is locked for this process."""
 
     def __init__(self, config: ReplicaStorageConfig, lock: int) -> None:
         self.config = config
@@ -66,7 +66,7 @@
     def from_config(
         cls, config: ReplicaStorageConfig
     ) -> Result["ReplicaStorage", StorageError]:
-        """Lock the data folder, which is made where there is none."""
+        """Create the data folder if it is missing, and lock it."""
         try:
             config.folder.mkdir(parents=True, exist_ok=True)
             return Ok(cls(config, lock_folder(config.folder / LOCK_NAME)))
@@ -76,7 +76,7 @@
             return Err(StorageError("open", config.folder, str(error)))
 
     def load(self) -> Result[StoredState, StorageError]:
-        """Read the folder; an empty one is given an identity first."""
+        """Read the folder; an empty one is initialised with a new identity first."""
         try:
             return Ok(self.read_folder())
         except StorageError as error:
@@ -86,7 +86,7 @@
         return Err(self.failure)
 
     def read_folder(self) -> StoredState:
-        """Read everything, or raise an error."""
+        """Read the whole folder, or raise an error."""
         folder = self.config.folder
         for leftover in folder.glob("*" + TEMPORARY_SUFFIX):
             leftover.unlink()
@@ -102,10 +102,10 @@
         return StoredState(replica_id, hard_state, snapshot, entries)
 
     def prepare_folder(self) -> None:
-        """Fill an empty folder; the identity comes last and makes it valid.
+        """Initialise an empty folder; writing the identity last makes it valid.
 
-        Without its identity, a folder with data can't know under which name it
-        voted; taking a new name would be right for an empty folder only.
+        A folder with data but without its identity is refused: the identity under which
+        it voted is unknown, and a new one is safe for an empty folder only.
         """
         folder = self.config.folder
         segments = list(folder.glob(SEGMENT_PATTERN))
@@ -122,7 +122,7 @@
         write_document(folder / IDENTITY_NAME, identity)
 
     def read_snapshot(self) -> Snapshot | None:
-        """Read the latest snapshot, and remove older ones."""
+        """Read the latest snapshot and remove older ones."""
         paths = sorted(self.config.folder.glob(SNAPSHOT_PATTERN))
         if not paths:
             return None
@@ -132,19 +132,19 @@
         return snapshot
 
     def read_log(self, snapshot: Snapshot | None) -> tuple[Entry, ...]:
-        """Read the entries; a log that a snapshot has made void is dropped.
+        """Read the entries; discard a log that conflicts with the snapshot.
 
-        A snapshot from the leader is saved before the log that contradicts it is
-        dropped. After a crash in between, the log ends before the snapshot or has
-        another term there, and nothing in it counts any more.
+        A snapshot from the leader is saved before the conflicting log is discarded.
+        After a crash in between, the log ends before the snapshot's index or has
+        another term there, and none of its entries is valid any more.
         """
         if snapshot is None:
             return self.log.load(0)
         entries = self.log.load(snapshot.index)
         covered = [entry for entry in entries if entry.index <= snapshot.index]
         starts_after = self.log.segments[0].first_index == snapshot.index + 1
-        meets = bool(covered) and covered[-1].index == snapshot.index
-        if starts_after or (meets and covered[-1].term == snapshot.term):
+        reaches = bool(covered) and covered[-1].index == snapshot.index
+        if starts_after or (reaches and covered[-1].term == snapshot.term):
             return entries
         self.log.reset(snapshot.index + 1)
         return ()
@@ -152,8 +152,8 @@
     def write(self, effects: Iterable[Persist | SaveSnapshot]) -> None:
         """Write effects in order; entries are durable only after `sync`.
 
-        Raises `StorageError`; from then on every call does, since nobody can know
-        which bytes a failed sync has lost, and a second one may falsely succeed.
+        Raises `StorageError`, and so does every later call: it is unknown which bytes a
+        failed sync has lost, and a second sync may falsely report success.
         """
         with FailureGuard(self, "write"):
             effects = list(effects)
@@ -172,20 +172,20 @@
             self.log.sync()
 
     def save_hard_state(self, effects: list[Persist | SaveSnapshot]) -> None:
-        """Write the last hard state of a batch, durably; nobody hears of the others."""
+        """Write a batch's last hard state, durably; earlier ones were sent to nobody."""
         states = [e.hard_state for e in effects if isinstance(e, Persist)]
         changed = [state for state in states if state is not None]
         if changed:
             write_document(self.config.folder / HARD_STATE_NAME, changed[-1])
 
     def persist(self, effect: Persist) -> None:
-        """Write one change of the log."""
+        """Truncate the log if asked to, then append entries."""
         if effect.truncate_from is not None:
             self.log.truncate_from(effect.truncate_from)
         self.log.append(effect.entries)
 
     def save_snapshot(self, effect: SaveSnapshot) -> None:
-        """Save a snapshot durably, then drop what it stands for."""
+        """Save a snapshot durably, then drop the log and snapshots that it replaces."""
         self.log.sync()
         snapshot = effect.snapshot
         path = self.config.folder / SNAPSHOT_NAME.format(index=snapshot.index)
@@ -200,7 +200,7 @@
         sync_folder(self.config.folder)
 
     def close(self) -> None:
-        """Close the files and let another process have the folder."""
+        """Close the files and release the lock of the folder."""
         self.log.close()
         if self.lock is not None:
             os.close(self.lock)
@@ -208,7 +208,7 @@
 
 
 class FailureGuard:
-    """Turn errors of the operating system into a lasting failure of the storage."""
+    """Turn an `OSError` into a permanent failure of the storage."""
 
     def __init__(self, storage: ReplicaStorage, step: str) -> None:
         self.storage = storage
@@ -226,12 +226,12 @@
 
 
 def write_document(path: Path, document: object) -> None:
-    """Replace a file of one record, durably."""
+    """Encode a document and replace its file, durably."""
     replace_record_file(path, msgspec.msgpack.encode(document))
 
 
 def read_document(path: Path, kind: type):
-    """Read a file of one record, or raise `StorageError`."""
+    """Read and decode the document in a file, or raise `StorageError`."""
     if not path.exists():
         raise StorageError.corrupt(path, "the file is missing")
     try:
--- a/packages/host/src/cowslipshelf_host/internal/storage/segments.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/segments.py
@@ -1,4 +1,4 @@
-"""Keep the log in segments: files that are appended to and dropped whole."""
+"""Store the log in segments: files that grow by appends and are removed whole."""
 
 import os
 from array import array
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class Segment:
-    """Be one file of the log."""
+    """Hold the state of one file of the log."""
 
     path: Path
     first_index: int
     size: int = 0
     synced_size: int = 0
     offsets: array = field(default_factory=lambda: array("Q"))
-    """Offset of each entry, so that the log can be cut before it."""
+    """Byte offset of each entry, at which the log can be truncated."""
 
     @property
     def next_index(self) -> int:
@@ -41,7 +41,7 @@
 
 
 class SegmentedLog:
-    """Append entries, cut the end off and drop the beginning."""
+    """Append entries, truncate the end and drop the beginning of the log."""
 
     def __init__(self, folder: Path, segment_bytes: int) -> None:
         self.folder = folder
@@ -51,7 +51,7 @@
         self.pending = bytearray()
 
     def load(self, snapshot_index: int) -> tuple[Entry, ...]:
-        """Read all entries; a torn tail is cut, damage raises `StorageError`."""
+        """Read all entries; truncate a torn tail, or raise `StorageError`."""
         paths = sorted(self.folder.glob(SEGMENT_PATTERN))
         if not paths:
             raise StorageError.corrupt(self.folder, "the log is missing")
@@ -76,15 +76,15 @@
             detail = f"the entries from {snapshot_index + 1} on are missing"
             raise StorageError.corrupt(self.segments[0].path, detail)
         self.open_last()
-        self.cut_torn_tail()
+        self.truncate_torn_tail()
         return tuple(entries)
 
     def finish_reset(self, path: Path, snapshot_index: int) -> None:
-        """Remove what a reset was about to remove when the process ended.
+        """Remove the segments that an interrupted reset left behind.
 
-        It leaves a gap before the new segment, which begins after the snapshot.
-        Without the gap, a segment that begins there may be an old one, and what
-        comes before it tells whether it contradicts the snapshot.
+        Such a reset leaves a gap before the new segment, which begins after the
+        snapshot. Without the gap, a segment that begins there may be an old one, and
+        the entries before it tell whether it conflicts with the snapshot.
         """
         if first_index_of(path) != snapshot_index + 1:
             detail = f"entry {self.segments[-1].next_index} is missing"
@@ -107,17 +107,17 @@
             for record, end in zip(found.records, ends, strict=False)
         ]
 
-    def cut_torn_tail(self) -> None:
-        """Cut off what the last crash left unsynced."""
+    def truncate_torn_tail(self) -> None:
+        """Truncate an incomplete record that a crash left, and sync the rest."""
         segment = self.segments[-1]
         if os.fstat(self.descriptor).st_size > segment.size:
             os.ftruncate(self.descriptor, segment.size)
-        # What was read may still be in the page cache only, if the last process
-        # ended between write and sync; from here on it counts as held.
+        # The entries read may still be in the page cache only, if the last process
+        # ended between write and sync; from here on they count as durable.
         os.fsync(self.descriptor)
 
     def create(self, first_index: int) -> None:
-        """Begin a new segment, durably."""
+        """Create a new segment, durably."""
         path = self.folder / SEGMENT_NAME.format(first_index=first_index)
         self.segments.append(Segment(path, first_index))
         self.open_last(os.O_TRUNC)
@@ -131,13 +131,13 @@
         self.descriptor = os.open(self.segments[-1].path, flags, FILE_MODE)
 
     def close(self) -> None:
-        """Close the segment that is open."""
+        """Close the open segment, if any."""
         if self.descriptor is not None:
             os.close(self.descriptor)
             self.descriptor = None
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Append entries; they reach the file by `flush` and the disk by `sync`."""
+        """Append entries to a buffer; `flush` writes it, `sync` makes it durable."""
         for entry in entries:
             segment = self.segments[-1]
             if segment.size >= self.segment_bytes:
@@ -150,13 +150,13 @@
             self.pending += record
 
     def flush(self) -> None:
-        """Hand what is pending to the operating system."""
+        """Write the buffer to the file."""
         if self.pending:
             write_all(self.descriptor, self.pending)
             self.pending.clear()
 
     def sync(self) -> None:
-        """Make everything appended durable."""
+        """Make all appended entries durable."""
         self.flush()
         segment = self.segments[-1]
         if segment.synced_size < segment.size:
@@ -164,10 +164,10 @@
             segment.synced_size = segment.size
 
     def truncate_from(self, index: int) -> None:
-        """Cut off an entry and all after it, the newest file first.
+        """Remove an entry and all after it, the newest file first.
 
-        The cut is synced before anything is appended: otherwise a crash could
-        leave new bytes before old ones, which would look like damage.
+        The truncation is synced before anything is appended: otherwise a crash could
+        leave new bytes before old ones, which would look like corruption.
         """
         self.flush()
         while len(self.segments) > 1 and self.segments[-1].first_index >= index:
@@ -184,7 +184,7 @@
         sync_folder(self.folder)
 
     def drop_before(self, index: int) -> None:
-        """Remove the segments whose entries all come before an index."""
+        """Remove the segments whose entries all have a lower index."""
         dropped = False
         while len(self.segments) > 1 and self.segments[1].first_index <= index:
             self.segments.pop(0).path.unlink()
@@ -193,10 +193,10 @@
             sync_folder(self.folder)
 
     def reset(self, first_index: int) -> None:
-        """Drop the whole log and begin anew after a snapshot that covers it.
+        """Remove the whole log and start a new one after a snapshot.
 
-        The newest files go first, so that a crash leaves a prefix of the old log;
-        `load` sees by the snapshot that it is void.
+        The newest files are removed first, so that a crash leaves a prefix of the old
+        log, which loading compares with the snapshot and discards.
         """
         self.truncate_from(self.segments[0].first_index)
         oldest = self.segments.pop()
@@ -209,7 +209,7 @@
 
 
 def first_index_of(path: Path) -> int:
-    """Read the first index from a segment's name."""
+    """Return the first index from a segment's file name."""
     try:
         return int(path.name.removeprefix(SEGMENT_PATTERN.rstrip("*")))
     except ValueError as error:
@@ -217,7 +217,7 @@
 
 
 def decode_entry(path: Path, offset: int, payload: bytes) -> Entry:
-    """Read an entry whose checksum was right."""
+    """Decode an entry whose checksum is valid."""
     try:
         return ENTRY_DECODER.decode(payload)
     except msgspec.DecodeError as error:
--- a/packages/host/src/cowslipshelf_host/internal/storage/volatile_storage.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/volatile_storage.py
@@ -1,4 +1,4 @@
-"""Be the storage of a replica whose machine has no disk."""
+"""Provide the storage of a replica on a machine without a disk."""
 
 from collections.abc import Iterable
 
@@ -17,10 +17,10 @@
 
 
 class VolatileStorage:
-    """Keep nothing: the replica has it in memory, and ends with its process.
+    """Store nothing; the replica's state is in memory and is lost with its process.
 
-    Each start has a new identity, like an empty disk, so that a replica which has
-    forgotten its votes never votes under the name that cast them.
+    Each start gets a new identity, as with an empty disk, so that a replica that has
+    lost its votes never votes again under the identity that cast them.
     """
 
     def __init__(self, instance: InstanceId) -> None:
@@ -28,15 +28,15 @@
         self.failure: StorageError | None = None
 
     def load(self) -> Result[StoredState, StorageError]:
-        """Begin with nothing."""
+        """Return an empty state with a new identity."""
         identity = ReplicaId(self.instance, new_identity())
         return Ok(StoredState(identity, HardState(), None, ()))
 
     def write(self, effects: Iterable[Persist | SaveSnapshot]) -> None:
-        """Write nothing."""
+        """Do nothing, as nothing is stored."""
 
     def sync(self) -> None:
-        """Wait for nothing."""
+        """Do nothing, as nothing is stored."""
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as no file is open."""
