--- a/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
@@ -42,8 +42,8 @@
     """Return whether the values of a field must not be logged."""
     if not isinstance(name, str):
         return False
-    plain = name.lower().replace("-", "_")
-    return plain in SECRET_NAMES or f"_{plain}".endswith(SECRET_SUFFIXES)
+    normalized = name.lower().replace("-", "_")
+    return normalized in SECRET_NAMES or f"_{normalized}".endswith(SECRET_SUFFIXES)
 
 
 def mask_value(value: Any, depth: int) -> Any:
--- a/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/prometheus_text.py
@@ -16,10 +16,10 @@
         yield f"# HELP {name} {escape(help_text)}"
     yield f"# TYPE {name} {kind}"
     for labels, sample in samples:
-        shown = [*labels]
+        combined = [*labels]
         if sample.quantile is not None:
-            shown.append(("quantile", f"{sample.quantile:g}"))
-        yield f"{name}{sample.suffix}{labels_text(shown)} {value_text(sample.value)}"
+            combined.append(("quantile", f"{sample.quantile:g}"))
+        yield f"{name}{sample.suffix}{labels_text(combined)} {value_text(sample.value)}"
 
 
 def labels_text(labels: Labels) -> str:
@@ -32,8 +32,8 @@
 
 def escape(text: str, *, quoted: bool = False) -> str:
     """Escape characters that the format reserves or that UTF-8 can't encode."""
-    sound = text.encode("utf-8", "backslashreplace").decode("utf-8")
-    safe = sound.replace("\\", "\\\\").replace("\n", "\\n")
+    encodable = text.encode("utf-8", "backslashreplace").decode("utf-8")
+    safe = encodable.replace("\\", "\\\\").replace("\n", "\\n")
     return safe.replace('"', '\\"') if quoted else safe
 
 
--- a/packages/host/src/cowslipshelf_host/internal/metrics/series.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/series.py
@@ -86,8 +86,8 @@
         """Record a duration, clamped to the range."""
         if math.isnan(seconds):
             raise ValueError("a duration cannot be NaN")
-        longest = MAX_MICROSECONDS / MICROSECONDS_PER_SECOND
-        clamped = min(max(seconds, 0.0), longest)
+        max_seconds = MAX_MICROSECONDS / MICROSECONDS_PER_SECOND
+        clamped = min(max(seconds, 0.0), max_seconds)
         microseconds = max(MIN_MICROSECONDS, round(clamped * MICROSECONDS_PER_SECOND))
         with self.lock:
             self.histogram.record_value(microseconds)
@@ -96,14 +96,14 @@
     def samples(self) -> list[Sample]:
         """Return the quantiles, the maximum, the sum and the count."""
         with self.lock:
-            wanted = [quantile * 100 for quantile in QUANTILES]
-            values = self.histogram.get_percentile_to_value_dict(wanted)
+            percentiles = [quantile * 100 for quantile in QUANTILES]
+            values = self.histogram.get_percentile_to_value_dict(percentiles)
             count = self.histogram.get_total_count()
-            most = self.histogram.get_max_value() if count else 0
+            maximum = self.histogram.get_max_value() if count else 0
             total = self.sum_seconds
         found = [
             Sample("", quantile, values.get(percent, 0) / MICROSECONDS_PER_SECOND)
-            for quantile, percent in zip(QUANTILES, wanted, strict=True)
+            for quantile, percent in zip(QUANTILES, percentiles, strict=True)
         ]
-        found.append(Sample("", 1.0, most / MICROSECONDS_PER_SECOND))
+        found.append(Sample("", 1.0, maximum / MICROSECONDS_PER_SECOND))
         return [*found, Sample("_sum", None, total), Sample("_count", None, count)]
--- a/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/document_check.py
@@ -59,11 +59,11 @@
                 self.add_unknown_field(name, list(fields), path)
         usable: dict[str, object] = {}
         for info in msgspec.structs.fields(document):
-            field, inner = fields[info.name], join_path(path, info.name)
+            field, subpath = fields[info.name], join_path(path, info.name)
             if info.name in value:
-                usable[info.name] = self.check_field(value[info.name], field, inner)
+                usable[info.name] = self.check_field(value[info.name], field, subpath)
             elif info.required:
-                self.add_problem(inner, "nothing", allowed_text(field))
+                self.add_problem(subpath, "nothing", allowed_text(field))
                 usable[info.name] = placeholder(field)
         return usable
 
@@ -104,8 +104,8 @@
 
     def add_unknown_field(self, name: str, known: list[str], path: str) -> None:
         """Record an unknown field and suggest a known name similar to it."""
-        near = get_close_matches(name, known, n=1, cutoff=MIN_SIMILARITY)
-        suggested = f'did you mean "{near[0]}"? ' if near else ""
+        matches = get_close_matches(name, known, n=1, cutoff=MIN_SIMILARITY)
+        suggested = f'did you mean "{matches[0]}"? ' if matches else ""
         allowed = f"{suggested}known: {', '.join(known)}"
         self.add_problem(
             join_path(path, format_value(name)), "an unknown field", allowed
--- a/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/field_types.py
@@ -88,8 +88,8 @@
     """Split an annotated type into the plain type and its constraints."""
     if get_origin(hint) is not Annotated:
         return hint, []
-    base, *notes = get_args(hint)
-    return base, [note for note in notes if isinstance(note, msgspec.Meta)]
+    base, *metadata = get_args(hint)
+    return base, [each for each in metadata if isinstance(each, msgspec.Meta)]
 
 
 def first_not_none(values: Any) -> Any:
--- a/packages/host/src/cowslipshelf_host/internal/settings/page.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/page.py
@@ -43,14 +43,14 @@
 
 def render_settings_page() -> str:
     """Return the page as Markdown."""
-    described = field_docstrings(inspect.getsource(documents))
+    docstrings = field_docstrings(inspect.getsource(documents))
     proportions = "\n".join(
         f"- `{longer}` is at least {MIN_INTERVALS} x `{shorter}`"
         for longer, shorter in INTERVAL_PAIRS
     )
     sections = [INTRODUCTION.format(proportions=proportions).rstrip()]
     for document in documents_under(DaemonSettings):
-        sections.append("\n".join(section_lines(document, described)))
+        sections.append("\n".join(section_lines(document, docstrings)))
     return "\n\n".join(sections) + "\n"
 
 
@@ -71,7 +71,7 @@
 
 
 def section_lines(
-    document: type[msgspec.Struct], described: dict[tuple[str, str], str]
+    document: type[msgspec.Struct], docstrings: dict[tuple[str, str], str]
 ) -> Iterator[str]:
     """Yield the lines of one document's section."""
     yield f"## {document.__name__}"
@@ -86,7 +86,7 @@
             f"`{info.name}`",
             allowed_cell(field),
             default_cell(info),
-            described[document.__name__, info.name] + secret_note(field),
+            docstrings[document.__name__, info.name] + secret_note(field),
         )
         yield "| " + " | ".join(cells) + " |"
 
--- a/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/replica_storage.py
@@ -172,7 +172,7 @@
             self.log.sync()
 
     def save_hard_state(self, effects: list[Persist | SaveSnapshot]) -> None:
-        """Write a batch's last hard state, durably; earlier ones were sent to nobody."""
+        """Durably write a batch's last hard state; no peer has seen earlier ones."""
         states = [e.hard_state for e in effects if isinstance(e, Persist)]
         changed = [state for state in states if state is not None]
         if changed:
