--- a/tests/common/settings.py
+++ b/tests/common/settings.py
@@ -1,4 +1,4 @@
-"""Build settings as people write them, sound and with chosen faults."""
+"""Build valid settings documents and faults to put into them."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -57,23 +57,23 @@
 
 
 class Fault(NamedTuple):
-    """Be a mistake in an entry's settings and the field that must be named."""
+    """Define a mistake in an entry's settings and the field that must be reported."""
 
     field: str
-    make: Callable[[Json], object]
-    compared_with: tuple[str, ...] = ()
-    """Beginnings of the fields that its rule reads beside its own."""
+    apply: Callable[[Json], object]
+    other_fields: tuple[str, ...] = ()
+    """Path prefixes of the other fields that the violated rule reads."""
 
 
 def put(*path: str | int, value: object) -> Callable[[Json], object]:
-    """Give the mistake that sets one field to a value."""
+    """Return a mistake that sets one field to a value."""
 
-    def make(document: Any) -> None:
-        for step in path[:-1]:
-            document = document[step]
+    def apply(document: Any) -> None:
+        for key in path[:-1]:
+            document = document[key]
         document[path[-1]] = value
 
-    return make
+    return apply
 
 
 FAULTS = (
@@ -89,14 +89,14 @@
     Fault(
         "entries[1].mailbox_address",
         put("entries", 1, "mailbox_address", value="10.0.0.1:8090"),
-        compared_with=("entry.operators_address", "instance", "entries[1]."),
+        other_fields=("entry.operators_address", "instance", "entries[1]."),
     ),
     Fault("entries[1].instance", put("entries", 1, "instance", value="entry-1")),
     Fault("entries[1].replica", put("entries", 1, "replica", value="yes")),
     Fault(
         "data_centres[2]",
         put("data_centres", value=["maadi", "nasr", "empty"]),
-        compared_with=("data_centre", "entries["),
+        other_fields=("data_centre", "entries["),
     ),
     Fault("entries[0].data_centre", put("entries", 0, "data_centre", value="unlisted")),
     Fault("timings.lease_seconds", put("timings", "lease_seconds", value=0.9)),
--- a/tests/cover/host/test_logs.py
+++ b/tests/cover/host/test_logs.py
@@ -1,4 +1,4 @@
-"""Check that logs are one sound line each, prefixed and without secrets."""
+"""Check that each log entry is one valid line, with a prefix and no secrets."""
 
 import io
 import json
@@ -21,7 +21,7 @@
 
 
 class Call(NamedTuple):
-    """Be a record such as the parts log."""
+    """Hold the fields of a call, as an example of a record that is logged."""
 
     path: str
     headers: tuple[tuple[str, str], ...]
@@ -29,7 +29,7 @@
 
 
 class Unprintable:
-    """Be a value that fails while it is shown."""
+    """Raise an error in `__repr__`."""
 
     def __repr__(self) -> str:
         raise RuntimeError(SECRET)
@@ -56,10 +56,10 @@
 @DETERMINISTIC
 @given(st.sampled_from(FORMATS), PLACES, SECRET_FIELDS, st.text())
 def test_a_secret_never_reaches_a_line(log_format, place, name, sentence) -> None:
-    """A customer's key stands in the log that many may read.
+    """Guard against a customer's key in the log, which many people may read.
 
-    A part logs a request with all its headers when something fails; the key is
-    in one of them, nested in a record.
+    When something fails, a part logs the request with all its headers; the key is in
+    one of them, nested in a record.
     """
     stream = io.StringIO()
     configure_logs(LogSettings(format=log_format), stream)
@@ -117,10 +117,10 @@
 
 @pytest.mark.parametrize("log_format", FORMATS)
 def test_a_lost_log_stream_never_stops_the_part_that_logs(log_format: str) -> None:
-    """Every request of an instance fails once its log pipe has closed.
+    """Guard against requests that fail because the log pipe is closed.
 
-    The log collector restarts; the next line raises in the thread that serves a
-    caller, and the request dies of it.
+    After a restart of the log collector, writing a line would raise in the thread that
+    serves a caller, and fail its request.
     """
     stream = io.StringIO()
     writer = configure_logs(LogSettings(format=log_format), stream)
@@ -140,7 +140,7 @@
 
 
 def test_a_full_pipe_holds_up_nobody():
-    """All requests of a process hang because nobody reads its log."""
+    """Guard against requests that hang because nothing reads the log pipe."""
     released = threading.Event()
 
     class FullPipe(io.StringIO):
--- a/tests/cover/host/test_metrics.py
+++ b/tests/cover/host/test_metrics.py
@@ -1,4 +1,4 @@
-"""Check counters, gauges and latencies and their text."""
+"""Check counters, gauges, summaries and their text format."""
 
 import re
 from collections import Counter
@@ -39,10 +39,10 @@
 @DETERMINISTIC
 @given(st.integers(1, 5), st.lists(st.integers(0, 20), min_size=1, max_size=60))
 def test_label_sets_are_bounded_and_the_rest_is_counted(bound, labels) -> None:
-    """An entry's memory grows until it is killed.
+    """Guard against memory that grows until the entry is killed.
 
-    A caller asks for a new model name in every request; each becomes a label
-    value, and each label value a series that is never given back.
+    A caller sends a new model name in every request; each becomes a label value, and
+    each label value a series that is never freed.
     """
     metrics = Metrics(max_label_sets=bound)
     for label in labels:
--- a/tests/cover/host/test_signals.py
+++ b/tests/cover/host/test_signals.py
@@ -1,4 +1,4 @@
-"""Check what the first and the second signal do."""
+"""Check the effects of the first and the second shutdown signal."""
 
 import os
 import signal
@@ -7,8 +7,8 @@
 
 from cowslipshelf_host.signals import ShutdownSignals
 
-WIDE_LIMIT_SECONDS = 30
-LONG_SECONDS = 3
+TIMEOUT_SECONDS = 30
+RESCUE_SECONDS = 3
 
 
 def test_the_first_signal_begins_the_shutdown_and_the_second_ends_it() -> None:
@@ -20,9 +20,9 @@
     signals.install()
     try:
         os.kill(os.getpid(), signal.SIGTERM)
-        assert seen.get(timeout=WIDE_LIMIT_SECONDS) == ("begin", "SIGTERM")
+        assert seen.get(timeout=TIMEOUT_SECONDS) == ("begin", "SIGTERM")
         os.kill(os.getpid(), signal.SIGINT)
-        assert seen.get(timeout=WIDE_LIMIT_SECONDS) == ("end", "SIGINT")
+        assert seen.get(timeout=TIMEOUT_SECONDS) == ("end", "SIGINT")
         signals.receive(signal.SIGTERM)
     finally:
         signals.stop()
@@ -31,10 +31,10 @@
 
 
 def test_a_second_signal_ends_a_shutdown_that_has_failed_to_begin() -> None:
-    """A daemon can only be killed hard, and cuts its requests.
+    """Guard against a daemon that only SIGKILL can end, which aborts its requests.
 
-    The first signal's callback raises; the thread that hears signals dies of it,
-    and the second signal is heard by nobody.
+    If the first signal's callback raises and ends the thread that watches for signals,
+    the second signal has no effect.
     """
     ended: SimpleQueue[str] = SimpleQueue()
 
@@ -46,16 +46,16 @@
     try:
         signals.receive(signal.SIGTERM)
         signals.receive(signal.SIGTERM)
-        assert ended.get(timeout=WIDE_LIMIT_SECONDS) == "SIGTERM"
+        assert ended.get(timeout=TIMEOUT_SECONDS) == "SIGTERM"
     finally:
         signals.stop()
 
 
 def test_a_signal_during_a_held_lock_does_not_block_the_main_thread() -> None:
-    """A daemon hangs at shutdown and loses its requests to the deadline.
+    """Guard against a deadlock at shutdown, which loses the requests at the deadline.
 
-    The signal arrives while the main thread holds a lock; the callback, run in
-    the handler, waits for the same lock in the same thread.
+    The signal arrives while the main thread holds a lock. A callback run in the signal
+    handler would wait for the same lock in the same thread.
     """
     lock = Lock()
     begun: SimpleQueue[str] = SimpleQueue()
@@ -69,7 +69,7 @@
     try:
         with lock:
             os.kill(os.getpid(), signal.SIGTERM)
-        assert begun.get(timeout=WIDE_LIMIT_SECONDS) == "SIGTERM"
+        assert begun.get(timeout=TIMEOUT_SECONDS) == "SIGTERM"
     finally:
         signals.stop()
 
@@ -77,13 +77,13 @@
 def test_a_signal_that_another_thread_takes_is_heard_while_the_main_thread_waits() -> (
     None
 ):
-    """A sidecar that is asked to end goes on as if nothing had come, and is killed.
+    """Guard against a sidecar that ignores SIGTERM and is killed.
 
-    The kernel gives a signal for a process to any of its threads where the main one
-    has another still to take, as after a pause. The interpreter calls handlers in the
-    main thread alone, and nothing woke that from its wait. Shown by sidecars paused
-    for 1.2 to 3.4 s around their signal, four of eight and then one of four: killed
-    after 40 s (-9), and no `Signal taken.` in the log of the last.
+    The kernel may deliver a signal to any thread if the main thread has another one
+    pending, as after a pause. The interpreter runs handlers in the main thread only,
+    and nothing woke that thread from its wait. Seen with sidecars paused for 1.2 to
+    3.4 s around their signal: four of eight, and then one of four, were killed after
+    40 s (-9), the last one without `Signal taken.` in its log.
     """
     heard = Event()
     rescued = Event()
@@ -97,7 +97,7 @@
 
     signals = ShutdownSignals.from_callbacks(lambda _: heard.set(), lambda _: None)
     signals.install()
-    timer = Timer(LONG_SECONDS, rescue)
+    timer = Timer(RESCUE_SECONDS, rescue)
     timer.start()
     try:
         Timer(0.2, lambda: Thread(target=take_signal).start()).start()
--- a/tests/cover/settings/test_loading.py
+++ b/tests/cover/settings/test_loading.py
@@ -1,4 +1,4 @@
-"""Check that settings load whole, or with every problem named."""
+"""Check that valid settings load and that every problem of others is reported."""
 
 import json
 from pathlib import Path
@@ -25,8 +25,8 @@
 from cowslipshelf_host.settings_page import render_settings_page
 
 ROOT = Path(__file__).parents[3]
-SOUND = {"entry": entry_document, "sidecar": sidecar_document}
-KEY_MARK = "\u00a7"
+VALID_DOCUMENTS = {"entry": entry_document, "sidecar": sidecar_document}
+KEY_MARKER = "\u00a7"
 EXAMPLES = sorted((ROOT / "examples" / "settings").glob("*.json"))
 
 
@@ -37,24 +37,24 @@
 @DETERMINISTIC
 @given(st.lists(st.sampled_from(FAULTS), min_size=1, unique=True))
 def test_every_fault_of_a_file_is_named_in_one_run(faults: list[Fault]) -> None:
-    """An operator gets a daemon up after one round of corrections, not after five.
+    """Guard against a loader that stops at the first problem.
 
-    The loader stops at the first problem; each is mended, and the next start
-    fails on the next one, at night, while the instance is down.
+    Each correction would then reveal only the next problem, while the instance stays
+    down; all problems must be reported in one run.
     """
     document = entry_document()
     for fault in faults:
-        fault.make(document)
+        fault.apply(document)
     problems = decode(document).unwrap_err()
     named = {problem.field for problem in problems}
-    # A rule that compares with an unreadable field waits for that one.
-    waiting = {
+    # A rule that reads a faulty field is not checked until that field is corrected.
+    unchecked = {
         fault.field
         for fault in faults
         for other in faults
-        if other is not fault and other.field.startswith(fault.compared_with)
+        if other is not fault and other.field.startswith(fault.other_fields)
     }
-    assert {fault.field for fault in faults} - waiting <= named
+    assert {fault.field for fault in faults} - unchecked <= named
     for problem in problems:
         line = str(problem)
         assert line.startswith("settings.json: ")
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.field)
 def test_a_single_fault_gives_its_problems_and_no_others(fault: Fault) -> None:
     document = entry_document()
-    fault.make(document)
+    fault.apply(document)
     problems = decode(document).unwrap_err()
     section = fault.field.split(".")[0]
     assert fault.field in {problem.field for problem in problems}
@@ -75,15 +75,15 @@
 
 @DETERMINISTIC
 @given(
-    st.sampled_from(sorted(SOUND)),
+    st.sampled_from(sorted(VALID_DOCUMENTS)),
     st.floats(0.2, 10),
     st.integers(1, 65_535),
-    st.text(min_size=15, max_size=40).map(KEY_MARK.__add__),
+    st.text(min_size=15, max_size=40).map(KEY_MARKER.__add__),
 )
 def test_sound_settings_survive_a_round_trip(
     role: str, announce: float, port: int, key: str
 ) -> None:
-    document = SOUND[role]()
+    document = VALID_DOCUMENTS[role]()
     document["timings"] = {"announce_seconds": announce, "lease_seconds": 2 * announce}
     document["cluster_key"] = key
     document["entries"][1]["mailbox_address"] = f"[fd00::2]:{port}"
@@ -91,7 +91,7 @@
     again = decode_settings(msgspec.json.encode(settings), "again.json").unwrap()
     assert again == settings
     assert settings.cluster_key == key
-    assert KEY_MARK not in repr(settings)
+    assert KEY_MARKER not in repr(settings)
     assert "ab" * 32 not in "".join(settings.__rich_repr__())
 
 
@@ -103,11 +103,11 @@
 
 
 @DETERMINISTIC
-@given(st.sampled_from(sorted(SOUND)), st.data())
+@given(st.sampled_from(sorted(VALID_DOCUMENTS)), st.data())
 def test_any_value_in_any_place_is_taken_or_named(
     role: str, data: st.DataObject
 ) -> None:
-    document = SOUND[role]()
+    document = VALID_DOCUMENTS[role]()
     place, path = document, ""
     while isinstance(place, dict):
         name = data.draw(st.sampled_from(sorted(place)))
@@ -142,9 +142,9 @@
 
 
 def test_a_field_given_twice_is_refused() -> None:
-    """An operator changes the upper of two equal fields and nothing happens.
+    """Guard against an edit that has no effect because the field is there twice.
 
-    JSON decoders keep the last one without a word.
+    JSON decoders silently keep the last duplicate.
     """
     data = json.dumps(entry_document()).replace('"log"', '"role": "entry", "log"')
     (problem,) = decode_settings(data.encode(), "settings.json").unwrap_err()
--- a/tests/cover/storage/test_replica_storage.py
+++ b/tests/cover/storage/test_replica_storage.py
@@ -1,4 +1,4 @@
-"""Check that a data folder gives back what was synced, or refuses to."""
+"""Check that a data folder returns what was synced, or reports corruption."""
 
 import errno
 import os
@@ -46,7 +46,7 @@
     )
 
 
-def opened(folder: Path, segment_bytes: int = SMALL_SEGMENT) -> ReplicaStorage:
+def open_storage(folder: Path, segment_bytes: int = SMALL_SEGMENT) -> ReplicaStorage:
     config = ReplicaStorageConfig(folder, "entry-0", segment_bytes)
     return ReplicaStorage.from_config(config).unwrap()
 
@@ -58,7 +58,7 @@
 
 
 def write_synced(folder: Path, entries: tuple, batch: int, segment_bytes: int) -> None:
-    storage = opened(folder, segment_bytes)
+    storage = open_storage(folder, segment_bytes)
     storage.load().unwrap()
     for start in range(0, len(entries), batch):
         storage.write([Persist(entries=entries[start : start + batch])])
@@ -67,20 +67,20 @@
 
 
 def load(folder: Path):
-    storage = opened(folder)
+    storage = open_storage(folder)
     loaded = storage.load()
     storage.close()
     return loaded
 
 
 class StorageMachine(RuleBasedStateMachine):
-    """Write, cut, snapshot and restart, and compare with what was synced."""
+    """Append, truncate, snapshot and restart, and compare with what was synced."""
 
     @initialize()
     def start(self):
         self.scratch = tempfile.TemporaryDirectory()
         self.folder = Path(self.scratch.name)
-        self.storage = opened(self.folder)
+        self.storage = open_storage(self.folder)
         stored = self.storage.load().unwrap()
         self.replica_id = stored.replica_id
         self.hard_state = HardState()
@@ -138,7 +138,7 @@
     @rule()
     def restart(self):
         self.storage.close()
-        self.storage = opened(self.folder)
+        self.storage = open_storage(self.folder)
         stored = self.storage.load().unwrap()
         assert stored.replica_id == self.replica_id
         assert stored.hard_state == self.hard_state
@@ -171,10 +171,11 @@
 )
 @FAST
 def test_a_torn_tail_is_cut_and_nothing_synced_with_it(synced, unsynced, kept, zeros):
-    """A replica refuses to start after every power cut, or starts without entries.
+    """Guard against a replica that refuses to start after a power failure.
 
-    Records were written and not synced when the power went; a part of them
-    reached the disk, and the file may be longer than that, filled with zeros.
+    It may not lose synced entries either. Records were written but not synced when the
+    power failed; a part of them reached the disk, and the file may be longer than that,
+    filled with zeros.
     """
     with data_folder() as folder:
         whole = entries_from(1, synced)
@@ -182,7 +183,7 @@
         path = next(folder.glob("log-*"))
         length = path.stat().st_size
         later = entries_from(len(whole) + 1, unsynced)
-        storage = opened(folder, 1_000_000)
+        storage = open_storage(folder, 1_000_000)
         storage.load().unwrap()
         storage.write([Persist(entries=later)])
         storage.close()
@@ -202,11 +203,11 @@
 @example(payloads=[b"last"], batch=1, position=0)
 @FAST
 def test_a_flipped_bit_is_never_taken_for_a_torn_tail(payloads, batch, position):
-    """A change that was accepted is gone, and no log says why.
+    """Guard against the silent loss of accepted changes.
 
-    A bit of a synced record flips on the disk. Cut off as torn, the record and all
-    after it would vanish silently; the replica must name file and offset instead,
-    and say that it is to be rebuilt from another.
+    A bit of a synced record flips on the disk. If it were truncated as a torn tail, the
+    record and all after it would be lost silently. Instead, the error must name the
+    file and offset, and say that the replica must be rebuilt from another.
     """
     with data_folder() as folder:
         payloads = [payload.replace(b"\0", b"\1") for payload in payloads]
@@ -226,10 +227,10 @@
 @given(payloads=st.lists(st.binary(min_size=300, max_size=600), min_size=5))
 @FAST
 def test_sectors_of_zeros_amid_synced_records_are_damage(payloads):
-    """A lost sector in the middle of the log takes all later entries with it.
+    """Guard against the loss of all entries after a lost sector in the log.
 
-    Zeros look like a tail that was never written; the later records, written when
-    these bytes were already synced, tell otherwise.
+    Zeros look like a tail that was never written; the later records, written when these
+    bytes were already synced, prove the corruption.
     """
     with data_folder() as folder:
         write_synced(folder, entries_from(1, payloads), 1, 1_000_000)
@@ -241,10 +242,10 @@
 
 @pytest.mark.parametrize("name", ["identity", "hard_state", "log-*"])
 def test_a_missing_file_is_not_replaced_by_an_empty_one(tmp_path, name):
-    """A replica forgets its votes and promises, and gives them anew.
+    """Guard against a replica that votes twice in one term.
 
-    Somebody removed a file of the data folder; started with an empty one under
-    the old name, the replica would vote twice in one term.
+    Someone removed a file of the data folder. If the replica started with an empty file
+    under its old identity, it would have lost its votes and could cast them again.
     """
     write_synced(tmp_path, entries_from(1, [b"a"] * 9), 3, SMALL_SEGMENT)
     sorted(tmp_path.glob(name))[0].unlink()
@@ -252,24 +253,24 @@
 
 
 def test_two_processes_never_share_a_folder(tmp_path):
-    """Entries vanish while a new process starts beside one that still stops."""
-    first = opened(tmp_path)
+    """Guard against lost entries when a process starts before the old one ended."""
+    first = open_storage(tmp_path)
     config = ReplicaStorageConfig(tmp_path, "entry-0")
     refused = ReplicaStorage.from_config(config).unwrap_err()
     assert refused.step == "lock"
     first.close()
-    opened(tmp_path).close()
+    open_storage(tmp_path).close()
 
 
 def test_a_stopped_replica_leads_alone_after_its_members_were_forced(tmp_path):
-    """After the loss of a quorum, no change is ever accepted again.
+    """Guard against a cluster that accepts no changes after the loss of a quorum.
 
-    The operator forces the members in the folder of the last replica, which a
-    process that still runs must prevent.
+    The operator forces the membership in the folder of the remaining replica. This must
+    be refused while a process still uses the folder.
     """
     write_synced(tmp_path, entries_from(1, [b"kept"]), 1, SMALL_SEGMENT)
     config = ReplicaStorageConfig(tmp_path, "entry-0")
-    running = opened(tmp_path)
+    running = open_storage(tmp_path)
     assert force_members_in_folder(config, "operator", 9.0).unwrap_err().step == "lock"
     running.close()
     forced = force_members_in_folder(config, "operator", 9.0).unwrap()
@@ -283,7 +284,7 @@
 
 
 def test_an_empty_folder_is_never_forced(tmp_path):
-    """An operator forces the wiped replica instead of the one that is left.
+    """Guard against forcing the membership of a wiped replica by mistake.
 
     It would become a cluster of its own with an empty configuration.
     """
@@ -294,7 +295,7 @@
 
 
 def test_a_folder_of_another_instance_is_refused(tmp_path):
-    """A copied data folder votes under the name of the instance it came from."""
+    """Guard against a copied data folder that votes for the original instance."""
     load(tmp_path).unwrap()
     config = ReplicaStorageConfig(tmp_path, "entry-1")
     storage = ReplicaStorage.from_config(config).unwrap()
@@ -304,12 +305,12 @@
 
 @pytest.mark.parametrize("call", ["write", "fdatasync"])
 def test_a_disk_that_failed_once_is_never_trusted_again(tmp_path, monkeypatch, call):
-    """An answered change is lost after a failed sync that a second one hid.
+    """Guard against the loss of an acknowledged change after a failed sync.
 
-    The disk is full or fails for a moment; the bytes that the failed call should
-    have brought to it are gone, and a later call may report success.
+    The disk is full or fails temporarily. The bytes that the failed call should have
+    written are lost, and a later call may report success.
     """
-    storage = opened(tmp_path)
+    storage = open_storage(tmp_path)
     storage.load().unwrap()
 
     def fail(*arguments):
@@ -331,10 +332,10 @@
 def test_a_crash_while_a_snapshot_replaces_the_log_is_finished_at_the_start(
     tmp_path, monkeypatch
 ):
-    """A replica that took over a snapshot can't start, or starts with old entries.
+    """Guard against a replica that can't start, or starts with outdated entries.
 
-    The snapshot is in place and the process ends before the log that contradicts
-    it is dropped: before any one of the files is removed, or the new one made.
+    It has installed a snapshot, and its process ends before the conflicting log is
+    removed: before any one of the files is removed, or before the new one is created.
     """
 
     class CrashedError(Exception):
@@ -352,7 +353,7 @@
 
     def crash_at(folder: Path, kind: type, name: str, allowed: int) -> bool:
         write_synced(folder, entries_from(1, [b"old" * 50] * 12), 3, SMALL_SEGMENT)
-        storage = opened(folder)
+        storage = open_storage(folder)
         identity = storage.load().unwrap().replica_id
         snapshot = Snapshot(10, 7, 1.0, Membership((ReplicaId("a", "b"),)), b"new")
         crashed = False
--- a/tests/cover/storage/test_volatile_storage.py
+++ b/tests/cover/storage/test_volatile_storage.py
@@ -5,10 +5,10 @@
 
 
 def test_a_start_without_a_disk_is_a_replica_that_never_voted():
-    """A replica forgets its vote in a restart and votes again in the same term.
+    """Guard against a replica that loses its vote in a restart and votes again.
 
-    Two leaders of one term would follow. Each start has another identity, which is no
-    voter until the others have taken it in.
+    One term could then have two leaders. Therefore each start gets a new identity,
+    which is not a voter until the other replicas have added it.
     """
     first, second = (VolatileStorage("10.0.0.1").load().unwrap() for _ in range(2))
     assert first.replica_id.instance == second.replica_id.instance
