--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,6 @@
-"""Measure the router's decisions against baselines, with no process and no message.
+"""Compare the router with baseline policies in a simulated fleet.
+
+No process is started and no message is sent.
 
 Run `python benchmarks/policy.py --out benchmarks/results/policy.json` from the root
 with the packages installed. Every run is deterministic; the seeds are in the results.
@@ -12,14 +14,14 @@
 from statistics import mean
 from typing import NamedTuple
 
-from policy_measures import BUCKETS, LONG, SHORT, Figures, figures
-from policy_run import Fault, Run, Scenario
+from policy_measures import BUCKETS, LONG, SHORT, RunStatistics, summarize
+from policy_run import Fault, PolicySimulation, Scenario
 from policy_workload import COOPERATIVE, NILEGATE, mean_engine_seconds
 
 POLICIES = ("ours", "least_outstanding", "round_robin", "first_version")
 BASELINES = POLICIES[1:]
 LOADS = (0.5, 0.8, 1.0, 1.3)
-LOAD_OF_FAULTS = 0.8
+FAULT_LOAD = 0.8
 NO_LONG = "no long prompts"
 THIRD_LOST = "third lost"
 ONE_SLOW = "one ten times slower"
@@ -27,13 +29,13 @@
     THIRD_LOST: Fault(lost_share=1 / 3),
     ONE_SLOW: Fault(slow_factor=10.0),
 }
-AIM_SHORT_RATIO = 1.2
-AIM_BETTER = 5.0
-AIM_GOODPUT = 0.95
+TARGET_SHORT_RATIO = 1.2
+TARGET_IMPROVEMENT = 5.0
+TARGET_GOODPUT_RATIO = 0.95
 
 
-class Cell(NamedTuple):
-    """Name one row of the table: what is measured over all seeds."""
+class RowKey(NamedTuple):
+    """Identify a row of the results, which holds the runs of all seeds."""
 
     fleet: str
     condition: str
@@ -41,45 +43,47 @@
     policy: str
 
 
-class Job(NamedTuple):
-    """Be one run and the row that it belongs to."""
+class PlannedRun(NamedTuple):
+    """Hold the scenario of a run and the row that its result belongs to."""
 
-    cell: Cell
+    row_key: RowKey
     scenario: Scenario
 
 
-def jobs(seeds: list[int], seconds: float) -> list[Job]:
+def plan_runs(seeds: list[int], seconds: float) -> list[PlannedRun]:
     """List every run."""
-    found = []
+    planned_runs = []
     for shape in (NILEGATE, COOPERATIVE):
         for seed in seeds:
             for policy in POLICIES:
                 for load in LOADS:
-                    cell = Cell(shape.name, "", load, policy)
+                    row_key = RowKey(shape.name, "", load, policy)
                     scenario = Scenario(shape, policy, load, seed, seconds)
-                    found.append(Job(cell, scenario))
-                base = Scenario(shape, policy, LOAD_OF_FAULTS, seed, seconds)
+                    planned_runs.append(PlannedRun(row_key, scenario))
+                base = Scenario(shape, policy, FAULT_LOAD, seed, seconds)
                 for name, fault in FAULTS.items():
-                    cell = Cell(shape.name, name, LOAD_OF_FAULTS, policy)
-                    found.append(Job(cell, base._replace(fault=fault)))
-            cell = Cell(shape.name, NO_LONG, LOAD_OF_FAULTS, "ours")
-            alone = Scenario(shape, "ours", LOAD_OF_FAULTS, seed, seconds, False)
-            found.append(Job(cell, alone))
-    return found
+                    row_key = RowKey(shape.name, name, FAULT_LOAD, policy)
+                    planned_runs.append(PlannedRun(row_key, base._replace(fault=fault)))
+            row_key = RowKey(shape.name, NO_LONG, FAULT_LOAD, "ours")
+            scenario_without_long = Scenario(
+                shape, "ours", FAULT_LOAD, seed, seconds, False
+            )
+            planned_runs.append(PlannedRun(row_key, scenario_without_long))
+    return planned_runs
 
 
-def measure(job: Job) -> Figures:
-    """Carry out one run."""
-    return figures(job.scenario, Run(job.scenario).play())
+def measure(planned_run: PlannedRun) -> RunStatistics:
+    """Run one scenario and return its statistics."""
+    return summarize(planned_run.scenario, PolicySimulation(planned_run.scenario).run())
 
 
-def spread(values: list[float]) -> str:
-    """Write the mean with the smallest and largest."""
+def mean_and_range(values: list[float]) -> str:
+    """Format the mean with the minimum and maximum."""
     return f"{mean(values):.2f} ({min(values):.2f} to {max(values):.2f})"
 
 
-def table(cells: dict[Cell, list[Figures]]) -> str:
-    """Write a Markdown table: mean over the seeds, with the range where it matters."""
+def table(rows: dict[RowKey, list[RunStatistics]]) -> str:
+    """Format a Markdown table of means over the seeds, some with their range."""
     names = [name for name, _, _ in BUCKETS]
     lines = [
         "| fleet | load | policy | "
@@ -87,8 +91,12 @@
         + " | short slowdown p95 | in time | refused | late | worth/s |",
         "| --- " * (8 + len(names)) + "|",
     ]
-    for cell, runs in cells.items():
-        columns = [cell.fleet, f"{cell.load} {cell.condition}".strip(), cell.policy]
+    for row_key, runs in rows.items():
+        columns = [
+            row_key.fleet,
+            f"{row_key.load} {row_key.condition}".strip(),
+            row_key.policy,
+        ]
         for name in names:
             columns.append(
                 " / ".join(
@@ -96,81 +104,92 @@
                     for key in ("ttft_p50", "ttft_p95", "ttft_p99")
                 )
             )
-        columns.append(spread([r["buckets"][SHORT]["slowdown_p95"] for r in runs]))
+        columns.append(
+            mean_and_range([r["buckets"][SHORT]["slowdown_p95"] for r in runs])
+        )
         columns.append(f"{mean(r['in_time_share'] for r in runs):.4f}")
         columns.append(f"{mean(r['refused'] for r in runs):.0f}")
         columns.append(f"{mean(r['late'] for r in runs):.0f}")
-        columns.append(spread([r["goodput_per_second"] for r in runs]))
+        columns.append(mean_and_range([r["goodput_per_second"] for r in runs]))
         lines.append("| " + " | ".join(columns) + " |")
     return "\n".join(lines)
 
 
-def short_p95(run: Figures) -> float:
+def short_p95(run: RunStatistics) -> float:
     """Return short requests' p95 slowdown."""
     return run["buckets"][SHORT]["slowdown_p95"]
 
 
-def long_p95(run: Figures) -> float:
+def long_p95(run: RunStatistics) -> float:
     """Return long requests' p95 time to first token."""
     return run["buckets"][LONG]["ttft_p95"]
 
 
 def ratios(
-    over: list[Figures], under: list[Figures], of: Callable[[Figures], float]
+    numerators: list[RunStatistics],
+    denominators: list[RunStatistics],
+    statistic: Callable[[RunStatistics], float],
 ) -> list[float]:
-    """Return the ratio of a figure in two rows, seed by seed."""
-    return [of(a) / of(b) for a, b in zip(over, under, strict=True)]
+    """Return the ratio of a statistic in two rows, for each seed."""
+    return [
+        statistic(a) / statistic(b)
+        for a, b in zip(numerators, denominators, strict=True)
+    ]
 
 
-def aims(cells: dict[Cell, list[Figures]]) -> str:
-    """Write how each aim came out, as ratios within the same run."""
+def targets_table(rows: dict[RowKey, list[RunStatistics]]) -> str:
+    """Format how each target was met, as ratios between runs with the same seed."""
     lines = ["| aim | fleet | mean (range) | reached |", "| --- | --- | --- | --- |"]
     for fleet in (NILEGATE.name, COOPERATIVE.name):
 
-        def row(policy, load=LOAD_OF_FAULTS, condition="", fleet=fleet):
-            return cells[Cell(fleet, condition, load, policy)]
+        def runs_of(policy, load=FAULT_LOAD, condition="", fleet=fleet):
+            return rows[RowKey(fleet, condition, load, policy)]
 
-        def note(aim, values, reached, fleet=fleet):
+        def add_row(target, values, reached, fleet=fleet):
             verdict = "yes" if reached(mean(values)) else "no"
-            lines.append(f"| {aim} | {fleet} | {spread(values)} | {verdict} |")
+            lines.append(
+                f"| {target} | {fleet} | {mean_and_range(values)} | {verdict} |"
+            )
 
-        ours = row("ours")
-        note(
+        ours = runs_of("ours")
+        add_row(
             f"short p95 slowdown at 0.8 over that without long, at most "
-            f"{AIM_SHORT_RATIO}",
-            ratios(ours, row("ours", condition=NO_LONG), short_p95),
-            lambda value: value <= AIM_SHORT_RATIO,
+            f"{TARGET_SHORT_RATIO}",
+            ratios(ours, runs_of("ours", condition=NO_LONG), short_p95),
+            lambda value: value <= TARGET_SHORT_RATIO,
         )
-        note(
+        add_row(
             f"least outstanding's short p95 slowdown over ours at 0.8, at least "
-            f"{AIM_BETTER}",
-            ratios(row("least_outstanding"), ours, short_p95),
-            lambda value: value >= AIM_BETTER,
+            f"{TARGET_IMPROVEMENT}",
+            ratios(runs_of("least_outstanding"), ours, short_p95),
+            lambda value: value >= TARGET_IMPROVEMENT,
         )
         for load in LOADS:
             best = min(
-                (row(policy, load) for policy in BASELINES),
+                (runs_of(policy, load) for policy in BASELINES),
                 key=lambda runs: mean(long_p95(run) for run in runs),
             )
-            note(
+            add_row(
                 f"long p95 TTFT over the best baseline's at {load}, at most 1",
-                ratios(row("ours", load), best, long_p95),
+                ratios(runs_of("ours", load), best, long_p95),
                 lambda value: value <= 1.0,
             )
-        note(
-            f"worth/s at 1.3 over that at 1.0, at least {AIM_GOODPUT}",
+        add_row(
+            f"worth/s at 1.3 over that at 1.0, at least {TARGET_GOODPUT_RATIO}",
             ratios(
-                row("ours", 1.3), row("ours", 1.0), lambda r: r["goodput_per_second"]
+                runs_of("ours", 1.3),
+                runs_of("ours", 1.0),
+                lambda r: r["goodput_per_second"],
             ),
-            lambda value: value >= AIM_GOODPUT,
+            lambda value: value >= TARGET_GOODPUT_RATIO,
         )
         best = max(
-            (row(policy, 1.3) for policy in BASELINES),
+            (runs_of(policy, 1.3) for policy in BASELINES),
             key=lambda runs: mean(run["goodput_per_second"] for run in runs),
         )
-        note(
+        add_row(
             "worth/s at 1.3 over the best baseline's (no aim was set), 1",
-            ratios(row("ours", 1.3), best, lambda r: r["goodput_per_second"]),
+            ratios(runs_of("ours", 1.3), best, lambda r: r["goodput_per_second"]),
             lambda value: value >= 1.0,
         )
     return "\n".join(lines)
@@ -184,21 +203,25 @@
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--out", type=Path)
     arguments = parser.parse_args()
-    planned = jobs(arguments.seeds, arguments.seconds)
-    cells: dict[Cell, list[Figures]] = {}
+    planned_runs = plan_runs(arguments.seeds, arguments.seconds)
+    rows: dict[RowKey, list[RunStatistics]] = {}
     with ProcessPoolExecutor(arguments.processes) as pool:
-        for job, result in zip(planned, pool.map(measure, planned), strict=True):
-            cells.setdefault(job.cell, []).append(result)
-    cells = dict(sorted(cells.items()))
-    print(aims(cells))
+        for planned_run, result in zip(
+            planned_runs, pool.map(measure, planned_runs), strict=True
+        ):
+            rows.setdefault(planned_run.row_key, []).append(result)
+    rows = dict(sorted(rows.items()))
+    print(targets_table(rows))
     print()
-    print(table(cells))
+    print(table(rows))
     if arguments.out is not None:
         document = {
             "seconds": arguments.seconds,
             "seeds": arguments.seeds,
             "mean_engine_seconds_per_request": mean_engine_seconds(),
-            "rows": [{**cell._asdict(), "runs": runs} for cell, runs in cells.items()],
+            "rows": [
+                {**row_key._asdict(), "runs": runs} for row_key, runs in rows.items()
+            ],
         }
         text = json.dumps(document, indent=1)
         # JSON has no NaN: a bucket without requests has no times.
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -1,4 +1,4 @@
-"""Replace only the choice of the upstream, by what other routers do."""
+"""Implement common load-balancing policies, to compare the router with."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 @dataclass
 class Baseline(ABC):
-    """Know the upstreams and what this entry has outstanding at each."""
+    """Track the upstreams and the attempts that this entry has outstanding at each."""
 
     upstreams: dict[UpstreamId, UpstreamAvailable] = field(default_factory=dict)
     outstanding: dict[AttemptId, UpstreamId] = field(default_factory=dict)
@@ -37,7 +37,7 @@
     def handle(
         self, event: RouterEvent, now: float, random: Random
     ) -> list[PlacementAnswered]:
-        """Take in one event and return the answer that is due."""
+        """Handle one event and return the answers to placement requests."""
         del now
         match event:
             case UpstreamAvailable(description=description):
@@ -59,7 +59,7 @@
         return []
 
     def place(self, asked: PlacementAsked, random: Random) -> PlacementAnswered:
-        """Answer with the pick, or say that every upstream was tried."""
+        """Answer with the chosen upstream, or refuse where all were tried."""
         facts = asked.facts
         candidates = [u for i, u in self.upstreams.items() if i not in asked.excluded]
         explanation = PlacementExplanation(
@@ -82,7 +82,7 @@
 
 
 class RoundRobin(Baseline):
-    """Take the upstreams in turn."""
+    """Choose the upstreams in turn."""
 
     def pick(
         self, candidates: list[UpstreamAvailable], random: Random
@@ -94,12 +94,12 @@
 
 
 class LeastOutstanding(Baseline):
-    """Take the upstream with the fewest of this entry's requests open."""
+    """Choose the upstream with the fewest open attempts of this entry."""
 
     def pick(
         self, candidates: list[UpstreamAvailable], random: Random
     ) -> UpstreamAvailable:
-        """Choose the fewest outstanding; ties are drawn."""
+        """Choose the one with the fewest outstanding; ties are broken at random."""
         counts = dict.fromkeys(self.upstreams, 0)
         for upstream_id in self.outstanding.values():
             counts[upstream_id] = counts.get(upstream_id, 0) + 1
@@ -110,10 +110,13 @@
 
 
 class LeastReported(Baseline):
-    """Take the upstream that reports the fewest running, as our first version did."""
+    """Choose the upstream that reports the fewest running attempts.
+
+    The first version of the router did this.
+    """
 
     def pick(
         self, candidates: list[UpstreamAvailable], random: Random
     ) -> UpstreamAvailable:
-        """Choose the fewest reported; ties are drawn."""
+        """Choose the one with the fewest running; ties are broken at random."""
         return min(candidates, key=lambda u: (u.load.running, random.random()))
--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -1,4 +1,4 @@
-"""Measure the processor time of a placement with few and with many upstreams.
+"""Measure the router's processor time per placement, by number of upstreams.
 
 Run `python benchmarks/policy_cost.py --out benchmarks/results/policy_cost.json`.
 """
@@ -31,8 +31,8 @@
 SIZES = (13, 104, 1_000)
 REPEATS = 7
 REQUESTS = 3_000
-OPEN_FOR = 150
-"""Requests that stay open at a time: 21 a second for about seven seconds."""
+OPEN_REQUESTS = 150
+"""Requests open at a time: 21 per second, each open for about seven seconds."""
 TICKS = 300
 NANOSECONDS_PER_MICROSECOND = 1_000
 REQUESTS_PER_SECOND = 21.0
@@ -41,21 +41,21 @@
 
 
 class Costs(NamedTuple):
-    """Be processor times in microseconds."""
+    """Hold processor times in microseconds."""
 
     request: float
-    """Question, acceptance, first token and end together."""
+    """Placement, acceptance, first token and end of one request."""
     report: float
     tick: float
 
 
-def load(sequence: int) -> LoadReport:
-    """Build a report of an upstream at work."""
+def load_report(sequence: int) -> LoadReport:
+    """Build the load report of a busy upstream."""
     return LoadReport(sequence, 25, 24, 8_000, 200_000, 480_000, 25e-6, 3e-11, 0.04, ())
 
 
-def start(upstreams: int) -> Router:
-    """Build a router that knows this many upstreams."""
+def build_router(upstreams: int) -> Router:
+    """Build a router with a number of known upstreams."""
     router = Router.from_config(RouterConfig())
     random = Random(1)
     service = Service("scribe", "model", ("model",))
@@ -72,19 +72,19 @@
             True,
             "",
         )
-        router.handle(UpstreamAvailable(description, "1", load(0)), 0.0, random)
+        router.handle(UpstreamAvailable(description, "1", load_report(0)), 0.0, random)
     return router
 
 
-def micros(begin: int, count: int) -> float:
-    """Return the processor time since, for each of so many."""
+def microseconds_per_item(begin: int, count: int) -> float:
+    """Return the processor time since `begin`, divided by `count`."""
     return (process_time_ns() - begin) / count / NANOSECONDS_PER_MICROSECOND
 
 
 def measure(upstreams: int, seed: int) -> Costs:
-    """Measure one router."""
-    router, random, now = start(upstreams), Random(seed), 100.0
-    questions = []
+    """Measure a router with a number of upstreams."""
+    router, random, now = build_router(upstreams), Random(seed), 100.0
+    placements = []
     for number in range(REQUESTS):
         facts = PlacementFacts(
             f"{number}",
@@ -97,31 +97,33 @@
             0,
             60.0,
         )
-        questions.append(PlacementAsked(f"{number}", facts))
+        placements.append(PlacementAsked(f"{number}", facts))
     begin = process_time_ns()
-    for number, question in enumerate(questions):
+    for number, placement in enumerate(placements):
         now += 1.0 / REQUESTS_PER_SECOND
-        router.handle(question, now, random)
+        router.handle(placement, now, random)
         router.handle(HandOverAccepted(f"{number}"), now, random)
         router.handle(FirstTokenSeen(f"{number}", 0.2), now, random)
-        if number >= OPEN_FOR:
-            ended = AttemptEnded(f"{number - OPEN_FOR}", AttemptOutcome.FINISHED)
+        if number >= OPEN_REQUESTS:
+            ended = AttemptEnded(f"{number - OPEN_REQUESTS}", AttemptOutcome.FINISHED)
             router.handle(ended, now, random)
-    request = micros(begin, REQUESTS)
-    reports = [LoadUpdated(f"upstream-{n}", "1", load(5)) for n in range(upstreams)]
+    request = microseconds_per_item(begin, REQUESTS)
+    reports = [
+        LoadUpdated(f"upstream-{n}", "1", load_report(5)) for n in range(upstreams)
+    ]
     begin = process_time_ns()
     for report in reports:
         router.handle(report, now, random)
-    report_cost = micros(begin, upstreams)
+    report_cost = microseconds_per_item(begin, upstreams)
     begin = process_time_ns()
     for _ in range(TICKS):
         now += 1.0 / TICKS_PER_SECOND
         router.handle(TickElapsed(), now, random)
-    return Costs(request, report_cost, micros(begin, TICKS))
+    return Costs(request, report_cost, microseconds_per_item(begin, TICKS))
 
 
 def main() -> None:
-    """Print the costs for each size."""
+    """Print the costs by number of upstreams."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     arguments = parser.parse_args()
@@ -129,21 +131,21 @@
     print("upstreams | request µs (min to max) | report µs | tick µs | core share")
     for upstreams in SIZES:
         runs = [measure(upstreams, seed) for seed in range(REPEATS)]
-        middle = Costs(*(median(values) for values in zip(*runs, strict=True)))
+        medians = Costs(*(median(values) for values in zip(*runs, strict=True)))
         share = (
-            middle.request * REQUESTS_PER_SECOND
-            + middle.report * REPORTS_PER_SECOND * upstreams
-            + middle.tick * TICKS_PER_SECOND
+            medians.request * REQUESTS_PER_SECOND
+            + medians.report * REPORTS_PER_SECOND * upstreams
+            + medians.tick * TICKS_PER_SECOND
         ) / 1e6
         low, high = min(r.request for r in runs), max(r.request for r in runs)
         print(
-            f"{upstreams} | {middle.request:.0f} ({low:.0f} to {high:.0f}) | "
-            f"{middle.report:.1f} | {middle.tick:.0f} | {share:.2%}"
+            f"{upstreams} | {medians.request:.0f} ({low:.0f} to {high:.0f}) | "
+            f"{medians.report:.1f} | {medians.tick:.0f} | {share:.2%}"
         )
         rows.append(
             {
                 "upstreams": upstreams,
-                "median": middle._asdict(),
+                "median": medians._asdict(),
                 "runs": [run._asdict() for run in runs],
                 "core_share": share,
             }
--- a/benchmarks/policy_measures.py
+++ b/benchmarks/policy_measures.py
@@ -1,10 +1,10 @@
-"""Turn what came of the requests of one run into figures."""
+"""Compute the statistics of one run from the outcomes of its requests."""
 
 from math import ceil
 from typing import TypedDict
 
-from policy_engine import alone_seconds
-from policy_run import DAY_START, Progress, Scenario
+from policy_engine import idle_first_token_seconds
+from policy_run import START_TIME, Progress, Scenario
 
 WARM_UP_SHARE = 0.15
 BUCKETS = (
@@ -16,8 +16,8 @@
 SHORT, LONG = BUCKETS[0][0], BUCKETS[-1][0]
 
 
-class BucketFigures(TypedDict):
-    """Be the figures of one range of prompt lengths; times in seconds."""
+class BucketStatistics(TypedDict):
+    """Hold the statistics of one range of prompt lengths; times in seconds."""
 
     requests: int
     ttft_p50: float
@@ -29,47 +29,48 @@
     in_time_share: float
 
 
-class Figures(TypedDict):
-    """Be the figures of one run."""
+class RunStatistics(TypedDict):
+    """Hold the statistics of one run."""
 
     requests: int
     in_time_share: float
     refused: int
     late: int
     goodput_per_second: float
-    """Worth answered whole in time, by the second of the run."""
+    """Value of the requests completed in time, per second of the run."""
     answered_per_second: float
     small_customers_short_p95: float
-    """Short requests' p95 time to first token for the seven small customers."""
-    buckets: dict[str, BucketFigures]
+    """p95 time to first token of the seven small customers' short requests."""
+    buckets: dict[str, BucketStatistics]
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile; without values it is not a number."""
+    """Return a quantile; NaN without values."""
     if not values:
         return float("nan")
     ordered = sorted(values)
     return ordered[max(0, ceil(share * len(ordered)) - 1)]
 
 
-def bucket_figures(progress: list[Progress]) -> BucketFigures:
-    """Return the figures of the requests in one bucket.
+def summarize_bucket(progress: list[Progress]) -> BucketStatistics:
+    """Return the statistics of the requests in one bucket.
 
-    A request that never had a first token counts as one that took its whole deadline,
-    or a policy would look fast by failing; an admission's refusal at once does not.
+    A request that passed its deadline without a first token counts with its whole
+    deadline, or a policy would look fast by failing. Requests refused at admission are
+    left out.
     """
     times, slowdowns = [], []
     for p in progress:
         if p.first_token_at is not None:
-            seconds = p.first_token_at - DAY_START - p.request.at
+            seconds = p.first_token_at - START_TIME - p.request.at
         elif p.refusal == "late":
             seconds = p.request.deadline_seconds
         else:
             continue
         times.append(seconds)
-        slowdowns.append(seconds / alone_seconds(p.request.prompt_tokens))
+        slowdowns.append(seconds / idle_first_token_seconds(p.request.prompt_tokens))
     in_time = sum(p.finished_at is not None for p in progress)
-    return BucketFigures(
+    return BucketStatistics(
         requests=len(progress),
         ttft_p50=quantile(times, 0.5),
         ttft_p95=quantile(times, 0.95),
@@ -81,34 +82,36 @@
     )
 
 
-def figures(scenario: Scenario, progress: list[Progress]) -> Figures:
-    """Return the figures of one run, without its warm-up."""
+def summarize(scenario: Scenario, progress: list[Progress]) -> RunStatistics:
+    """Return the statistics of one run, without its warm-up."""
     begin = WARM_UP_SHARE * scenario.seconds
     counted = [p for p in progress if p.request.at >= begin]
     answered = [p for p in counted if p.finished_at is not None]
-    worth = sum(
+    value = sum(
         scenario.shape.long_prompt_weight if p.request.is_long else 1.0
         for p in answered
     )
     measured_seconds = scenario.seconds - begin
     small = [
-        p for p in counted if p.request.customer not in LARGE and p.request.is_short
+        p
+        for p in counted
+        if p.request.customer not in LARGE_CUSTOMERS and p.request.is_short
     ]
-    return Figures(
+    return RunStatistics(
         requests=len(counted),
         in_time_share=len(answered) / max(1, len(counted)),
         refused=sum(p.refusal not in ("", "late") for p in counted),
         late=sum(p.refusal == "late" for p in counted),
-        goodput_per_second=worth / measured_seconds,
+        goodput_per_second=value / measured_seconds,
         answered_per_second=len(answered) / measured_seconds,
-        small_customers_short_p95=bucket_figures(small)["ttft_p95"],
+        small_customers_short_p95=summarize_bucket(small)["ttft_p95"],
         buckets={
-            name: bucket_figures(
-                [p for p in counted if least < p.request.prompt_tokens <= most]
+            name: summarize_bucket(
+                [p for p in counted if lower < p.request.prompt_tokens <= upper]
             )
-            for name, least, most in BUCKETS
+            for name, lower, upper in BUCKETS
         },
     )
 
 
-LARGE = ("customer-0", "customer-1", "customer-2")
+LARGE_CUSTOMERS = ("customer-0", "customer-1", "customer-2")
--- a/benchmarks/policy_run.py
+++ b/benchmarks/policy_run.py
@@ -1,4 +1,4 @@
-"""Run one policy on one workload: an event loop over engines and entries."""
+"""Simulate one policy on one workload: an event loop over engines and entries."""
 
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
@@ -10,7 +10,7 @@
 from policy_engine import MEMORY_TOKENS, FakeEngine, Job
 from policy_workload import (
     CUSTOMERS,
-    MOST_OUTPUT_TOKENS,
+    MAX_OUTPUT_TOKENS,
     FleetShape,
     Request,
     draw_requests,
@@ -38,18 +38,18 @@
 from cowslipshelf_core.upstream import LoadReport, UpstreamDescription
 
 ENTRIES = 3
-REPORT_EVERY_SECONDS = 0.25
-REPORT_LAG_SECONDS = (0.02, 0.12)
+REPORT_INTERVAL_SECONDS = 0.25
+REPORT_DELAY_SECONDS = (0.02, 0.12)
 TICK_SECONDS = 0.1
-NOTICE_LOSS_SECONDS = 3.0
-BASELINE_WAIT_SECONDS = 0.5
+LOSS_DETECTION_SECONDS = 3.0
+BASELINE_RETRY_SECONDS = 0.5
 MODEL = "model"
-DAY_START = 1_000.0
-"""Time at which a run begins; clocks don't start at zero."""
+START_TIME = 1_000.0
+"""Time at which a run starts; not zero, as for real clocks."""
 
 
 class Fault(NamedTuple):
-    """Be what fails in mid-run, at shares of the run."""
+    """Describe a fault; it begins and ends at shares of the run."""
 
     lost_share: float = 0.0
     slow_factor: float = 1.0
@@ -58,7 +58,7 @@
 
 
 class Scenario(NamedTuple):
-    """Be one run."""
+    """Describe one run."""
 
     shape: FleetShape
     policy: str
@@ -72,12 +72,12 @@
 
 @dataclass
 class Progress:
-    """Be how far one request has come."""
+    """Track the progress of one request."""
 
     request: Request
-    tries: int = 0
+    attempt_count: int = 0
     attempt: str = ""
-    ask: str = ""
+    placement_id: str = ""
     engine: str = ""
     excluded: set[str] = field(default_factory=set)
     placed_at: float = 0.0
@@ -88,7 +88,7 @@
 
 
 def build_policy(scenario: Scenario, entry: int) -> Any:
-    """Build the chooser of one entry."""
+    """Build the placement policy of one entry."""
     match scenario.policy:
         case "round_robin":
             return RoundRobin()
@@ -100,43 +100,43 @@
     return Router.from_config(scenario.config._replace(data_centre=own))
 
 
-class Run:
-    """Hold the state of one run."""
+class PolicySimulation:
+    """Simulate engines and entries under one scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Draw the workload and start engines and entries."""
+        """Draw the workload and build engines and entries."""
         self.scenario = scenario
         shape = scenario.shape
         self.random = Random(f"run:{scenario.seed}")
         self.events: list[tuple[float, int, Any, tuple]] = []
         self.order = count()
-        self.now = DAY_START
+        self.now = START_TIME
         self.engines = {f"upstream-{n}": FakeEngine() for n in range(shape.upstreams)}
         self.alive = dict.fromkeys(self.engines, True)
         self.generation = dict.fromkeys(self.engines, 0)
         self.epochs = dict.fromkeys(self.engines, 0)
         self.entries = [build_policy(scenario, n) for n in range(ENTRIES)]
         self.randoms = [Random(f"{scenario.seed}:{n}") for n in range(ENTRIES)]
-        drawn = draw_requests(
+        requests = draw_requests(
             shape, scenario.load, scenario.seconds, ENTRIES, scenario.seed
         )
         self.progress = [
             Progress(r)
-            for r in drawn
+            for r in requests
             if fits(r.prompt_tokens) and (scenario.with_long or not r.is_long)
         ]
         self.by_attempt: dict[str, Progress] = {}
-        self.by_ask: dict[str, Progress] = {}
+        self.by_placement: dict[str, Progress] = {}
 
-    def later(self, seconds: float, action: Any, *arguments: Any) -> None:
-        """Schedule an action."""
+    def call_later(self, seconds: float, action: Any, *arguments: Any) -> None:
+        """Schedule an action after a delay."""
         entry = (self.now + seconds, next(self.order), action, arguments)
         heappush(self.events, entry)
 
-    def play(self) -> list[Progress]:
-        """Run to the end and return what came of each request."""
+    def run(self) -> list[Progress]:
+        """Run to the end and return the progress of each request."""
         self.start()
-        end = DAY_START + self.scenario.seconds
+        end = START_TIME + self.scenario.seconds
         while self.events:
             at, _, action, arguments = heappop(self.events)
             if at > end + 200.0:
@@ -146,7 +146,7 @@
         return self.progress
 
     def start(self) -> None:
-        """Put the configuration in force and schedule what happens by itself."""
+        """Apply the configuration; schedule ticks, reports, arrivals and the fault."""
         shape = self.scenario.shape
         configuration = FleetConfiguration(
             version=1,
@@ -165,40 +165,44 @@
             models=(Model(MODEL, "1"),),
         )
         for entry in range(ENTRIES):
-            self.tell(entry, ConfigurationApplied(configuration))
-            self.later(self.random.random() * TICK_SECONDS, self.tick, entry)
+            self.deliver(entry, ConfigurationApplied(configuration))
+            self.call_later(self.random.random() * TICK_SECONDS, self.tick, entry)
         for name in self.engines:
             self.announce(name)
-            self.later(self.random.random() * REPORT_EVERY_SECONDS, self.report, name)
+            self.call_later(
+                self.random.random() * REPORT_INTERVAL_SECONDS, self.report, name
+            )
         for progress in self.progress:
-            self.later(progress.request.at, self.arrive, progress)
+            self.call_later(progress.request.at, self.arrive, progress)
         fault = self.scenario.fault
         if fault is not None:
-            self.later(fault.begins * self.scenario.seconds, self.begin_fault, fault)
-            self.later(fault.ends * self.scenario.seconds, self.end_fault)
+            self.call_later(
+                fault.begins * self.scenario.seconds, self.begin_fault, fault
+            )
+            self.call_later(fault.ends * self.scenario.seconds, self.end_fault)
 
-    def tell(self, entry: int, event: Any) -> None:
-        """Give an entry an event and act on its answers."""
+    def deliver(self, entry: int, event: Any) -> None:
+        """Deliver an event to an entry and apply its answers."""
         answers = self.entries[entry].handle(event, self.now, self.randoms[entry])
         for answered in answers:
-            progress = self.by_ask.pop(answered.placement_id)
-            self.act_on(progress, answered.answer)
+            progress = self.by_placement.pop(answered.placement_id)
+            self.apply_answer(progress, answered.answer)
 
-    def tell_all(self, event: Any) -> None:
-        """Give every entry an event."""
+    def broadcast(self, event: Any) -> None:
+        """Deliver an event to every entry."""
         for entry in range(ENTRIES):
-            self.tell(entry, event)
+            self.deliver(entry, event)
 
     def tick(self, entry: int) -> None:
-        """Let time pass at an entry."""
-        self.tell(entry, TickElapsed())
-        if self.now < DAY_START + self.scenario.seconds + 150.0:
-            self.later(TICK_SECONDS, self.tick, entry)
+        """Deliver a tick to an entry and schedule the next."""
+        self.deliver(entry, TickElapsed())
+        if self.now < START_TIME + self.scenario.seconds + 150.0:
+            self.call_later(TICK_SECONDS, self.tick, entry)
 
     # Upstreams.
 
     def announce(self, name: str) -> None:
-        """Make an upstream available to all entries."""
+        """Announce an upstream to all entries."""
         shape = self.scenario.shape
         number = int(name.rsplit("-", 1)[1])
         description = UpstreamDescription(
@@ -212,60 +216,64 @@
             f"10.0.0.{number}:7000",
         )
         load = self.engines[name].report()
-        self.tell_all(UpstreamAvailable(description, f"{self.epochs[name]}", load))
+        self.broadcast(UpstreamAvailable(description, f"{self.epochs[name]}", load))
 
     def report(self, name: str) -> None:
-        """Send a load report that arrives late."""
+        """Send a load report to each entry with a random delay."""
         if self.alive[name]:
             load = self.engines[name].report()
             for entry in range(ENTRIES):
-                lag = self.random.uniform(*REPORT_LAG_SECONDS)
-                self.later(lag, self.reported, entry, name, self.epochs[name], load)
-        if self.now < DAY_START + self.scenario.seconds + 150.0:
-            self.later(REPORT_EVERY_SECONDS, self.report, name)
-
-    def reported(self, entry: int, name: str, epoch: int, load: LoadReport) -> None:
+                delay = self.random.uniform(*REPORT_DELAY_SECONDS)
+                self.call_later(
+                    delay, self.receive_report, entry, name, self.epochs[name], load
+                )
+        if self.now < START_TIME + self.scenario.seconds + 150.0:
+            self.call_later(REPORT_INTERVAL_SECONDS, self.report, name)
+
+    def receive_report(
+        self, entry: int, name: str, epoch: int, load: LoadReport
+    ) -> None:
         """Deliver a load report."""
-        self.tell(entry, LoadUpdated(name, f"{epoch}", load))
+        self.deliver(entry, LoadUpdated(name, f"{epoch}", load))
 
-    def wake(self, name: str) -> None:
-        """Begin a step where the engine is idle, or end a run of steps early."""
+    def interrupt(self, name: str) -> None:
+        """Start a step if the engine is idle, or end a batch of steps early."""
         engine = self.engines[name]
         if engine.steps == 0:
-            self.next_step(name)
+            self.start_step(name)
             return
-        sooner = engine.cut_short(self.now)
-        if sooner is not None:
-            self.schedule_step(name, sooner)
+        ends_at = engine.stop_after_next_step(self.now)
+        if ends_at is not None:
+            self.schedule_step(name, ends_at)
 
     def schedule_step(self, name: str, at: float) -> None:
-        """Schedule the end of the running step, in place of what was scheduled."""
+        """Schedule the end of the running step, replacing an earlier schedule."""
         self.generation[name] += 1
-        self.later(at - self.now, self.step, name, self.generation[name])
+        self.call_later(at - self.now, self.complete_step, name, self.generation[name])
 
-    def next_step(self, name: str) -> None:
-        """Begin the next step where there is work."""
+    def start_step(self, name: str) -> None:
+        """Start the next step if there is work."""
         engine = self.engines[name]
-        ends = engine.begin(self.now)
+        ends = engine.start_step(self.now)
         if ends is None:
             engine.steps = 0
             return
         self.schedule_step(name, ends)
 
-    def step(self, name: str, generation: int) -> None:
-        """End a step and tell the entries what it brought."""
+    def complete_step(self, name: str, generation: int) -> None:
+        """Complete a step and schedule the entries' notifications."""
         if generation != self.generation[name]:
             return
         outcome = self.engines[name].end_step()
         latency = self.scenario.shape.latency_seconds
         for attempt in outcome.first_tokens:
-            self.later(latency, self.first_token, attempt)
+            self.call_later(latency, self.first_token, attempt)
         for attempt in outcome.finished:
-            self.later(latency, self.finished, attempt)
-        self.next_step(name)
+            self.call_later(latency, self.finished, attempt)
+        self.start_step(name)
 
     def begin_fault(self, fault: Fault) -> None:
-        """Lose a share of the upstreams at once, or slow one down."""
+        """Crash a share of the upstreams at once, or slow one down."""
         names = sorted(self.engines)
         if fault.slow_factor != 1.0:
             self.engines[names[0]].slowness = fault.slow_factor
@@ -275,15 +283,15 @@
             lost = list(self.engines[name].jobs)
             self.engines[name] = FakeEngine(sequence=self.engines[name].sequence)
             for attempt in lost:
-                self.later(0.05, self.attempt_lost, attempt)
-            self.later(NOTICE_LOSS_SECONDS, self.notice_loss, name)
+                self.call_later(0.05, self.attempt_lost, attempt)
+            self.call_later(LOSS_DETECTION_SECONDS, self.detect_loss, name)
 
-    def notice_loss(self, name: str) -> None:
-        """Let the entries see that an upstream is gone."""
-        self.tell_all(UpstreamUnavailable(name, "lease expired"))
+    def detect_loss(self, name: str) -> None:
+        """Report to the entries that an upstream is unavailable."""
+        self.broadcast(UpstreamUnavailable(name, "lease expired"))
 
     def end_fault(self) -> None:
-        """Bring back what was lost, empty."""
+        """Restart crashed upstreams without jobs, and end the slowdown."""
         for name, alive in self.alive.items():
             self.engines[name].slowness = 1.0
             if not alive:
@@ -294,20 +302,20 @@
     # Requests.
 
     def arrive(self, progress: Progress) -> None:
-        """Begin a request."""
-        self.later(progress.request.deadline_seconds, self.deadline, progress)
-        self.ask(progress)
+        """Start a request and its deadline."""
+        self.call_later(progress.request.deadline_seconds, self.deadline, progress)
+        self.request_placement(progress)
 
-    def ask(self, progress: Progress) -> None:
-        """Ask for a placement of a fresh attempt."""
+    def request_placement(self, progress: Progress) -> None:
+        """Request the placement of a new attempt."""
         if progress.done:
             return
         request = progress.request
-        progress.tries += 1
-        progress.attempt = f"{request.number}.{progress.tries}"
-        progress.ask = f"ask-{progress.attempt}"
-        self.by_ask[progress.ask] = progress
-        left = DAY_START + request.at + request.deadline_seconds - self.now
+        progress.attempt_count += 1
+        progress.attempt = f"{request.number}.{progress.attempt_count}"
+        progress.placement_id = f"ask-{progress.attempt}"
+        self.by_placement[progress.placement_id] = progress
+        left = START_TIME + request.at + request.deadline_seconds - self.now
         facts = PlacementFacts(
             f"{request.number}",
             progress.attempt,
@@ -315,22 +323,27 @@
             self.scenario.shape.service,
             MODEL,
             request.prompt_tokens,
-            MOST_OUTPUT_TOKENS,
+            MAX_OUTPUT_TOKENS,
             0,
             left,
         )
-        event = PlacementAsked(progress.ask, facts, frozenset(progress.excluded))
-        self.tell(request.entry, event)
+        event = PlacementAsked(
+            progress.placement_id, facts, frozenset(progress.excluded)
+        )
+        self.deliver(request.entry, event)
+
+    def apply_answer(self, progress: Progress, answer: Any) -> None:
+        """Hand the attempt over, or refuse the request.
 
-    def act_on(self, progress: Progress, answer: Any) -> None:
-        """Hand the attempt over, or end the request with the refusal."""
+        Baselines never refuse; they try again a little later.
+        """
         if progress.done:
             return
         if isinstance(answer, ChosenUpstream):
             progress.placed_at = self.now
             progress.engine = answer.upstream_id
             self.by_attempt[progress.attempt] = progress
-            self.later(
+            self.call_later(
                 self.scenario.shape.latency_seconds,
                 self.hand_over,
                 progress,
@@ -339,7 +352,7 @@
             )
         elif self.scenario.policy != "ours":
             progress.excluded.clear()
-            self.later(BASELINE_WAIT_SECONDS, self.ask, progress)
+            self.call_later(BASELINE_RETRY_SECONDS, self.request_placement, progress)
         else:
             progress.refusal = answer.reason.value
             progress.done = True
@@ -347,7 +360,7 @@
     def hand_over(
         self, progress: Progress, attempt: str, answer: ChosenUpstream
     ) -> None:
-        """Arrive at the sidecar, which has the last word."""
+        """Deliver an attempt to the sidecar, which accepts or refuses it."""
         name = answer.upstream_id
         if progress.done:
             return
@@ -359,65 +372,67 @@
             attempt,
             request.prompt_tokens,
             request.output_tokens,
-            MOST_OUTPUT_TOKENS,
+            MAX_OUTPUT_TOKENS,
             self.now + answer.priority / 1_000,
         )
         engine = self.engines[name]
         if engine.fits(job):
             engine.add(job)
-            self.wake(name)
+            self.interrupt(name)
             return
         latency = self.scenario.shape.latency_seconds
-        self.later(latency, self.refused, progress, attempt, engine.report())
+        self.call_later(latency, self.refused, progress, attempt, engine.report())
 
     def refused(self, progress: Progress, attempt: str, load: LoadReport) -> None:
-        """Ask again after a sidecar's refusal."""
+        """Request another placement after the sidecar refused the attempt."""
         self.by_attempt.pop(attempt, None)
         progress.excluded.add(progress.engine)
-        self.tell(progress.request.entry, HandOverRefused(attempt, load))
+        self.deliver(progress.request.entry, HandOverRefused(attempt, load))
         if len(progress.excluded) >= 3 and self.scenario.policy == "ours":
             progress.excluded.clear()
-        self.ask(progress)
+        self.request_placement(progress)
 
     def attempt_lost(self, attempt: str) -> None:
-        """Ask again after a broken connection."""
+        """Request another placement after a broken connection."""
         progress = self.by_attempt.pop(attempt, None)
         if progress is None or progress.done:
             return
         progress.excluded.add(progress.engine)
         ended = AttemptEnded(attempt, AttemptOutcome.FAILED)
-        self.tell(progress.request.entry, ended)
-        self.ask(progress)
+        self.deliver(progress.request.entry, ended)
+        self.request_placement(progress)
 
     def first_token(self, attempt: str) -> None:
-        """Note the first token, once for each request."""
+        """Record the first token, once per request."""
         progress = self.by_attempt.get(attempt)
         if progress is None or progress.done:
             return
         if progress.first_token_at is None:
             progress.first_token_at = self.now
         seen = FirstTokenSeen(attempt, self.now - progress.placed_at)
-        self.tell(progress.request.entry, seen)
+        self.deliver(progress.request.entry, seen)
 
     def finished(self, attempt: str) -> None:
-        """End a request that was answered whole."""
+        """Record that a request was answered completely."""
         progress = self.by_attempt.pop(attempt, None)
         if progress is None or progress.done:
             return
         progress.finished_at = self.now
         progress.done = True
         ended = AttemptEnded(attempt, AttemptOutcome.FINISHED)
-        self.tell(progress.request.entry, ended)
+        self.deliver(progress.request.entry, ended)
 
     def deadline(self, progress: Progress) -> None:
-        """Give a request up at its deadline."""
+        """Cancel a request at its deadline."""
         if progress.done:
             return
         progress.done = True
         progress.refusal = "late"
-        if self.by_ask.pop(progress.ask, None) is not None:
-            self.tell(progress.request.entry, PlacementWithdrawn(progress.ask))
+        if self.by_placement.pop(progress.placement_id, None) is not None:
+            self.deliver(
+                progress.request.entry, PlacementWithdrawn(progress.placement_id)
+            )
         if self.by_attempt.pop(progress.attempt, None) is not None:
             self.engines[progress.engine].drop(progress.attempt)
             ended = AttemptEnded(progress.attempt, AttemptOutcome.CANCELLED)
-            self.tell(progress.request.entry, ended)
+            self.deliver(progress.request.entry, ended)
--- a/benchmarks/policy_workload.py
+++ b/benchmarks/policy_workload.py
@@ -1,4 +1,4 @@
-"""Draw the requests that a policy is measured with."""
+"""Draw the requests of a simulated run."""
 
 from math import exp, log
 from random import Random
@@ -8,10 +8,10 @@
 
 LONG_TOKENS = 100_000
 SHORT_TOKENS = 8_000
-SMALLEST_PROMPT = 1_000
-LARGEST_PROMPT = 1_000_000
+MIN_PROMPT_TOKENS = 1_000
+MAX_PROMPT_TOKENS = 1_000_000
 LONG_SHARE = 0.02
-MOST_OUTPUT_TOKENS = 512
+MAX_OUTPUT_TOKENS = 512
 OUTPUT_TOKENS = (50, 350)
 SHORT_DEADLINE_SECONDS = 30.0
 LONG_DEADLINE_SECONDS = 120.0
@@ -21,7 +21,7 @@
 
 
 class FleetShape(NamedTuple):
-    """Be one user's fleet."""
+    """Describe the fleet of one user."""
 
     name: str
     service: str
@@ -45,7 +45,7 @@
 
 
 class Request(NamedTuple):
-    """Be one request that arrives."""
+    """Describe an arriving request."""
 
     number: int
     at: float
@@ -66,27 +66,27 @@
         return self.prompt_tokens <= SHORT_TOKENS
 
 
-def log_uniform(random: Random, least: int, most: int) -> int:
+def log_uniform(random: Random, minimum: int, maximum: int) -> int:
     """Draw a length whose logarithm is uniform."""
-    return int(exp(random.uniform(log(least), log(most))))
+    return int(exp(random.uniform(log(minimum), log(maximum))))
 
 
 def draw_lengths(random: Random) -> tuple[int, int]:
     """Draw prompt and output length of one request."""
     if random.random() < LONG_SHARE:
-        prompt = log_uniform(random, LONG_TOKENS + 1, LARGEST_PROMPT)
+        prompt = log_uniform(random, LONG_TOKENS + 1, MAX_PROMPT_TOKENS)
     else:
-        prompt = log_uniform(random, SMALLEST_PROMPT, LONG_TOKENS)
+        prompt = log_uniform(random, MIN_PROMPT_TOKENS, LONG_TOKENS)
     return prompt, random.randint(*OUTPUT_TOKENS)
 
 
 def fits(prompt_tokens: int) -> bool:
     """Return whether one engine can hold the request."""
-    return prompt_tokens + MOST_OUTPUT_TOKENS <= MEMORY_TOKENS
+    return prompt_tokens + MAX_OUTPUT_TOKENS <= MEMORY_TOKENS
 
 
 def mean_engine_seconds() -> float:
-    """Return the engine time of an average arrival; those that fit none take none."""
+    """Return the mean engine time of a request; those that fit no engine count zero."""
     random = Random(0)
     total = 0.0
     for _ in range(CALIBRATION_DRAWS):
@@ -99,7 +99,7 @@
 def draw_requests(
     shape: FleetShape, load: float, seconds: float, entries: int, seed: int
 ) -> list[Request]:
-    """Draw Poisson arrivals at a share of the fleet's capacity."""
+    """Draw Poisson arrivals; `load` is a share of the fleet's capacity."""
     random = Random(f"{shape.name}:{seed}")
     rate = load * shape.upstreams / mean_engine_seconds()
     requests = []
