--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,9 +1,9 @@
-"""Measure the agreement: commits, catching up, fail-over and idle cost.
+"""Measure consensus replicas: commits, catch-up, fail-over and idle cost.
 
-Three replicas run as threads of one process, each with its own data folder; they
-pass messages by queues, encoded as on the wire. So the figures hold the decisions,
-the codec and the disk, but no network. Run it with the packages' `src` folders and
-`tests` on the Python path; the result goes to standard output as JSON.
+Three replicas run as threads of one process, each with its own data folder, and pass
+encoded messages through queues. The results include the decisions, the codec and the
+disk, but no network. Run it with the packages' `src` folders and `tests` on the Python
+path; the result goes to standard output as JSON.
 """
 
 import argparse
@@ -46,14 +46,14 @@
 FAIL_OVER_SEEDS = 200
 FAIL_OVER_TICK_SECONDS = 0.01
 IDLE_HEARTBEATS = 20_000
-REPORT_AFTER_SECONDS = 60.0
+WAIT_TIMEOUT_SECONDS = 60.0
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(AgreementMessage)
 
 
 class ReplicaThread:
-    """Run one replica as the actor of the daemon does: drain, decide, sync, act."""
+    """Run one replica in a thread, as the daemon's actor does."""
 
     def __init__(self, instance: InstanceId, folder: Path, peers: dict) -> None:
         self.instance = instance
@@ -68,7 +68,7 @@
         self.replica = None
 
     def start(self) -> None:
-        """Load the folder and begin."""
+        """Load the data folder and start the thread."""
         self.inbox = SimpleQueue()
         self.stopping.clear()
         config = ReplicaStorageConfig(self.folder, self.instance)
@@ -82,13 +82,13 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """End the thread and give the folder back."""
+        """Stop the thread and close the data folder."""
         self.stopping.set()
         self.thread.join()
         self.storage.close()
 
     def run(self) -> None:
-        """Handle batches until stopped."""
+        """Handle batches of events until stopped."""
         random = Random(self.instance)
         next_tick = 0.0
         while not self.stopping.is_set():
@@ -100,27 +100,27 @@
             self.handle(events, now, random)
 
     def drain(self, wait: float) -> list:
-        """Wait for an event, then take all that are there."""
+        """Wait for an event, then return all that are queued."""
         events = []
         try:
             events.append(self.inbox.get(timeout=max(wait, 0.0001)))
             while True:
                 events.append(self.inbox.get_nowait())
         except Empty:
-            return [self.decoded(event) for event in events]
+            return [self.decode_event(event) for event in events]
 
-    def decoded(self, event):
-        """Decode a message that came from another thread."""
+    def decode_event(self, event):
+        """Decode an event if it is a message from another replica."""
         if isinstance(event, tuple):
             return PeerMessageArrived(event[0], DECODER.decode(event[1]))
         return event
 
     def handle(self, events: list, now: float, random: Random) -> None:
-        """Decide, make durable, then perform."""
+        """Handle events, persist and sync, then perform the other effects."""
         effects = self.replica.handle_batch(events, now, random)
         durable = [e for e in effects if isinstance(e, Persist | SaveSnapshot)]
-        early = [e for e in effects if isinstance(e, SendTo) and e.before_sync]
-        for effect in early:
+        before_sync = [e for e in effects if isinstance(e, SendTo) and e.before_sync]
+        for effect in before_sync:
             self.perform(effect, now, random)
         if durable:
             self.storage.write(durable)
@@ -146,8 +146,8 @@
                 self.handle([SnapshotTaken(index, b"s" * 1000)], now, random)
 
 
-class Trio:
-    """Run three replicas over folders below one."""
+class ReplicaTrio:
+    """Run three replicas with data folders in one folder."""
 
     def __init__(self, folder: Path) -> None:
         self.replicas = {}
@@ -158,23 +158,23 @@
             replica.start()
 
     def leader(self) -> ReplicaThread:
-        """Wait for a leader whose term has begun."""
+        """Wait for a leader that has committed its whole log."""
         while True:
             for replica in self.replicas.values():
                 status = replica.replica.status()
-                begun = status.commit_index == status.last_index > 0
-                if status.role == "leader" and begun:
+                committed_all = status.commit_index == status.last_index > 0
+                if status.role == "leader" and committed_all:
                     return replica
             time.sleep(0.01)
 
     def stop(self) -> None:
-        """Stop all."""
+        """Stop all replicas."""
         for replica in self.replicas.values():
             replica.stop()
 
 
-def measure_commits(trio: Trio, outstanding: int, seconds: float) -> dict:
-    """Keep a number of proposals under way and count the commits."""
+def measure_commits(trio: ReplicaTrio, outstanding: int, seconds: float) -> dict:
+    """Keep a number of proposals outstanding and count the commits."""
     leader = trio.leader()
     started = {}
     latencies = []
@@ -208,11 +208,11 @@
     }
 
 
-def measure_catch_up(trio: Trio) -> dict:
-    """Stop a follower, let entries pass it by, and time its return."""
+def measure_catch_up(trio: ReplicaTrio) -> dict:
+    """Stop a follower, commit entries, and time its restart and catch-up."""
     leader = trio.leader()
-    away = next(r for r in trio.replicas.values() if r is not leader)
-    away.stop()
+    stopped = next(r for r in trio.replicas.values() if r is not leader)
+    stopped.stop()
     target = leader.replica.status().last_index + MISSED_ENTRIES
     for number in range(MISSED_ENTRIES):
         leader.inbox.put(CommandProposed(f"missed-{number}", COMMAND, time.time()))
@@ -220,9 +220,9 @@
             time.sleep(0.05)
     wait_until(lambda: leader.applied >= target)
     begin = time.perf_counter()
-    away.start()
+    stopped.start()
     loaded = time.perf_counter()
-    wait_until(lambda: away.applied >= target)
+    wait_until(lambda: stopped.applied >= target)
     took = time.perf_counter() - begin
     return {
         "entries": MISSED_ENTRIES,
@@ -232,8 +232,8 @@
 
 
 def wait_until(condition) -> None:
-    """Poll a condition."""
-    end = time.monotonic() + REPORT_AFTER_SECONDS
+    """Poll a condition; exit if it is not met in time."""
+    end = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         if time.monotonic() > end:
             sys.exit("a measured condition was never reached")
@@ -241,7 +241,7 @@
 
 
 def measure_fail_over() -> dict:
-    """Crash the leader of simulated clusters; each message takes one tick."""
+    """Measure fail-over in simulated clusters, where a message takes one tick."""
     times = []
     for seed in range(FAIL_OVER_SEEDS):
         cluster = Cluster.of_size(3, seed)
@@ -268,7 +268,7 @@
 
 
 def measure_idle() -> dict:
-    """Weigh a heartbeat and its answer, and time a follower's share of one."""
+    """Measure the size of a heartbeat and its answer, and the follower's time."""
     cluster = Cluster.of_size(3)
     cluster.run_until(cluster.is_settled)
     leader = cluster.leader()
@@ -300,7 +300,7 @@
     parser.add_argument("--folder", type=Path, help="on the disk to be measured")
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory(dir=arguments.folder) as name:
-        trio = Trio(Path(name))
+        trio = ReplicaTrio(Path(name))
         commits = [measure_commits(trio, n, arguments.seconds) for n in OUTSTANDING]
         catch_up = measure_catch_up(trio)
         trio.stop()
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -35,12 +35,12 @@
 KIBIBYTE = 1024
 
 
-class ClaimFigures(NamedTuple):
-    """Be what a number of claims costs."""
+class ClaimCosts(NamedTuple):
+    """Hold the costs of a number of claims."""
 
     claims: int
     applied_per_second: float
-    """Commands, two for each claim, with decoding."""
+    """Commands, two per claim, including decoding."""
     memory_bytes_per_claim: float
     snapshot_bytes_per_claim: float
     snapshot_encode_seconds: float
@@ -48,37 +48,37 @@
     longest_apply_seconds: float
 
 
-class ChangeFigures(NamedTuple):
-    """Be what changes cost at a number of customers."""
+class ChangeCosts(NamedTuple):
+    """Hold the costs of changes at a number of customers."""
 
     customers: int
     changes: int
     changes_per_second: float
-    """Plan and confirmation of one customer's weight, with decoding."""
+    """Changes of one customer's weight, planned and confirmed, including decoding."""
     configuration_bytes_per_customer: float
     first_plan_bytes_per_customer: float
-    """What the plan that put all customers in leaves behind in a snapshot."""
+    """Snapshot bytes left by the plan that added all customers."""
     snapshot_bytes_per_change: float
     memory_bytes_per_change: float
 
 
 def resident_bytes() -> int:
-    """Read how much memory the process holds now."""
+    """Return the resident memory of this process, after a garbage collection."""
     gc.collect()
     with open("/proc/self/statm", encoding="ascii") as status:
         pages = int(status.read().split()[1])
     return pages * resource.getpagesize()
 
 
-def timed(work: Callable[[], object]) -> float:
-    """Measure the seconds that some work takes."""
+def measure_seconds(work: Callable[[], object]) -> float:
+    """Return the seconds that a function takes."""
     begin = time.perf_counter()
     work()
     return time.perf_counter() - begin
 
 
 def claim_commands(number: int) -> tuple[Message, Message]:
-    """Build the commands of one request that runs once."""
+    """Build the commands that claim and finish one request."""
     digest = hashlib.sha256(str(number).encode()).hexdigest()
     request, attempt = f"request-{digest[:26]}", f"attempt-{digest[26:52]}"
     customer, key = f"customer-{number % CUSTOMERS:04}", f"payment-line-{number:09}"
@@ -102,11 +102,11 @@
     return asked, ClaimFinished(customer, key, request, attempt, answer, None)
 
 
-def measure_claims(count: int) -> ClaimFigures:
-    """Claim and finish a number of keys within one retention."""
+def measure_claims(count: int) -> ClaimCosts:
+    """Claim and finish a number of keys within one retention period."""
     state = ControlState()
     before = resident_bytes()
-    spent = 0.0
+    elapsed = 0.0
     longest = 0.0
     for number in range(count):
         for command in claim_commands(number):
@@ -116,36 +116,36 @@
             begin = time.perf_counter()
             state.apply(decode_command(data), index, at)
             took = time.perf_counter() - begin
-            spent += took
+            elapsed += took
             longest = max(longest, took)
     memory = resident_bytes() - before
     snapshot = state.to_snapshot()
-    return ClaimFigures(
+    return ClaimCosts(
         claims=count,
-        applied_per_second=round(2 * count / spent),
+        applied_per_second=round(2 * count / elapsed),
         memory_bytes_per_claim=round(memory / count),
         snapshot_bytes_per_claim=round(len(snapshot) / count),
-        snapshot_encode_seconds=round(timed(state.to_snapshot), 4),
+        snapshot_encode_seconds=round(measure_seconds(state.to_snapshot), 4),
         snapshot_decode_seconds=round(
-            timed(lambda: ControlState.from_snapshot(snapshot)), 4
+            measure_seconds(lambda: ControlState.from_snapshot(snapshot)), 4
         ),
         longest_apply_seconds=round(longest, 5),
     )
 
 
 def customer(number: int, weight: int) -> Customer:
-    """Describe one customer."""
+    """Build one customer."""
     digest = hashlib.sha256(f"customer {number}".encode()).hexdigest()
     return Customer(f"customer-{number:04}", digest, ("assist-llm",), weight)
 
 
-def measure_changes(customers: int, changes: int) -> ChangeFigures:
-    """Change one customer at a time beside many others."""
+def measure_changes(customers: int, changes: int) -> ChangeCosts:
+    """Change one of many customers at a time."""
     state = ControlState()
     models = tuple(Model(f"model-{number}", "1") for number in range(MODELS))
     services = (Service("assist-llm", "model", tuple(model.name for model in models)),)
-    everybody = tuple(customer(number, 1) for number in range(customers))
-    put_in_force(state, WantedState(everybody, services, models), "first")
+    all_customers = tuple(customer(number, 1) for number in range(customers))
+    apply_change(state, WantedState(all_customers, services, models), "first")
     base_bytes = len(state.to_snapshot())
     configuration_bytes = len(msgspec.msgpack.encode(state.configuration))
     before = resident_bytes()
@@ -153,28 +153,28 @@
     def change_all() -> None:
         for number in range(changes):
             changed = customer(number % customers, 2 + number // customers)
-            put_in_force(state, Change(put_customers=(changed,)), f"change-{number}")
+            apply_change(state, Change(put_customers=(changed,)), f"change-{number}")
 
-    spent = timed(change_all)
+    elapsed = measure_seconds(change_all)
     memory = resident_bytes() - before
-    grown = len(state.to_snapshot()) - base_bytes
-    return ChangeFigures(
+    snapshot_growth = len(state.to_snapshot()) - base_bytes
+    return ChangeCosts(
         customers=customers,
         changes=changes,
-        changes_per_second=round(changes / spent),
+        changes_per_second=round(changes / elapsed),
         configuration_bytes_per_customer=round(configuration_bytes / customers),
         first_plan_bytes_per_customer=round(
             (base_bytes - configuration_bytes) / customers
         ),
-        snapshot_bytes_per_change=round(grown / changes),
+        snapshot_bytes_per_change=round(snapshot_growth / changes),
         memory_bytes_per_change=round(memory / changes),
     )
 
 
-def put_in_force(
+def apply_change(
     state: ControlState, change: Change | WantedState, change_id: str
 ) -> None:
-    """Plan and confirm a change, as the log carries it."""
+    """Plan and confirm a change, with commands encoded as in the log."""
     version = state.configuration.version
     command = RecordPlan(change_id, "rita", version, change)
     plan = state.apply(
@@ -185,13 +185,13 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--claims", type=int, nargs="+", default=[10_000, 50_000])
     parser.add_argument("--customers", type=int, nargs="+", default=[10, CUSTOMERS])
     parser.add_argument("--changes", type=int, default=CHANGES)
     arguments = parser.parse_args()
-    figures = {
+    result = {
         "changes": [
             measure_changes(count, arguments.changes)._asdict()
             for count in arguments.customers
@@ -200,7 +200,7 @@
         "most_resident_bytes": KIBIBYTE
         * resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
     }
-    print(json.dumps(figures, indent=2))
+    print(json.dumps(result, indent=2))
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what each role costs at several sizes, and fit straight lines."""
+"""Measure each role's costs at several sizes, and fit straight lines."""
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Measure all slopes, print them and write them down: `python -m slopes`."""
+"""Measure all slopes, print them and write the results: `python -m slopes`."""
 
 import argparse
 import os
@@ -12,20 +12,20 @@
     changes,
     control_costs,
     daemons,
-    deciders,
-    own_path,
+    decision_costs,
+    stream_overhead,
 )
-from slopes.fitting import slopes_of
-from slopes.reporting import RESULTS, Conditions, keep, table
+from slopes.fitting import measure_slopes
+from slopes.reporting import RESULTS, Conditions, table, write_results
 
 MODULES = (
-    deciders,
+    decision_costs,
     control_costs,
     agreement_costs,
     daemons,
     changes,
     calls,
-    own_path,
+    stream_overhead,
 )
 EXPERIMENTS = tuple(
     experiment for module in MODULES for experiment in module.EXPERIMENTS
@@ -33,14 +33,14 @@
 REPEATS = 3
 
 
-def end(*_: object) -> None:
-    """End on a signal by an exception, so that every fleet is stopped on the way."""
+def exit_on_signal(*_: object) -> None:
+    """Exit on a signal by an exception, so that running fleets are stopped."""
     sys.exit("ended by a signal")
 
 
 def main() -> None:
-    """Run the experiments that were asked for, one after the other."""
-    signal.signal(signal.SIGTERM, end)
+    """Run the selected experiments in turn."""
+    signal.signal(signal.SIGTERM, exit_on_signal)
     names = [experiment.name for experiment in EXPERIMENTS]
     parser = argparse.ArgumentParser(prog="slopes", description=__doc__)
     parser.add_argument("--only", nargs="+", choices=names, default=names)
@@ -51,11 +51,11 @@
         if experiment.name not in arguments.only:
             continue
         load_before = os.getloadavg()
-        found = slopes_of(experiment, arguments.repeats)
+        measured = measure_slopes(experiment, arguments.repeats)
         conditions = Conditions.from_machine(arguments.repeats, load_before)
-        # Written after each experiment: an interrupted run keeps what it has.
-        keep(arguments.out, experiment.name, found, conditions)
-        sys.stdout.write(f"{table(found)}\n{conditions}\n\n")
+        # Written after each experiment, so that an interrupted run keeps its results.
+        write_results(arguments.out, experiment.name, measured, conditions)
+        sys.stdout.write(f"{table(measured)}\n{conditions}\n\n")
         sys.stdout.flush()
 
 
--- a/benchmarks/slopes/agreement_costs.py
+++ b/benchmarks/slopes/agreement_costs.py
@@ -1,12 +1,12 @@
-"""Time commits with a sync to disk, and a heartbeat among replicas."""
+"""Measure commits that sync to disk, and heartbeats between replicas."""
 
 import tempfile
 from pathlib import Path
 from time import process_time
 
-from agreement import Trio, measure_commits, measure_idle
+from agreement import ReplicaTrio, measure_commits, measure_idle
 
-from slopes.deciders import MICROSECONDS
+from slopes.decision_costs import MICROSECONDS
 from slopes.fitting import Experiment, Reading
 
 SECONDS = 1.5
@@ -15,16 +15,16 @@
 
 
 def measure_commit_rate(outstanding: int, repeats: int) -> list[list[Reading]]:
-    """Keep proposals under way at the leader of three replicas with disks."""
+    """Keep a number of proposals outstanding at the leader of three replicas."""
     with tempfile.TemporaryDirectory() as name:
-        trio = Trio(Path(name))
-        rounds = [commit_readings(trio, outstanding) for _ in range(repeats)]
+        trio = ReplicaTrio(Path(name))
+        rounds = [read_commits(trio, outstanding) for _ in range(repeats)]
         trio.stop()
     return rounds
 
 
-def commit_readings(trio: Trio, outstanding: int) -> list[Reading]:
-    """Measure once; the processor time is that of all three replicas."""
+def read_commits(trio: ReplicaTrio, outstanding: int) -> list[Reading]:
+    """Measure once; the processor time covers all three replicas."""
     began = process_time()
     figures = measure_commits(trio, outstanding, SECONDS)
     spent = process_time() - began
@@ -39,7 +39,7 @@
 
 
 def measure_heartbeat(_: int, repeats: int) -> list[list[Reading]]:
-    """Weigh a heartbeat and time a follower's share of it."""
+    """Measure a heartbeat's size and the follower's time to handle it."""
     rounds = []
     for _ in range(repeats):
         figures = measure_idle()
--- a/benchmarks/slopes/announcers.py
+++ b/benchmarks/slopes/announcers.py
@@ -1,6 +1,6 @@
-"""Be many sidecars in one process, which announce themselves and do nothing else.
+"""Simulate many sidecars in one process, which only announce themselves.
 
-The measurements run it: `python -m slopes.announcers COUNT TIMES ENTRY...`.
+Measurements start it as a process: `python -m slopes.announcers COUNT TIMES ENTRY...`.
 """
 
 import subprocess
@@ -19,8 +19,8 @@
 from slopes.samples import announce
 
 
-class Pace(NamedTuple):
-    """Set the times of sidecars and entries, named as in the settings, in seconds."""
+class Intervals(NamedTuple):
+    """Hold intervals of sidecars and entries in seconds, named as in the settings."""
 
     announce_seconds: float
     lease_seconds: float
@@ -29,14 +29,18 @@
     owner_lease_seconds: float
 
 
-class Roster:
-    """Know the entries as a sidecar does, so that answers carry none that is known."""
+class KnownEntries:
+    """Track the digest of the known entries.
+
+    As with real sidecars, an entry answers with its list only where the digest
+    differs.
+    """
 
     def __init__(self) -> None:
         self.digest = ""
 
     def receive(self, received: Received) -> None:
-        """Take in the list of an answer that brings one."""
+        """Update the digest from an answer that lists the entries."""
         match received.message:
             case AnnounceAnswer(entries=entries) if entries:
                 self.digest = digest_entries(
@@ -44,18 +48,22 @@
                 )
 
 
-def started_mailbox(number: int, pace: Pace, roster: Roster) -> Mailbox:
-    """Start the mailbox of one of the sidecars."""
+def start_mailbox(
+    number: int, intervals: Intervals, known_entries: KnownEntries
+) -> Mailbox:
+    """Start the mailbox of one sidecar."""
     config = MailboxConfig(
         instance=f"announced-{number:04}-sidecar",
         epoch=f"{number:032x}",
         listen_address="127.0.0.1:0",
         cluster_key=CLUSTER_KEY.encode(),
-        heartbeat_seconds=pace.heartbeat_seconds,
-        silence_seconds=pace.silence_seconds,
+        heartbeat_seconds=intervals.heartbeat_seconds,
+        silence_seconds=intervals.silence_seconds,
         message_types=MailboxMessage,
     )
-    mailbox = Mailbox.from_config(config, roster.receive, lambda: NO_CONFIGURATION)
+    mailbox = Mailbox.from_config(
+        config, known_entries.receive, lambda: NO_CONFIGURATION
+    )
     mailbox.start()
     return mailbox
 
@@ -63,30 +71,32 @@
 def announce_all(
     mailboxes: Sequence[Mailbox],
     entries: Sequence[str],
-    pace: Pace,
-    roster: Roster,
+    intervals: Intervals,
+    known_entries: KnownEntries,
     stopped: threading.Event,
 ) -> None:
-    """Announce one sidecar after the other, evenly over the interval."""
+    """Announce the sidecars in turn, spaced evenly over the interval."""
     sequence = 0
     while not stopped.is_set():
         sequence += 1
         for number, mailbox in enumerate(mailboxes):
-            if stopped.wait(pace.announce_seconds / len(mailboxes)):
+            if stopped.wait(intervals.announce_seconds / len(mailboxes)):
                 return
-            message = announce(number, sequence, pace.lease_seconds, roster.digest)
+            message = announce(
+                number, sequence, intervals.lease_seconds, known_entries.digest
+            )
             for entry in entries:
                 mailbox.send(entry, message)
 
 
 def main() -> None:
-    """Announce until the input ends."""
+    """Announce until standard input is closed."""
     count, times, *entries = sys.argv[1:]
-    pace = Pace(*map(float, times.split(",")))
-    roster = Roster()
-    mailboxes = [started_mailbox(n, pace, roster) for n in range(int(count))]
+    intervals = Intervals(*map(float, times.split(",")))
+    known_entries = KnownEntries()
+    mailboxes = [start_mailbox(n, intervals, known_entries) for n in range(int(count))]
     stopped = threading.Event()
-    arguments = (mailboxes, entries, pace, roster, stopped)
+    arguments = (mailboxes, entries, intervals, known_entries, stopped)
     thread = threading.Thread(target=announce_all, args=arguments)
     if mailboxes:
         thread.start()
@@ -100,10 +110,10 @@
 
 @contextmanager
 def announced_upstreams(
-    count: int, entries: Sequence[str], pace: Pace
+    count: int, entries: Sequence[str], intervals: Intervals
 ) -> Iterator[None]:
-    """Run a process of many sidecars for a while."""
-    times = ",".join(map(str, pace))
+    """Run a process of many sidecars while the context is open."""
+    times = ",".join(map(str, intervals))
     command = [sys.executable, "-m", "slopes.announcers", str(count), times, *entries]
     with subprocess.Popen(command, stdin=subprocess.PIPE) as process:
         try:
--- a/benchmarks/slopes/budget.py
+++ b/benchmarks/slopes/budget.py
@@ -1,7 +1,7 @@
-"""Work out what each role costs at the size of the letter, from measured slopes.
+"""Estimate each role's costs at the target size from measured slopes.
 
-Run after the slopes were measured: `python -m slopes.budget`. What is assumed rather
-than measured or given stands in `slopes.letter.Assumptions`.
+Run `python -m slopes.budget` after `python -m slopes`. Values that are neither
+measured nor required are in `slopes.target_size.Assumptions`.
 """
 
 import argparse
@@ -13,8 +13,8 @@
 
 from cowslipshelf_core.internal.control.limits import MAX_CLAIMS
 from slopes.fitting import Line
-from slopes.letter import Assumptions, Size
 from slopes.reporting import RESULTS
+from slopes.target_size import Assumptions, Size
 
 DAY_SECONDS = 86_400.0
 KILOBYTE = 1_000.0
@@ -24,7 +24,7 @@
 
 
 class BudgetLine(NamedTuple):
-    """Be one value at that size, beside its limit."""
+    """Hold one estimate at the target size, and its limit."""
 
     role: str
     what: str
@@ -34,26 +34,26 @@
 
     @property
     def fits(self) -> str:
-        """Say whether the value keeps to its limit."""
+        """Describe whether the value is within its limit; empty without one."""
         if self.limit is None:
             return ""
         return "fits" if self.value <= self.limit else "DOES NOT FIT"
 
 
 class Measured:
-    """Look up measured lines by experiment and quantity."""
+    """Look up measured slopes by experiment and quantity."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self.slopes = {
-            (what, one["quantity"]): one
+            (what, slope["quantity"]): slope
             for what, experiment in document["experiments"].items()
-            for one in experiment["slopes"]
+            for slope in experiment["slopes"]
         }
 
     def line(self, what: str, quantity: str) -> Line:
         """Return a fitted line."""
-        one = self.slopes[what, quantity]
-        return Line(one["at_zero"], one["slope"])
+        slope = self.slopes[what, quantity]
+        return Line(slope["at_zero"], slope["slope"])
 
     def at_largest(self, what: str, quantity: str) -> float:
         """Return the median at the largest measured size."""
@@ -61,58 +61,59 @@
         return medians[max(medians, key=float)]
 
 
-def most_within(line: Line, limit: float) -> float:
-    """Return the largest size at which a rising line keeps to a limit."""
+def max_size_within(line: Line, limit: float) -> float:
+    """Return the largest size at which a rising line is within a limit."""
     return max(0.0, (limit - line.intercept) / line.slope)
 
 
-def hearing_line(measured: Measured, what: str) -> Line:
-    """Return what an entry's mailbox carries, heartbeats included, in kB/s.
+def mailbox_traffic_line(measured: Measured, what: str) -> Line:
+    """Return the traffic of an entry's mailbox in kB/s, heartbeats included.
 
-    The sent counter leaves heartbeats out; each side sends as many as it receives, so
-    what was received beyond announcements and sent beyond answers is the same.
+    The counters include received heartbeats, but not sent ones. Each side sends as many
+    heartbeats as it receives, and answers each announcement, so the sent heartbeats are
+    the messages received minus the messages sent.
     """
     received = measured.line(what, "entry: received")
     sent = measured.line(what, "entry: sent")
     messages_in = measured.line(what, "entry: messages received")
     messages_out = measured.line(what, "entry: messages sent")
     heartbeat = measured.at_largest("messages", "heartbeat size")
-    beats = messages_in.slope - messages_out.slope
-    slope = received.slope + sent.slope + beats * heartbeat
+    heartbeats = messages_in.slope - messages_out.slope
+    slope = received.slope + sent.slope + heartbeats * heartbeat
     return Line(0.0, slope / KILOBYTE)
 
 
 def entry_lines(m: Measured, size: Size, a: Assumptions) -> Iterator[BudgetLine]:
-    """Say what hearing sidecars costs an entry, for all of them and for a subset."""
+    """Estimate an entry's cost of announcements, from all sidecars and a subset."""
     subset = size.upstreams * a.entries_announced_to / size.entries
-    for what, pace in (("upstreams", "0.5 s"), ("slow upstreams", "3 s")):
+    for what, interval in (("upstreams", "0.5 s"), ("slow upstreams", "3 s")):
         processor = m.line(what, "entry: processor")
         memory = m.line(what, "entry: memory")
-        carried = hearing_line(m, what)
-        for heard in (float(size.upstreams), subset):
-            name = f"hears {heard:.0f} sidecars every {pace}"
-            yield from against(
+        traffic = mailbox_traffic_line(m, what)
+        for sidecars in (float(size.upstreams), subset):
+            name = f"hears {sidecars:.0f} sidecars every {interval}"
+            yield from cost_lines(
                 "entry",
                 name,
-                processor.at(heard),
-                memory.at(heard),
-                carried.at(heard),
+                processor.at(sidecars),
+                memory.at(sidecars),
+                traffic.at(sidecars),
                 size,
             )
-        by_core = most_within(processor, size.core_percent)
-        by_bytes = most_within(carried, size.kilobytes_per_second)
-        most = min(by_core, by_bytes)
-        yield BudgetLine("entry", f"most sidecars every {pace}", most, "", None)
+        by_core = max_size_within(processor, size.core_percent)
+        by_bytes = max_size_within(traffic, size.kilobytes_per_second)
+        maximum = min(by_core, by_bytes)
+        yield BudgetLine("entry", f"most sidecars every {interval}", maximum, "", None)
     answer = m.line("messages", "answer to an announcement size").at(size.entries)
     yield BudgetLine(
         "entry", "one answer that lists all entries", answer / KILOBYTE, "kB", None
     )
 
 
-def against(
+def cost_lines(
     role: str, what: str, core: float, mebibytes: float, kilobytes: float, size: Size
 ) -> tuple[BudgetLine, ...]:
-    """Hold one thing's costs against the three limits of a process."""
+    """Compare costs to the three limits of a process."""
     return (
         BudgetLine(role, what, core, "% of a core", size.core_percent),
         BudgetLine(role, what, mebibytes, "MiB", size.memory_mebibytes),
@@ -120,34 +121,34 @@
     )
 
 
-def entry_word_lines(m: Measured, size: Size, a: Assumptions) -> Iterator[BudgetLine]:
-    """Say what words between entries, and between a sidecar and entries, cost."""
+def entry_alive_lines(m: Measured, size: Size, a: Assumptions) -> Iterator[BudgetLine]:
+    """Estimate the cost of messages between entries, and of announcing to entries."""
     heartbeat = m.at_largest("messages", "heartbeat size")
-    word = m.at_largest("messages", "word of an entry size")
+    entry_alive = m.at_largest("messages", "word of an entry size")
     core = m.line("entries", "follower: processor")
-    both_ways = 2 * 2 * (word + heartbeat)
+    both_ways = 2 * 2 * (entry_alive + heartbeat)
     for entries in (size.entries, a.replicas_in_group, 8):
         name = f"words with {entries} entries every 0.5 s"
-        carried = both_ways * (entries - 1) / KILOBYTE
+        traffic = both_ways * (entries - 1) / KILOBYTE
         memory = m.line("entries", "follower: memory").at(entries)
-        yield from against("entry", name, core.at(entries), memory, carried, size)
+        yield from cost_lines("entry", name, core.at(entries), memory, traffic, size)
     sidecar = m.line("entries", "sidecar: processor")
     memory = m.line("entries", "sidecar: memory")
-    carried = hearing_line(m, "upstreams")
+    traffic = mailbox_traffic_line(m, "upstreams")
     for entries in (size.entries, a.entries_announced_to):
         name = f"announces to {entries} entries every 0.5 s"
-        yield from against(
+        yield from cost_lines(
             "sidecar",
             name,
             sidecar.at(entries),
             memory.at(entries),
-            carried.at(entries),
+            traffic.at(entries),
             size,
         )
 
 
 def configuration_lines(m: Measured, size: Size) -> Iterator[BudgetLine]:
-    """Say what changes cost, as whole configurations and one customer at a time."""
+    """Estimate the cost of changes, sent as whole configurations or one customer."""
     per_second = size.changes_per_day / DAY_SECONDS
     whole = m.line("configuration", "whole configuration size")
     limit = size.kilobytes_per_second
@@ -171,33 +172,33 @@
 
 
 def claim_lines(m: Measured, size: Size, a: Assumptions) -> Iterator[BudgetLine]:
-    """Say what bounds the claims: processor, memory, and the code's own limit."""
+    """Estimate the bounds of claims: processor, memory, and the limit in the code."""
     claims = size.requests_per_second * a.claimed_share
     yield BudgetLine("leader", "claims to be carried", claims, "1/s", None)
-    leading = m.line("claimed calls", "leader: processor").slope
-    following = m.line("claimed calls", "follower: processor").slope
+    leader_cost = m.line("claimed calls", "leader: processor").slope
+    follower_cost = m.line("claimed calls", "follower: processor").slope
     in_memory = MEBIBYTE * a.claims_memory_mebibytes / m.line("claims", "memory").slope
     group_bounds = {
-        "processor": a.usable_core_percent / leading,
+        "processor": a.usable_core_percent / leader_cost,
         "memory": in_memory / a.claim_kept_seconds,
         "today's limit of claims kept": MAX_CLAIMS / a.claim_kept_seconds,
     }
-    for bound, most in group_bounds.items():
-        yield BudgetLine("replica", f"one group, by {bound}", most, "1/s", None)
-        yield BudgetLine("replica", f"groups, by {bound}", claims / most, "", None)
-    work = leading + (a.replicas_in_group - 1) * following
-    of_all_set_aside = {
+    for bound, maximum in group_bounds.items():
+        yield BudgetLine("replica", f"one group, by {bound}", maximum, "1/s", None)
+        yield BudgetLine("replica", f"groups, by {bound}", claims / maximum, "", None)
+    work = leader_cost + (a.replicas_in_group - 1) * follower_cost
+    all_dedicated = {
         "processor": size.set_aside * a.usable_core_percent / work,
         "memory": size.set_aside * group_bounds["memory"] / a.replicas_in_group,
     }
-    for bound, most in of_all_set_aside.items():
-        share = most / size.requests_per_second * PERCENT
-        yield BudgetLine("replica", f"all set aside, by {bound}", most, "1/s", None)
+    for bound, maximum in all_dedicated.items():
+        share = maximum / size.requests_per_second * PERCENT
+        yield BudgetLine("replica", f"all set aside, by {bound}", maximum, "1/s", None)
         yield BudgetLine("replica", f"of all requests, by {bound}", share, "%", None)
 
 
 def stream_lines(m: Measured, size: Size) -> Iterator[BudgetLine]:
-    """Say what the requests themselves cost, which is no control."""
+    """Estimate the cost of the requests themselves, apart from control traffic."""
     events = size.tokens_per_second / size.entries
     per_event = m.at_largest("own path", "entry: per event")
     share = events * per_event / MILLION * PERCENT
@@ -214,7 +215,7 @@
 
 
 def restart_lines(m: Measured, size: Size) -> Iterator[BudgetLine]:
-    """Say what a day's restarts and failures cost."""
+    """Estimate the cost of the restarts and failures of a day."""
     starts = size.restarts_per_day + size.failures_per_day
     whole = m.line("configuration", "whole configuration size").at(size.customers)
     yield BudgetLine("all", "time between two starts", DAY_SECONDS / starts, "s", None)
@@ -225,10 +226,10 @@
 
 
 def budget(m: Measured, size: Size, a: Assumptions) -> list[BudgetLine]:
-    """Work out everything."""
+    """Return all estimates."""
     return [
         *entry_lines(m, size, a),
-        *entry_word_lines(m, size, a),
+        *entry_alive_lines(m, size, a),
         *configuration_lines(m, size),
         *claim_lines(m, size, a),
         *stream_lines(m, size),
@@ -236,8 +237,8 @@
     ]
 
 
-def as_text(line: BudgetLine) -> str:
-    """Write one line."""
+def format_line(line: BudgetLine) -> str:
+    """Format one line."""
     limit = "" if line.limit is None else f"of {line.limit:g}"
     return (
         f"{line.role:<8} {line.what:<42} {line.value:>10.4g} {line.unit:<12}"
@@ -246,7 +247,7 @@
 
 
 def main() -> None:
-    """Print the budget of the letter's size."""
+    """Print the budget at the target size."""
     parser = argparse.ArgumentParser(prog="slopes.budget", description=__doc__)
     parser.add_argument("--slopes", type=Path, default=RESULTS)
     arguments = parser.parse_args()
@@ -254,7 +255,7 @@
     size, assumptions = Size(), Assumptions()
     sys.stdout.write(f"{size}\n{assumptions}\n")
     for line in budget(measured, size, assumptions):
-        sys.stdout.write(as_text(line) + "\n")
+        sys.stdout.write(format_line(line) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes/calls.py
+++ b/benchmarks/slopes/calls.py
@@ -1,4 +1,4 @@
-"""Measure what a call costs each process, with and without a claim to run once."""
+"""Measure what a call costs each process, with and without an idempotency key."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -13,10 +13,10 @@
 from slopes.processes import (
     MEBIBYTE,
     PERCENT,
-    mailbox_counts,
     pid_of,
-    usage_of,
-    window,
+    read_mailbox_counts,
+    read_usage,
+    usage_between,
 )
 
 RATES = (5, 20, 60)
@@ -24,7 +24,7 @@
 SETTLE_SECONDS = 1.0
 ENTRIES = 3
 CALLERS = 32
-LEAST_SHARE_WHOLE = 0.9
+MIN_SUCCESS_SHARE = 0.9
 CALLER_KEY = "a-measured-customer-key"
 PLAIN = Upstream("gate-1", "gate-app", "plain")
 GATE_SIDECAR = "gate-1-sidecar"
@@ -38,7 +38,7 @@
 
 
 class PacedCalls:
-    """Send calls at an even pace from a few threads, whatever the answers take."""
+    """Send calls at a constant rate, independent of how long answers take."""
 
     def __init__(self, address: str, per_second: int, keys: str) -> None:
         self.address = address
@@ -51,7 +51,7 @@
         self.thread = Thread(target=self.run, daemon=True)
 
     def run(self) -> None:
-        """Send until stopped, then wait for the answers."""
+        """Send calls until stopped, then wait for the answers."""
         with ThreadPoolExecutor(CALLERS) as pool:
             number = 0
             due = time.monotonic()
@@ -62,7 +62,7 @@
                 time.sleep(max(0.0, due - time.monotonic()))
 
     def call(self, number: int) -> None:
-        """Send one call and note how long its whole answer took."""
+        """Send one call and record the time to its complete answer."""
         headers = {"Authorization": f"Bearer {CALLER_KEY}"}
         if self.keys:
             headers["Idempotency-Key"] = f"{self.keys}-{number}"
@@ -78,26 +78,26 @@
             self.failed.append(response.status)
 
     def stop(self) -> None:
-        """End the calls; raise where too many were refused."""
+        """Stop sending; raise if too many calls failed."""
         self.stopping = True
         self.thread.join()
-        whole = len(self.seconds) - len(self.failed)
-        if whole < LEAST_SHARE_WHOLE * len(self.seconds):
+        succeeded = len(self.seconds) - len(self.failed)
+        if succeeded < MIN_SUCCESS_SHARE * len(self.seconds):
             raise RuntimeError(f"{len(self.failed)} calls failed: {self.failed[:3]}")
 
 
 def measure_plain_calls(per_second: int, repeats: int) -> list[list[Reading]]:
-    """Measure calls that may be repeated."""
+    """Measure calls without an idempotency key."""
     return measure_calls(per_second, repeats, claimed=False)
 
 
 def measure_claimed_calls(per_second: int, repeats: int) -> list[list[Reading]]:
-    """Measure calls that run at most once."""
+    """Measure calls with an idempotency key, which run at most once."""
     return measure_calls(per_second, repeats, claimed=True)
 
 
 def measure_calls(per_second: int, repeats: int, claimed: bool) -> list[list[Reading]]:
-    """Send calls to a follower's entry and watch all that take part."""
+    """Send calls to a follower and measure all processes involved."""
     with running_fleet(ENTRIES) as fleet:
         fleet.start_upstream(PLAIN)
         fleet.change("gate", CHANGE)
@@ -105,43 +105,43 @@
             wait_until(
                 lambda name=name: len(available(fleet, name)) == 2, "announcements"
             )
-        leading = leader(fleet)
-        asked, other = [name for name in fleet.entry_names if name != leading]
+        leader_name = leader(fleet)
+        contacted, other = [name for name in fleet.entry_names if name != leader_name]
         roles = {
-            "entry": asked,
-            "leader": leading,
+            "entry": contacted,
+            "leader": leader_name,
             "follower": other,
             "sidecar": GATE_SIDECAR,
         }
         rounds = []
         for number in range(repeats):
             keys = f"round-{number}" if claimed else ""
-            calls = PacedCalls(fleet.callers[asked], per_second, keys)
-            rounds.append(call_readings(fleet, roles, calls))
+            calls = PacedCalls(fleet.callers[contacted], per_second, keys)
+            rounds.append(read_calls(fleet, roles, calls))
     return rounds
 
 
-def call_readings(
+def read_calls(
     fleet: LocalFleet, roles: dict[str, str], calls: PacedCalls
 ) -> list[Reading]:
-    """Watch while calls go through."""
+    """Measure the processes of all roles while calls are sent."""
     calls.thread.start()
     time.sleep(SETTLE_SECONDS)
-    sent = mailbox_counts(fleet, roles["leader"])
-    before = {role: usage_of(pid_of(fleet, name)) for role, name in roles.items()}
+    sent_before = read_mailbox_counts(fleet, roles["leader"])
+    before = {role: read_usage(pid_of(fleet, name)) for role, name in roles.items()}
     time.sleep(WINDOW_SECONDS)
-    after = {role: usage_of(pid_of(fleet, name)) for role, name in roles.items()}
-    grown = mailbox_counts(fleet, roles["leader"])
+    after = {role: read_usage(pid_of(fleet, name)) for role, name in roles.items()}
+    sent_after = read_mailbox_counts(fleet, roles["leader"])
     calls.stop()
     readings = []
     for role in roles:
-        used = window(before[role], after[role])
+        used = usage_between(before[role], after[role])
         share = used.processor_seconds / used.seconds * PERCENT
         memory = used.resident_bytes / MEBIBYTE
         readings.append(Reading(f"{role}: processor", "% of a core", share))
         readings.append(Reading(f"{role}: memory", "MiB", memory))
-    out = (grown.sent_bytes - sent.sent_bytes) / WINDOW_SECONDS
-    readings.append(Reading("leader: sent", "B/s", out))
+    sent_rate = (sent_after.sent_bytes - sent_before.sent_bytes) / WINDOW_SECONDS
+    readings.append(Reading("leader: sent", "B/s", sent_rate))
     ordered = sorted(calls.seconds)
     for name, share in (("p50", 0.5), ("p95", 0.95)):
         value = ordered[int(share * len(ordered))] * MILLISECONDS
--- a/benchmarks/slopes/control_costs.py
+++ b/benchmarks/slopes/control_costs.py
@@ -1,10 +1,10 @@
-"""Time changes, claims, snapshots and configurations, and weigh what travels."""
+"""Measure changes, claims, snapshots and configurations, and message sizes."""
 
 from time import process_time
 
 import msgspec
+from control import apply_change, measure_claims
 from control import customer as customer_document
-from control import measure_claims, put_in_force
 
 from cowslipshelf_core.configuration import Model, Service
 from cowslipshelf_core.configuration_view import (
@@ -27,7 +27,7 @@
     EnvelopeCodec,
     MailboxHeartbeat,
 )
-from slopes.deciders import MICROSECONDS, microseconds
+from slopes.decision_costs import MICROSECONDS, microseconds
 from slopes.fitting import Experiment, Reading
 from slopes.samples import DATA_CENTRE, EPOCH, announce, configuration
 
@@ -40,19 +40,19 @@
 
 
 def codec() -> EnvelopeCodec:
-    """Make the codec that every mailbox of the system uses."""
+    """Build the codec that all mailboxes use."""
     max_bytes = 1 << 24
     return EnvelopeCodec.from_config(CLUSTER_KEY, MailboxMessage, max_bytes)
 
 
 def envelope(message: Message) -> Envelope:
-    """Address a message as a sidecar or an entry does."""
+    """Wrap a message in an envelope to an entry."""
     sender = InstanceId(f"{DATA_CENTRE}-runner-0000-sidecar")
     return Envelope(sender, ENTRY_ADDRESS, EPOCH, 1, message)
 
 
 def message_readings(name: str, message: Message) -> list[Reading]:
-    """Weigh one message and time its codec."""
+    """Measure the size and codec time of one message."""
     wire = codec()
     wrapped = envelope(message)
     data = wire.encode(wrapped)
@@ -64,7 +64,7 @@
 
 
 def measure_messages(entries: int, repeats: int) -> list[list[Reading]]:
-    """Weigh the messages that a fleet with a number of entries exchanges."""
+    """Measure the messages of a fleet with a number of entries."""
     known = tuple(
         (InstanceId(f"{DATA_CENTRE}-entry-{number:03}"), ENTRY_ADDRESS)
         for number in range(entries)
@@ -89,46 +89,46 @@
     ]
 
 
-def full_state(customers: int) -> ControlState:
-    """Put a configuration with a number of customers in force."""
+def build_state(customers: int) -> ControlState:
+    """Build a control state with a number of customers."""
     state = ControlState()
     models = tuple(Model(f"ledger-{number}", "1") for number in range(4))
     names = tuple(model.name for model in models)
     services = (Service("assist-llm", "model", names),)
-    everybody = tuple(customer_document(number, 1) for number in range(customers))
-    put_in_force(state, WantedState(everybody, services, models), "first")
+    all_customers = tuple(customer_document(number, 1) for number in range(customers))
+    apply_change(state, WantedState(all_customers, services, models), "first")
     return state
 
 
 def change_microseconds(state: ControlState, customers: int, tag: str) -> float:
-    """Time the plan and the confirmation of a change of one customer."""
+    """Return the time to plan and confirm a change of one customer."""
     began = process_time()
     for number in range(CHANGES):
         changed = customer_document(number % customers, number + 2)
         change = Change(put_customers=(changed,))
-        put_in_force(state, change, f"{tag}-{number}")
+        apply_change(state, change, f"{tag}-{number}")
     return (process_time() - began) / CHANGES * MICROSECONDS
 
 
 def measure_configuration(customers: int, repeats: int) -> list[list[Reading]]:
-    """Time a change, and what a process does to put its configuration in force."""
-    state = full_state(customers)
+    """Measure a change, and the steps by which a process applies a configuration."""
+    state = build_state(customers)
     return [
         [
             Reading("change", "us", change_microseconds(state, customers, f"r{n}")),
             *configuration_readings(customers),
-            Reading("state snapshot", "B", len(full_state(customers).to_snapshot())),
+            Reading("state snapshot", "B", len(build_state(customers).to_snapshot())),
         ]
         for n in range(repeats)
     ]
 
 
 def configuration_readings(customers: int) -> list[Reading]:
-    """Weigh a configuration message and time each step to its being in force."""
+    """Measure a configuration message, and each step of applying it."""
     message = ConfigurationSnapshot(configuration(customers), False)
     view = ConfigurationView.from_config(ConfigurationViewConfig(EPOCH))
 
-    def view_takes(call: int) -> None:
+    def update_view(call: int) -> None:
         newer = msgspec.structs.replace(message.configuration, version=call + 1)
         arrived = ConfigurationSnapshot(newer, False)
         view.handle(SnapshotArrived(arrived, ENTRY_ADDRESS), 0.0)
@@ -138,13 +138,13 @@
 
     return [
         *message_readings("whole configuration", message),
-        Reading("view takes it", "us", microseconds(view_takes)),
+        Reading("view takes it", "us", microseconds(update_view)),
         Reading("index of it", "us", microseconds(index)),
     ]
 
 
 def measure_claim_state(claims: int, repeats: int) -> list[list[Reading]]:
-    """Time claims, and weigh them in memory and in a snapshot."""
+    """Measure the time of claims, and their size in memory and in a snapshot."""
     rounds = []
     for _ in range(repeats):
         figures = measure_claims(claims)
--- a/benchmarks/slopes/daemons.py
+++ b/benchmarks/slopes/daemons.py
@@ -1,4 +1,4 @@
-"""Measure real daemons as processes: what they spend on each other while idle."""
+"""Measure the processes of an idle fleet: cost of announcements and heartbeats."""
 
 import tempfile
 import time
@@ -9,15 +9,15 @@
 
 from common.daemon_fleet import available, leader
 from local_fleet import DATA_CENTRES, LocalFleet, Upstream, wait_until
-from slopes.announcers import Pace, announced_upstreams
+from slopes.announcers import Intervals, announced_upstreams
 from slopes.fitting import Experiment, Reading
 from slopes.processes import WINDOW_SECONDS, observe
 
 UPSTREAM_COUNTS = (0, 16, 48, 100)
 ENTRY_COUNTS = (1, 3, 5, 7)
 SETTLE_SECONDS = 2.0
-PACE = Pace(0.5, 3.0, 0.5, 2.5, 5.0)
-SLOW_PACE = Pace(3.0, 12.0, 3.0, 10.0, 20.0)
+INTERVALS = Intervals(0.5, 3.0, 0.5, 2.5, 5.0)
+SLOW_INTERVALS = Intervals(3.0, 12.0, 3.0, 10.0, 20.0)
 ENGINE = Upstream("runner-1", "assist-llm", "model", ("ledger-1",))
 SIDECAR = "runner-1-sidecar"
 FIRST_CHANGE = {
@@ -27,7 +27,7 @@
 
 
 class MeasuredFleet(LocalFleet):
-    """Be a fleet of any size, in as many data centres as it has entries for."""
+    """Run a fleet of any size, with an entry in every data centre used."""
 
     def data_centre(self, index: int) -> str:
         """Spread instances over the data centres that have entries."""
@@ -44,7 +44,7 @@
 def running_fleet(
     entries: int, sidecars: bool = True, timings: dict[str, float] | None = None
 ) -> Iterator[LocalFleet]:
-    """Run entries, and one engine with its sidecar, at the settings' own times."""
+    """Run entries, and one engine with its sidecar; default intervals if not given."""
     with (
         tempfile.TemporaryDirectory() as folder,
         MeasuredFleet(Path(folder), entries, timings) as fleet,
@@ -64,21 +64,23 @@
 
 
 def measure_upstreams(upstreams: int, repeats: int) -> list[list[Reading]]:
-    """Have one entry hear a number of sidecars, at the settings' own times."""
-    return measure_hearing(upstreams, repeats, PACE)
+    """Measure one entry with a number of sidecars, at the default intervals."""
+    return measure_announcements(upstreams, repeats, INTERVALS)
 
 
 def measure_slow_upstreams(upstreams: int, repeats: int) -> list[list[Reading]]:
-    """Have one entry hear a number of sidecars at six times the intervals."""
-    return measure_hearing(upstreams, repeats, SLOW_PACE)
+    """Measure one entry with a number of sidecars, at six times the intervals."""
+    return measure_announcements(upstreams, repeats, SLOW_INTERVALS)
 
 
-def measure_hearing(upstreams: int, repeats: int, pace: Pace) -> list[list[Reading]]:
-    """Have one entry hear a number of sidecars."""
-    with running_fleet(1, sidecars=False, timings=pace._asdict()) as fleet:
+def measure_announcements(
+    upstreams: int, repeats: int, intervals: Intervals
+) -> list[list[Reading]]:
+    """Measure one entry that receives announcements of a number of sidecars."""
+    with running_fleet(1, sidecars=False, timings=intervals._asdict()) as fleet:
         entry = fleet.entry_names[0]
         addresses = [fleet.mailboxes[entry]]
-        with announced_upstreams(upstreams, addresses, pace):
+        with announced_upstreams(upstreams, addresses, intervals):
             wait_until(
                 lambda: len(available(fleet, entry)) == upstreams, "announcements"
             )
@@ -87,22 +89,22 @@
 
 
 def measure_entries(entries: int, repeats: int) -> list[list[Reading]]:
-    """Let a number of entries, each with a replica, and one sidecar idle."""
+    """Measure an idle fleet of entries, each with a replica, and one sidecar."""
     with running_fleet(entries) as fleet:
         time.sleep(SETTLE_SECONDS)
-        leading = leader(fleet)
-        roles = {leading: "leader", SIDECAR: "sidecar"}
-        followers = [name for name in fleet.entry_names if name != leading]
-        # The smallest fleet has none; its only entry then stands in both places.
+        leader_name = leader(fleet)
+        roles = {leader_name: "leader", SIDECAR: "sidecar"}
+        followers = [name for name in fleet.entry_names if name != leader_name]
+        # A fleet of one entry has no follower; its readings count for both roles.
         roles |= {followers[0]: "follower"} if followers else {}
         rounds = [observe_as(fleet, roles) for _ in range(repeats)]
     if not followers:
-        rounds = [with_followers(readings) for readings in rounds]
+        rounds = [add_follower_readings(readings) for readings in rounds]
     return rounds
 
 
-def with_followers(readings: list[Reading]) -> list[Reading]:
-    """Let the only entry count as a follower, which it costs no less than."""
+def add_follower_readings(readings: list[Reading]) -> list[Reading]:
+    """Copy the only entry's readings as a follower's, an upper bound for those."""
     copies = [
         reading._replace(quantity=reading.quantity.replace("leader", "follower"))
         for reading in readings
@@ -112,7 +114,7 @@
 
 
 def observe_as(fleet: LocalFleet, roles: dict[str, str]) -> list[Reading]:
-    """Observe instances, and name the readings by their roles."""
+    """Observe instances and name the readings after their roles."""
     entries = [name for name in roles if name in fleet.entry_names]
     others = [name for name in roles if name not in fleet.entry_names]
     readings = observe(fleet, entries, others, WINDOW_SECONDS)
@@ -120,7 +122,7 @@
 
 
 def renamed(reading: Reading, roles: dict[str, str]) -> Reading:
-    """Name a reading by the role of its instance."""
+    """Name a reading after the role of its instance."""
     instance, what = reading.quantity.split(": ", 1)
     return reading._replace(quantity=f"{roles[instance]}: {what}")
 
--- a/benchmarks/slopes/deciders.py
+++ b/benchmarks/slopes/decision_costs.py
@@ -1,4 +1,4 @@
-"""Time the decisions alone: no socket, no thread, no disk."""
+"""Measure the decision logic alone: no socket, no thread, no disk."""
 
 from collections.abc import Callable
 from random import Random
@@ -54,28 +54,28 @@
 )
 
 MICROSECONDS = 1e6
-LEAST_SECONDS = 0.2
-"""A loop is repeated until it has used so much processor time."""
+MIN_SECONDS = 0.2
+"""Processor time after which a timing loop ends."""
 OUTPUT_TOKENS = 100
 SECONDS_BETWEEN_REQUESTS = 0.05
 
 
 def microseconds(work: Callable[[int], None]) -> float:
-    """Return the processor time of one call, from many; the argument counts them."""
+    """Return the mean processor time of a call; its argument counts the calls."""
     calls = 0
     began = process_time()
     while True:
         work(calls)
         calls += 1
-        spent = process_time() - began
-        if spent >= LEAST_SECONDS:
-            return spent / calls * MICROSECONDS
+        elapsed = process_time() - began
+        if elapsed >= MIN_SECONDS:
+            return elapsed / calls * MICROSECONDS
 
 
-def repeated(
+def time_repeatedly(
     repeats: int, works: dict[str, Callable[[int], None]]
 ) -> list[list[Reading]]:
-    """Time each piece of work once in every repeat."""
+    """Time each function once in every repeat."""
     return [
         [Reading(name, "us", microseconds(work)) for name, work in works.items()]
         for _ in range(repeats)
@@ -83,21 +83,21 @@
 
 
 def measure_directory(upstreams: int, repeats: int) -> list[list[Reading]]:
-    """Time an announcement and a tick of an entry that knows many upstreams."""
+    """Measure an announcement and a tick of a directory with many upstreams."""
     directory = Directory.from_config(DirectoryConfig())
     sequences = [0] * upstreams
 
-    def take(number: int) -> None:
+    def receive(number: int) -> None:
         sequences[number] += 1
         event = AnnounceArrived(announce(number, sequences[number]), "s", "a")
         directory.handle(event, 0.0)
 
     for number in range(upstreams):
-        take(number)
+        receive(number)
     ready = announce(0, 0)
 
     def announcement(call: int) -> None:
-        # A report of a later number each time, as a sidecar's next one is.
+        # Each report needs a higher sequence than the last, as from a real sidecar.
         newer = ready.load._replace(sequence=sequences[0] + call + 1)
         event = AnnounceArrived(
             type(ready)(ready.description, ready.epoch, 3.0, newer), "s", "a"
@@ -107,11 +107,11 @@
     def tick(_: int) -> None:
         directory.handle(DirectoryTick(), 0.0)
 
-    return repeated(repeats, {"announcement": announcement, "tick": tick})
+    return time_repeatedly(repeats, {"announcement": announcement, "tick": tick})
 
 
-def filled_router(upstreams: int) -> Router:
-    """Make a router that knows many upstreams."""
+def build_router(upstreams: int) -> Router:
+    """Build a router with a number of known upstreams."""
     router = Router.from_config(RouterConfig())
     random = Random(1)
     router.handle(ConfigurationApplied(configuration(1)), 0.0, random)
@@ -122,17 +122,17 @@
 
 
 def measure_router(upstreams: int, repeats: int) -> list[list[Reading]]:
-    """Time a whole placement, a load report and a tick."""
-    router = filled_router(upstreams)
+    """Measure a placement up to its end, a load report and a tick."""
+    router = build_router(upstreams)
     random = Random(1)
-    asked = [0]
+    placement_count = [0]
 
     def placement(_: int) -> None:
-        asked[0] += 1
-        now = asked[0] * SECONDS_BETWEEN_REQUESTS
-        question = facts(asked[0])
-        attempt_id = question.attempt_id
-        event = PlacementAsked(PlacementId(attempt_id), question)
+        placement_count[0] += 1
+        now = placement_count[0] * SECONDS_BETWEEN_REQUESTS
+        placement_facts = facts(placement_count[0])
+        attempt_id = placement_facts.attempt_id
+        event = PlacementAsked(PlacementId(attempt_id), placement_facts)
         answers = router.handle(event, now, random)
         if not answers:
             raise RuntimeError("a placement was not answered at once")
@@ -141,29 +141,29 @@
         ended = AttemptEnded(attempt_id, AttemptOutcome.FINISHED)
         router.handle(ended, now, random)
 
-    reports = [1]
+    last_sequence = [1]
     name = description(0).upstream_id
 
     def report(_: int) -> None:
-        reports[0] += 1
-        event = LoadUpdated(name, EPOCH, load(reports[0]))
+        last_sequence[0] += 1
+        event = LoadUpdated(name, EPOCH, load(last_sequence[0]))
         router.handle(event, 0.0, random)
 
     def tick(call: int) -> None:
         router.handle(RouterTick(), call * 1e-6, random)
 
     works = {"placement": placement, "load report": report, "tick": tick}
-    return repeated(repeats, works)
+    return time_repeatedly(repeats, works)
 
 
 def measure_sidecar(open_attempts: int, repeats: int) -> list[list[Reading]]:
-    """Time one attempt and a tick beside attempts that stay open."""
+    """Measure an attempt, a tick and a load report beside open attempts."""
     config = SidecarConfig(description(0), EPOCH, max_running=open_attempts + 16)
     state = SidecarState.from_config(config)
     state.handle(SidecarConfigured(configuration(1)), 0.0)
     numbers = [0]
 
-    def begin() -> str:
+    def start_attempt() -> str:
         numbers[0] += 1
         attempt = hand_over(numbers[0])
         state.handle(OwnerSeen(attempt.owner), 0.0)
@@ -173,10 +173,10 @@
         return attempt.attempt_id
 
     for _ in range(open_attempts):
-        begin()
+        start_attempt()
 
     def attempt(_: int) -> None:
-        attempt_id = begin()
+        attempt_id = start_attempt()
         state.handle(UpstreamFinished(attempt_id, True, OUTPUT_TOKENS), 0.0)
 
     def tick(_: int) -> None:
@@ -186,25 +186,25 @@
         state.load_report()
 
     works = {"attempt": attempt, "tick": tick, "load report": report}
-    return repeated(repeats, works)
+    return time_repeatedly(repeats, works)
 
 
 def measure_announcing(entries: int, repeats: int) -> list[list[Reading]]:
-    """Time how a sidecar chooses entries, and how lists of entries are compared."""
-    places = [
+    """Measure how a sidecar chooses entries, and the digest of the entries' list."""
+    endpoints = [
         EntryEndpoint(f"coruche-hall-entry-{n:03}", f"10.20.30.40:{10_000 + n}")
         for n in range(entries)
     ]
     config = EntryChooserConfig(description(0).upstream_id)
-    chooser = EntryChooser.from_config(config, places)
+    chooser = EntryChooser.from_config(config, endpoints)
 
     def choice(_: int) -> None:
         chooser.targets(0.0)
 
     def digest(_: int) -> None:
-        digest_entries(places)
+        digest_entries(endpoints)
 
-    return repeated(repeats, {"choice": choice, "digest of the list": digest})
+    return time_repeatedly(repeats, {"choice": choice, "digest of the list": digest})
 
 
 EXPERIMENTS = (
--- a/benchmarks/slopes/fitting.py
+++ b/benchmarks/slopes/fitting.py
@@ -1,6 +1,7 @@
-"""Fit straight lines to repeated measurements, and say how far they are to be trusted.
+"""Fit straight lines to repeated measurements, with their spread.
 
-A line is fitted to the medians of all repeats; each repeat's own line gives the spread.
+A line is fitted to the medians of all repeats; a line for each repeat alone gives the
+spread.
 """
 
 from collections.abc import Callable, Sequence
@@ -9,7 +10,7 @@
 
 
 class Reading(NamedTuple):
-    """Be one quantity, measured once at one size."""
+    """Hold one measurement of a quantity at one size."""
 
     quantity: str
     unit: str
@@ -17,36 +18,36 @@
 
 
 class Point(NamedTuple):
-    """Be all readings of one quantity at one size, in the order of the repeats."""
+    """Hold all readings of a quantity at one size, in the order of the repeats."""
 
     size: float
     values: tuple[float, ...]
 
 
 class Line(NamedTuple):
-    """Be a straight line."""
+    """Describe a straight line."""
 
     intercept: float
     slope: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at a size, which may lie beyond the measured ones."""
+        """Return the value at a size, which may be beyond the measured ones."""
         return self.intercept + self.slope * size
 
 
 class Fit(NamedTuple):
-    """Be a line through the medians, with its spread and its worst miss."""
+    """Hold a line fitted to the medians, its spread and its largest residual."""
 
     line: Line
-    least_slope: float
-    """Smallest slope of this line and each single repeat's."""
-    greatest_slope: float
-    worst_miss: float
-    """Largest distance of a median from the line, as a share of the largest median."""
+    min_slope: float
+    """Smallest slope among this line and the lines of single repeats."""
+    max_slope: float
+    max_residual: float
+    """Largest residual of a median, as a share of the largest median."""
 
 
 class Slope(NamedTuple):
-    """Be how one quantity grows with one size."""
+    """Describe how a quantity grows with a size."""
 
     experiment: str
     quantity: str
@@ -57,7 +58,7 @@
 
 
 class Experiment(NamedTuple):
-    """Describe what is measured, over which sizes of what."""
+    """Describe what is measured, and over which sizes."""
 
     name: str
     per: str
@@ -67,7 +68,7 @@
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """Fit by least squares; a single size, or equal ones, give a level line."""
+    """Fit by least squares; a single distinct size gives a horizontal line."""
     if len(set(sizes)) < 2:
         return Line(mean(values), 0.0)
     slope, intercept = linear_regression(sizes, values)
@@ -75,7 +76,7 @@
 
 
 def fit_points(points: Sequence[Point]) -> Fit:
-    """Fit the medians, and each repeat alone."""
+    """Fit the medians and each repeat alone."""
     sizes = [point.size for point in points]
     medians = [median(point.values) for point in points]
     line = fit_line(sizes, medians)
@@ -83,12 +84,12 @@
     slopes = [fit_line(sizes, values).slope for values in repeats]
     slopes.append(line.slope)
     largest = max(map(abs, medians))
-    misses = [abs(line.at(s) - v) for s, v in zip(sizes, medians, strict=True)]
-    worst_miss = max(misses) / largest if largest else 0.0
-    return Fit(line, min(slopes), max(slopes), worst_miss)
+    residuals = [abs(line.at(s) - v) for s, v in zip(sizes, medians, strict=True)]
+    max_residual = max(residuals) / largest if largest else 0.0
+    return Fit(line, min(slopes), max(slopes), max_residual)
 
 
-def slopes_of(experiment: Experiment, repeats: int) -> list[Slope]:
+def measure_slopes(experiment: Experiment, repeats: int) -> list[Slope]:
     """Measure at every size and fit each quantity."""
     values: dict[tuple[str, str], list[Point]] = {}
     for size in experiment.sizes:
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -1,4 +1,4 @@
-"""Read what processes of the system have used, as the kernel and they count it."""
+"""Read the resource usage of processes, and their mailbox counters."""
 
 import os
 import time
@@ -9,7 +9,7 @@
 from slopes.fitting import Reading
 
 PROCESSOR_TIME_FIELDS = slice(11, 13)
-"""User and system time, counted from the state behind the command's name."""
+"""User and system time, counted from the field after the command's name."""
 WINDOW_SECONDS = 4.0
 MEBIBYTE = 1024 * 1024
 PERCENT = 100.0
@@ -20,7 +20,7 @@
 
 
 class Usage(NamedTuple):
-    """Be what one process had used at one moment."""
+    """Hold the resource usage of a process at one time."""
 
     at: float
     processor_seconds: float
@@ -29,7 +29,7 @@
 
 
 class MailboxCounts(NamedTuple):
-    """Be what an entry's mailbox had counted at one moment."""
+    """Hold the counters of an entry's mailbox at one time."""
 
     sent: float
     sent_bytes: float
@@ -38,7 +38,7 @@
 
 
 class Window(NamedTuple):
-    """Be what a process used over a while."""
+    """Hold the resource usage of a process over a time window."""
 
     seconds: float
     processor_seconds: float
@@ -51,8 +51,8 @@
         return self.processor_seconds / self.seconds * PERCENT
 
 
-def usage_of(pid: int) -> Usage:
-    """Read one process."""
+def read_usage(pid: int) -> Usage:
+    """Read the usage of a process from `/proc`."""
     folder = Path("/proc") / str(pid)
     fields = (folder / "stat").read_text().rsplit(")", 1)[1].split()
     ticks = sum(map(int, fields[PROCESSOR_TIME_FIELDS]))
@@ -65,8 +65,8 @@
     )
 
 
-def window(before: Usage, after: Usage) -> Window:
-    """Compare two moments of one process."""
+def usage_between(before: Usage, after: Usage) -> Window:
+    """Return the usage between two readings of one process."""
     return Window(
         after.at - before.at,
         after.processor_seconds - before.processor_seconds,
@@ -80,21 +80,21 @@
     return fleet.processes[name].pid
 
 
-def mailbox_counts(fleet: LocalFleet, entry: str) -> MailboxCounts:
+def read_mailbox_counts(fleet: LocalFleet, entry: str) -> MailboxCounts:
     """Read an entry's mailbox counters from its metrics."""
     _, text = fleet.operator_call(entry, "GET", "/metrics")
     found = {}
     for line in text.splitlines():
         if line.startswith("cowslipshelf_mailbox_messages{"):
-            what = line.split('what="', 1)[1].split('"', 1)[0]
-            found[what] = float(line.rsplit(" ", 1)[1])
+            counter = line.split('what="', 1)[1].split('"', 1)[0]
+            found[counter] = float(line.rsplit(" ", 1)[1])
     return MailboxCounts(
         found[SENT], found[SENT_BYTES], found[RECEIVED], found[RECEIVED_BYTES]
     )
 
 
 def usage_readings(name: str, used: Window) -> list[Reading]:
-    """Say what one process used."""
+    """Return the readings of one process."""
     return [
         Reading(f"{name}: processor", "% of a core", used.core_percent),
         Reading(f"{name}: memory", "MiB", used.resident_bytes / MEBIBYTE),
@@ -105,12 +105,12 @@
 def mailbox_readings(
     name: str, before: MailboxCounts, after: MailboxCounts, seconds: float
 ) -> list[Reading]:
-    """Say what one entry's mailbox carried."""
-    out = (after.sent_bytes - before.sent_bytes) / seconds
-    into = (after.received_bytes - before.received_bytes) / seconds
+    """Return the traffic readings of one entry's mailbox."""
+    sent_rate = (after.sent_bytes - before.sent_bytes) / seconds
+    received_rate = (after.received_bytes - before.received_bytes) / seconds
     return [
-        Reading(f"{name}: sent", "B/s", out),
-        Reading(f"{name}: received", "B/s", into),
+        Reading(f"{name}: sent", "B/s", sent_rate),
+        Reading(f"{name}: received", "B/s", received_rate),
         Reading(f"{name}: messages sent", "1/s", (after.sent - before.sent) / seconds),
         Reading(
             f"{name}: messages received",
@@ -123,17 +123,21 @@
 def observe(
     fleet: LocalFleet, entries: list[str], others: list[str], seconds: float
 ) -> list[Reading]:
-    """Watch processes for a while; the counters are read outside the window."""
-    counts = [mailbox_counts(fleet, entry) for entry in entries]
+    """Measure processes over a time window.
+
+    The mailbox counters are read before and after it, so that reading them costs no
+    processor time within it.
+    """
+    counts = [read_mailbox_counts(fleet, entry) for entry in entries]
     names = [*entries, *others]
-    before = [usage_of(pid_of(fleet, name)) for name in names]
+    before = [read_usage(pid_of(fleet, name)) for name in names]
     time.sleep(seconds)
-    after = [usage_of(pid_of(fleet, name)) for name in names]
+    after = [read_usage(pid_of(fleet, name)) for name in names]
     readings = []
     for name, first, last in zip(names, before, after, strict=True):
-        readings += usage_readings(name, window(first, last))
+        readings += usage_readings(name, usage_between(first, last))
     for entry, first in zip(entries, counts, strict=True):
         readings += mailbox_readings(
-            entry, first, mailbox_counts(fleet, entry), seconds
+            entry, first, read_mailbox_counts(fleet, entry), seconds
         )
     return readings
--- a/benchmarks/slopes/reporting.py
+++ b/benchmarks/slopes/reporting.py
@@ -1,4 +1,4 @@
-"""Write slopes as a table and as JSON."""
+"""Format slopes as a table, and write them as JSON."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 
 
 class Conditions(NamedTuple):
-    """Say on what machine, and beside how much else, an experiment was run."""
+    """Hold the machine and its load during an experiment."""
 
     cores: int
     python: str
@@ -28,57 +28,57 @@
     def from_machine(
         cls, repeats: int, load_before: tuple[float, float, float]
     ) -> "Conditions":
-        """Read the machine as it is now."""
+        """Read the conditions from the machine."""
         python = platform.python_version()
         cores = os.cpu_count() or 0
         return cls(cores, python, repeats, load_before, os.getloadavg())
 
 
-def figure(value: float) -> str:
-    """Write a number with as many digits as a measurement deserves."""
+def format_number(value: float) -> str:
+    """Format a number with four significant digits."""
     return f"{value:.4g}"
 
 
 def table_line(slope: Slope) -> str:
-    """Write one slope as a line."""
+    """Format one slope as a line."""
     fit = slope.fit
-    spread = f"{figure(fit.least_slope)} .. {figure(fit.greatest_slope)}"
+    spread = f"{format_number(fit.min_slope)} .. {format_number(fit.max_slope)}"
     return COLUMNS.format(
         slope.experiment,
         slope.quantity,
-        figure(fit.line.intercept),
-        figure(fit.line.slope),
+        format_number(fit.line.intercept),
+        format_number(fit.line.slope),
         spread,
-        f"{fit.worst_miss:.0%}",
+        f"{fit.max_residual:.0%}",
         f"{slope.unit} / {slope.per}",
     )
 
 
 def table(slopes: Sequence[Slope]) -> str:
-    """Write all slopes, one a line."""
+    """Format all slopes, one per line."""
     return "\n".join([COLUMNS.format(*HEADER), *map(table_line, slopes)])
 
 
 def as_document(slope: Slope) -> dict[str, object]:
-    """Turn a slope into what the JSON file holds."""
+    """Convert a slope to its JSON form."""
     return {
         "quantity": slope.quantity,
         "unit": slope.unit,
         "per": slope.per,
         "at_zero": slope.fit.line.intercept,
         "slope": slope.fit.line.slope,
-        "least_slope": slope.fit.least_slope,
-        "greatest_slope": slope.fit.greatest_slope,
-        "worst_miss": slope.fit.worst_miss,
+        "least_slope": slope.fit.min_slope,
+        "greatest_slope": slope.fit.max_slope,
+        "worst_miss": slope.fit.max_residual,
         "medians": {str(p.size): median(p.values) for p in slope.points},
         "readings": {str(p.size): p.values for p in slope.points},
     }
 
 
-def keep(
+def write_results(
     path: Path, experiment: str, slopes: Sequence[Slope], conditions: Conditions
 ) -> None:
-    """Write one experiment into the results, beside those measured before."""
+    """Write one experiment to the results file, and keep the other experiments."""
     document = {"command": "make slopes", "experiments": {}}
     if path.exists():
         document = json.loads(path.read_text())
--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -1,4 +1,4 @@
-"""Build what the measurements feed to the decisions."""
+"""Build sample messages and events for the measurements."""
 
 from cowslipshelf_core.configuration import Customer, FleetConfiguration, Model, Service
 from cowslipshelf_core.identifiers import (
@@ -24,9 +24,9 @@
 MEMORY_TOKENS = 400_000
 LEASE_SECONDS = 3.0
 HOT_PREFIXES = 16
-"""As many as a sidecar reports at most; see the sidecar's costs."""
+"""The most that a sidecar reports."""
 KEY_HASH_CHARACTERS = 64
-ROSTER = "0123456789abcdef"
+ENTRIES_DIGEST = "0123456789abcdef"
 MODELS = 4
 DEADLINE_SECONDS = 120.0
 
@@ -46,7 +46,7 @@
 
 
 def load(sequence: int, hot_prefixes: int = HOT_PREFIXES) -> LoadReport:
-    """Report a busy engine."""
+    """Build the load report of a busy engine."""
     return LoadReport(
         sequence=sequence,
         running=4,
@@ -67,15 +67,17 @@
     number: int,
     sequence: int,
     lease_seconds: float = LEASE_SECONDS,
-    roster: str = ROSTER,
+    known_entries_digest: str = ENTRIES_DIGEST,
 ) -> Announce:
-    """Announce one of many engines."""
-    described, report = description(number), load(sequence)
-    return Announce(described, EPOCH, lease_seconds, report, entries_digest=roster)
+    """Build the announcement of one of many engines."""
+    upstream, report = description(number), load(sequence)
+    return Announce(
+        upstream, EPOCH, lease_seconds, report, entries_digest=known_entries_digest
+    )
 
 
 def configuration(customers: int, version: int = 1) -> FleetConfiguration:
-    """Configure a number of customers beside four models."""
+    """Build a configuration of a number of customers and four models."""
     models = tuple(Model(ModelName(f"ledger-{n + 1}"), "1") for n in range(MODELS))
     names = tuple(model.name for model in models)
     return FleetConfiguration(
@@ -94,7 +96,7 @@
 
 
 def facts(number: int, prompt_tokens: int = 2_000) -> PlacementFacts:
-    """Ask for a place for one request."""
+    """Build the placement facts of one request."""
     return PlacementFacts(
         RequestId(f"request-{number}"),
         AttemptId(f"attempt-{number}"),
@@ -109,7 +111,7 @@
 
 
 def hand_over(number: int) -> HandOver:
-    """Hand over one attempt to the engine of number zero."""
+    """Build the hand-over of one attempt to engine 0."""
     return HandOver(
         RequestId(f"request-{number}"),
         AttemptId(f"attempt-{number}"),
--- a/benchmarks/slopes/stream_client.py
+++ b/benchmarks/slopes/stream_client.py
@@ -1,6 +1,7 @@
-"""Read many streamed answers in one thread, and note when each event came.
+"""Read many streamed answers in one thread, and record when each event arrived.
 
-One thread and plain sockets: a thread for each stream would measure the client.
+One thread reads plain sockets, as the cost of a thread per stream would dominate the
+measurement.
 """
 
 import json
@@ -12,16 +13,16 @@
 from dataclasses import dataclass, field
 
 RECEIVE_BYTES = 65_536
-EVENT_MARK = b"data: "
-DONE_MARK = b"[DONE]"
-CONNECT_SECONDS = 10.0
-SELECT_SECONDS = 0.1
-LATENESS_SECONDS = 60.0
+EVENT_MARKER = b"data: "
+DONE_MARKER = b"[DONE]"
+CONNECT_TIMEOUT_SECONDS = 10.0
+SELECT_TIMEOUT_SECONDS = 0.1
+IDLE_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass
 class Stream:
-    """Be one open answer."""
+    """Track one streamed answer."""
 
     connection: socket.socket
     sent_at: float
@@ -32,7 +33,7 @@
 
 
 def request_bytes(host: str, model: str, key: str, tokens: int, number: int) -> bytes:
-    """Write one streamed completion request; a fresh prompt each time."""
+    """Build a streamed completion request, with a different prompt each time."""
     prompt = f"{number} " + "tare note " * 20
     body = json.dumps(
         {"model": model, "prompt": prompt, "max_tokens": tokens, "stream": True}
@@ -49,7 +50,7 @@
 
 
 class StreamClient:
-    """Open streams one after the other, and read all of them until they end."""
+    """Open streams at a constant rate, and read all of them until they end."""
 
     def __init__(self, addresses: Sequence[str], model: str, key: str) -> None:
         self.addresses = addresses
@@ -62,7 +63,7 @@
         self.to_open = 0
 
     def start(self, count: int, tokens: int, spacing_seconds: float) -> None:
-        """Begin to read, and open the streams at an even pace."""
+        """Start reading, and open the streams at a constant rate."""
         self.to_open = count
         self.thread.start()
         for number in range(count):
@@ -73,7 +74,9 @@
         """Send one request."""
         address = self.addresses[number % len(self.addresses)]
         host, port = address.split(":")
-        connection = socket.create_connection((host, int(port)), CONNECT_SECONDS)
+        connection = socket.create_connection(
+            (host, int(port)), CONNECT_TIMEOUT_SECONDS
+        )
         request = request_bytes(address, self.model, self.key, tokens, number)
         stream = Stream(connection, time.monotonic())
         connection.sendall(request)
@@ -82,56 +85,57 @@
         self.selector.register(connection, selectors.EVENT_READ, stream)
 
     def read_all(self) -> None:
-        """Read until every stream has ended, or nothing has come for long."""
-        last_heard = time.monotonic()
-        while time.monotonic() - last_heard < LATENESS_SECONDS:
+        """Read until every stream has ended or the idle timeout has passed."""
+        last_received = time.monotonic()
+        while time.monotonic() - last_received < IDLE_TIMEOUT_SECONDS:
             all_open = len(self.streams) == self.to_open
             if all_open and all(stream.done for stream in self.streams):
                 break
-            for key, _ in self.selector.select(SELECT_SECONDS):
-                last_heard = time.monotonic()
-                self.read(key.data, last_heard)
+            for key, _ in self.selector.select(SELECT_TIMEOUT_SECONDS):
+                last_received = time.monotonic()
+                self.read(key.data, last_received)
         self.ended.set()
 
     def read(self, stream: Stream, now: float) -> None:
-        """Take what has come on one stream."""
+        """Receive data of one stream and count its events."""
         data = stream.connection.recv(RECEIVE_BYTES)
         if not data:
             self.close(stream)
             return
         if not stream.arrivals:
             stream.head = stream.head[:200] + data[:200]
-        # A mark may lie across two pieces; the tail kept is shorter than a mark.
-        joined = stream.tail + data
-        stream.arrivals += [now] * joined.count(EVENT_MARK)
-        stream.tail = joined[-len(EVENT_MARK) + 1 :]
-        if DONE_MARK in joined:
+        # A marker may be split across two reads. The kept tail is shorter than a
+        # marker, so that none is counted twice.
+        data_with_tail = stream.tail + data
+        stream.arrivals += [now] * data_with_tail.count(EVENT_MARKER)
+        stream.tail = data_with_tail[-len(EVENT_MARKER) + 1 :]
+        if DONE_MARKER in data_with_tail:
             self.close(stream)
 
     def close(self, stream: Stream) -> None:
-        """End one stream."""
+        """Close one stream."""
         self.selector.unregister(stream.connection)
         stream.connection.close()
         stream.done = True
 
     def events(self) -> int:
-        """Count the events that have come so far."""
+        """Return the number of events received so far."""
         return sum(len(stream.arrivals) for stream in self.streams)
 
     def wait(self) -> None:
-        """Wait for the end of all streams; raise where one brought no event."""
+        """Wait for the end of all streams; raise if one had no event."""
         self.ended.wait()
-        silent = [stream for stream in self.streams if not stream.arrivals]
-        if silent:
-            head = silent[0].head[:200]
-            raise RuntimeError(f"{len(silent)} streams brought nothing: {head!r}")
+        empty = [stream for stream in self.streams if not stream.arrivals]
+        if empty:
+            head = empty[0].head[:200]
+            raise RuntimeError(f"{len(empty)} streams brought nothing: {head!r}")
 
     def first_seconds(self) -> list[float]:
-        """Return every stream's time to its first event."""
+        """Return the time to the first event of each stream."""
         return [stream.arrivals[0] - stream.sent_at for stream in self.streams]
 
     def gaps(self) -> list[float]:
-        """Return the times between events of one stream, of all streams."""
+        """Return the times between consecutive events of all streams."""
         return [
             later - earlier
             for stream in self.streams
--- a/benchmarks/slopes/own_path.py
+++ b/benchmarks/slopes/stream_overhead.py
@@ -1,4 +1,4 @@
-"""Measure what entry and sidecar add to asking the engine stand-ins directly."""
+"""Measure the overhead of entry and sidecar over direct streams from engines."""
 
 import tempfile
 import time
@@ -11,31 +11,36 @@
 from local_fleet import LocalFleet, Upstream, wait_until
 from slopes.daemons import MeasuredFleet
 from slopes.fitting import Experiment, Reading
-from slopes.processes import MEBIBYTE, PERCENT, Usage, pid_of, usage_of
+from slopes.processes import MEBIBYTE, PERCENT, Usage, pid_of, read_usage
 from slopes.stream_client import StreamClient
 
 STREAM_COUNTS = (1, 50, 300)
 ENGINES = 4
-"""So many that no engine or sidecar reaches its own limit of open attempts."""
+"""Enough that no engine or sidecar reaches its limit of open attempts."""
 TOKEN_SECONDS = 0.044
-OPENED_PER_SECOND = 21.0
-"""As many as each of 400 entries opens of 8,400 a second."""
+OPEN_RATE_PER_SECOND = 21.0
+"""Share of one of 400 entries of 8,400 streams per second."""
 WINDOW_SECONDS = 4.0
 MARGIN_SECONDS = 1.5
-"""Time for which streams go on past the window in which they are watched."""
+"""Time that streams go on after the measured window."""
 CALLER_KEY = "a-measured-customer-key"
 MODEL = "ledger-1"
 SERVICE = "assist-llm"
 ENTRY = "entry-1"
 MILLISECONDS = 1e3
 MICROSECONDS = 1e6
-SPEED = ("--decode-seconds-per-token", str(TOKEN_SECONDS), "--batch-slow-down", "0")
+ENGINE_OPTIONS = (
+    "--decode-seconds-per-token",
+    str(TOKEN_SECONDS),
+    "--batch-slow-down",
+    "0",
+)
 UPSTREAMS = tuple(
-    Upstream(f"runner-{n}", SERVICE, "model", (MODEL,), 4_000_000, True, SPEED)
+    Upstream(f"runner-{n}", SERVICE, "model", (MODEL,), 4_000_000, True, ENGINE_OPTIONS)
     for n in range(ENGINES)
 )
-ALONE = tuple(one._replace(name=f"alone-{one.name}") for one in UPSTREAMS)
-"""Engines without a sidecar, which would end attempts that it did not hand over."""
+DIRECT_ENGINES = tuple(one._replace(name=f"alone-{one.name}") for one in UPSTREAMS)
+"""Engines without a sidecar, as a sidecar ends attempts that it did not start."""
 CHANGE = {
     "put_models": [{"name": MODEL, "version": "1"}],
     "put_services": [{"name": SERVICE, "kind": "model", "models": [MODEL]}],
@@ -51,7 +56,7 @@
 
 
 class StreamFigures(NamedTuple):
-    """Be what one run of open streams showed; times in seconds."""
+    """Hold the results of one run of open streams; times in seconds."""
 
     first_p50: float
     first_p95: float
@@ -65,14 +70,14 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return the value that a share of all values do not exceed."""
+    """Return a quantile of some values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 @contextmanager
 def streaming_fleet() -> Iterator[LocalFleet]:
-    """Run one entry before several engines, and as many engines alone."""
+    """Run one entry with several engines, and as many engines without a sidecar."""
     with (
         tempfile.TemporaryDirectory() as folder,
         MeasuredFleet(Path(folder), 1) as fleet,
@@ -80,7 +85,7 @@
         fleet.start_entry(ENTRY)
         for upstream in UPSTREAMS:
             fleet.start_upstream(upstream)
-        for upstream in ALONE:
+        for upstream in DIRECT_ENGINES:
             fleet.start_standin(upstream)
         fleet.wait_ready()
         fleet.change("first", CHANGE)
@@ -89,18 +94,18 @@
 
 
 def usages(fleet: LocalFleet) -> dict[str, Usage]:
-    """Read the entry and all sidecars."""
+    """Read the usage of the entry and all sidecars."""
     sidecars = [f"{upstream.name}-sidecar" for upstream in UPSTREAMS]
     names = (ENTRY, *sidecars)
-    return {name: usage_of(pid_of(fleet, name)) for name in names}
+    return {name: read_usage(pid_of(fleet, name)) for name in names}
 
 
 def run_streams(fleet: LocalFleet, addresses: list[str], streams: int) -> StreamFigures:
-    """Open streams, watch them for a while and read them to their ends."""
+    """Open streams, measure a window with all open, and read them to the end."""
     client = StreamClient(addresses, MODEL, CALLER_KEY)
     before = usages(fleet)
-    seconds = streams / OPENED_PER_SECOND + WINDOW_SECONDS + MARGIN_SECONDS
-    client.start(streams, round(seconds / TOKEN_SECONDS), 1.0 / OPENED_PER_SECOND)
+    seconds = streams / OPEN_RATE_PER_SECOND + WINDOW_SECONDS + MARGIN_SECONDS
+    client.start(streams, round(seconds / TOKEN_SECONDS), 1.0 / OPEN_RATE_PER_SECOND)
     opened, first_events = usages(fleet), client.events()
     time.sleep(WINDOW_SECONDS)
     later, last_events = usages(fleet), client.events()
@@ -120,63 +125,65 @@
 
 
 def measure_streams(streams: int, repeats: int) -> list[list[Reading]]:
-    """Compare streams through the system to streams from the engines alone."""
+    """Compare streams through entry and sidecar to direct ones."""
     with streaming_fleet() as fleet:
-        engines = [fleet.upstream_addresses[upstream.name] for upstream in ALONE]
-        # The first runs fill pools and caches, which later streams find there.
+        engines = [
+            fleet.upstream_addresses[upstream.name] for upstream in DIRECT_ENGINES
+        ]
+        # Warm-up runs, which fill pools and caches.
         for addresses in (engines, [fleet.callers[ENTRY]]):
             run_streams(fleet, addresses, min(streams, ENGINES))
         rounds = []
         for _ in range(repeats):
-            direct = run_streams(fleet, engines, streams)
-            through = run_streams(fleet, [fleet.callers[ENTRY]], streams)
-            rounds.append(compared(direct, through, streams))
+            direct_run = run_streams(fleet, engines, streams)
+            proxied_run = run_streams(fleet, [fleet.callers[ENTRY]], streams)
+            rounds.append(compare(direct_run, proxied_run, streams))
     return rounds
 
 
-def compared(
-    direct: StreamFigures, through: StreamFigures, streams: int
+def compare(
+    direct_run: StreamFigures, proxied_run: StreamFigures, streams: int
 ) -> list[Reading]:
-    """Say what the own path added."""
+    """Return the readings of both runs, and their ratios."""
     readings = []
     for what in ("first", "gap"):
         for share in ("p50", "p95"):
             field = f"{what}_{share}"
-            alone, ours = getattr(direct, field), getattr(through, field)
+            direct, proxied = getattr(direct_run, field), getattr(proxied_run, field)
             name = f"{'first event' if what == 'first' else 'between events'} {share}"
             readings += [
-                Reading(f"{name}, engine alone", "ms", alone * MILLISECONDS),
-                Reading(f"{name}, through", "ms", ours * MILLISECONDS),
-                Reading(f"{name}, ratio", "", ours / alone),
+                Reading(f"{name}, engine alone", "ms", direct * MILLISECONDS),
+                Reading(f"{name}, through", "ms", proxied * MILLISECONDS),
+                Reading(f"{name}, ratio", "", proxied / direct),
             ]
     readings += [
-        Reading("events, engine alone", "1/s", direct.events_per_second),
-        Reading("events, through", "1/s", through.events_per_second),
+        Reading("events, engine alone", "1/s", direct_run.events_per_second),
+        Reading("events, through", "1/s", proxied_run.events_per_second),
     ]
-    return readings + process_readings(through, streams)
+    return readings + process_readings(proxied_run, streams)
 
 
 def process_readings(figures: StreamFigures, streams: int) -> list[Reading]:
-    """Say what entry and sidecars used."""
+    """Return the usage of entry and sidecars."""
     sidecars = [name for name in figures.before if name != ENTRY]
     readings = []
     for role, names in (("entry", [ENTRY]), ("sidecars", sidecars)):
-        spent = sum(processor_seconds(figures, name) for name in names)
+        used = sum(processor_seconds(figures, name) for name in names)
         seconds = figures.later[ENTRY].at - figures.opened[ENTRY].at
         events = figures.events_per_second * seconds
-        held = sum(figures.later[name].resident_bytes for name in names)
-        grown = held - sum(figures.before[name].resident_bytes for name in names)
+        resident = sum(figures.later[name].resident_bytes for name in names)
+        grown = resident - sum(figures.before[name].resident_bytes for name in names)
         readings += [
-            Reading(f"{role}: processor", "% of a core", spent / seconds * PERCENT),
-            Reading(f"{role}: per event", "us", spent / events * MICROSECONDS),
-            Reading(f"{role}: memory", "MiB", held / MEBIBYTE),
+            Reading(f"{role}: processor", "% of a core", used / seconds * PERCENT),
+            Reading(f"{role}: per event", "us", used / events * MICROSECONDS),
+            Reading(f"{role}: memory", "MiB", resident / MEBIBYTE),
             Reading(f"{role}: memory grown", "KiB a stream", grown / 1024 / streams),
         ]
     return readings
 
 
 def processor_seconds(figures: StreamFigures, name: str) -> float:
-    """Return what one process used while all streams were open."""
+    """Return the processor time that one process used while all streams were open."""
     last, first = figures.later[name], figures.opened[name]
     return last.processor_seconds - first.processor_seconds
 
--- a/benchmarks/slopes/letter.py
+++ b/benchmarks/slopes/target_size.py
@@ -1,4 +1,4 @@
-"""Hold the size that is aimed at, and what is assumed about it."""
+"""Define the target size of a fleet, and assumptions about it."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class Size(NamedTuple):
-    """Be the size to be carried, and the limits, as the users' letter gives them."""
+    """Hold the fleet size and the cost limits that users require."""
 
     entries: int = 400
     upstreams: int = 5_200
@@ -18,6 +18,7 @@
     failures_per_day: float = 34.0
     restarts_per_day: float = 1_800.0
     set_aside: int = 16
+    """Processes dedicated to replicas."""
     core_percent: float = 4.5
     memory_mebibytes: float = 244.1
     """256 MB."""
@@ -26,16 +27,16 @@
 
 
 class Assumptions(NamedTuple):
-    """Be what neither the letter nor a measurement gives."""
+    """Hold values that are neither required nor measured."""
 
     entries_announced_to: int = 4
     """Entries that each sidecar announces itself to."""
     claimed_share: float = 0.05
-    """Part of all requests that must run at most once."""
+    """Share of all requests that must run at most once."""
     usable_core_percent: float = 60.0
-    """Share of a core that a process set aside may use at the peak."""
+    """Share of a core that a dedicated process may use at the peak."""
     replicas_in_group: int = 5
     region_round_trip_seconds: float = 0.15
     claim_kept_seconds: float = CLAIM_RETENTION_SECONDS + DEFAULT_DEADLINE_SECONDS
     claims_memory_mebibytes: float = 150.0
-    """Of a process's limit, what is left for claims beside all else it holds."""
+    """Part of a process's memory limit that is left for claims."""
--- a/tests/cover/slopes/test_fitting.py
+++ b/tests/cover/slopes/test_fitting.py
@@ -5,8 +5,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from slopes.budget import BudgetLine, Measured, hearing_line, most_within
-from slopes.fitting import Experiment, Line, Point, Reading, fit_points, slopes_of
+from slopes.budget import BudgetLine, Measured, mailbox_traffic_line, max_size_within
+from slopes.fitting import Experiment, Line, Point, Reading, fit_points, measure_slopes
 
 NUMBERS = st.integers(-10_000, 10_000)
 SIZES = st.lists(st.integers(0, 5_000), min_size=2, max_size=6, unique=True)
@@ -19,8 +19,8 @@
     close = {"rel_tol": 1e-6, "abs_tol": 1e-3}
     assert math.isclose(fit.line.slope, slope, **close)
     assert math.isclose(fit.line.at(sizes[0]), points[0].values[0], **close)
-    assert math.isclose(fit.least_slope, fit.greatest_slope, **close)
-    assert fit.worst_miss < 1e-6
+    assert math.isclose(fit.min_slope, fit.max_slope, **close)
+    assert fit.max_residual < 1e-6
 
 
 @given(SIZES, NUMBERS, NUMBERS, st.integers(20_000, 10**9))
@@ -35,14 +35,14 @@
         points.append(Point(size, (value, disturbed, value)))
     fit = fit_points(points)
     assert math.isclose(fit.line.slope, slope, rel_tol=1e-6, abs_tol=1e-3)
-    assert fit.greatest_slope > fit.line.slope
+    assert fit.max_slope > fit.line.slope
 
 
 def test_a_single_size_gives_a_level_line():
     def measure(size, repeats):
         return [[Reading("cost", "us", 7.0 + n)] for n in range(repeats)]
 
-    (slope,) = slopes_of(Experiment("e", "replica", (3,), measure), 3)
+    (slope,) = measure_slopes(Experiment("e", "replica", (3,), measure), 3)
     assert slope.fit.line == Line(8.0, 0.0)
     assert slope.points == (Point(3, (7.0, 8.0, 9.0)),)
 
@@ -50,8 +50,8 @@
 @given(st.integers(1, 1_000), st.floats(0.01, 100), st.floats(0, 1_000))
 def test_the_largest_size_within_a_limit_just_meets_it(size, slope, intercept):
     line = Line(intercept, slope)
-    assert math.isclose(most_within(line, line.at(size)), size, rel_tol=1e-6)
-    assert most_within(line, intercept - 1.0) == 0.0
+    assert math.isclose(max_size_within(line, line.at(size)), size, rel_tol=1e-6)
+    assert max_size_within(line, intercept - 1.0) == 0.0
 
 
 def test_heartbeats_that_no_counter_shows_as_sent_count_as_carried():
@@ -77,7 +77,7 @@
         "messages": {"slopes": [one("heartbeat size", 100.0)]},
     }
     measured = Measured({"experiments": experiments})
-    assert hearing_line(measured, "upstreams") == Line(0.0, 1.4)
+    assert mailbox_traffic_line(measured, "upstreams") == Line(0.0, 1.4)
 
 
 @pytest.mark.parametrize(
