--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -158,7 +158,7 @@
             replica.start()
 
     def leader(self) -> ReplicaThread:
-        """Wait for a leader that has committed its whole log."""
+        """Wait for a leader that has committed an entry of its term."""
         while True:
             for replica in self.replicas.values():
                 status = replica.replica.status()
@@ -241,7 +241,10 @@
 
 
 def measure_fail_over() -> dict:
-    """Measure fail-over in simulated clusters, where a message takes one tick."""
+    """Crash the leaders of simulated clusters, and measure the fail-over.
+
+    Each message takes one tick.
+    """
     times = []
     for seed in range(FAIL_OVER_SEEDS):
         cluster = Cluster.of_size(3, seed)
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -1,8 +1,8 @@
-"""Measure what callers cost: processor time per request and piece, memory per stream.
+"""Measure the callers' server: processor time per request and piece, memory per stream.
 
-The server runs in this process with a handler that does nothing but write; a second
-process is the callers. Processor time is this process's own. Threads that only wake
-and write nothing are measured too, since a stream's thread wakes for each piece.
+The server runs in this process with a handler that only writes; the callers run in a
+second process, whose processor time is not counted. Threads that wake without writing
+are measured too, as a stream's thread wakes for each piece.
 
     python benchmarks/callers.py --streams 1 50 300 --rounds 3 > callers.json
 """
@@ -35,18 +35,18 @@
     b"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
 ) % (len(BODY), BODY)
 END = b"0\r\n\r\n"
-PACE_SECONDS = 0.04
+PIECE_INTERVAL_SECONDS = 0.04
 PIECES = 100
-LEAST_REQUESTS = 40
-MOST_REQUESTS = 400
-ALL_REQUESTS = 2000
+MIN_REQUESTS = 40
+MAX_REQUESTS = 400
+TOTAL_REQUESTS = 2000
 MICROSECONDS = 1e6
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 
 
 @dataclass
 class PacedHandler:
-    """Hold all streams until they are open, then write pieces at a pace."""
+    """Wait until all streams are open, then write pieces at a constant rate."""
 
     streams: int
     pieces: int
@@ -55,49 +55,49 @@
     begin: threading.Event = field(default_factory=threading.Event)
 
     def answer(self, _call, writer) -> None:
-        """Write one stream."""
+        """Answer one call with a stream of pieces."""
         writer.head(200, (("Content-Type", "text/event-stream"),))
         self.opened.release()
         self.begin.wait()
         for _ in range(self.pieces):
-            time.sleep(PACE_SECONDS)
+            time.sleep(PIECE_INTERVAL_SECONDS)
             if self.writes:
                 writer.chunk(PIECE)
         writer.end()
 
     def models(self, _customer_key: str) -> tuple:
-        """List nothing."""
+        """Return no models."""
         return ()
 
 
-class StreamsMeasured(NamedTuple):
-    """Hold one run of open streams."""
+class StreamCosts(NamedTuple):
+    """Hold the costs of one run of open streams."""
 
     cpu_microseconds_per_piece: float
     kilobytes_per_stream: float
 
 
 def cpu_seconds() -> float:
-    """Read this process's processor time, in user and system mode, of all threads."""
+    """Return this process's user and system time, of all threads."""
     return time.process_time()
 
 
 def resident_kilobytes() -> int:
-    """Read how much memory this process holds."""
+    """Return the resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
     return pages * resource.getpagesize() // 1024
 
 
 def start_callers(server: CallersServer, connections: int, requests: int):
-    """Start the process that calls."""
+    """Start the process that runs the callers."""
     command = [sys.executable, __file__, "--be-callers", server.address]
     command += [str(connections), str(requests)]
     return subprocess.Popen(command)
 
 
-def measure_streams(streams: int, writes: bool) -> StreamsMeasured:
-    """Measure pieces on streams that are open together."""
+def measure_streams(streams: int, writes: bool) -> StreamCosts:
+    """Measure the pieces of a number of concurrent streams."""
     handler = PacedHandler(streams, PIECES, writes)
     config = CallersServerConfig("127.0.0.1:0", max_open_calls=streams + 8)
     server = CallersServer.from_config(config, handler)
@@ -105,34 +105,36 @@
     before = resident_kilobytes()
     callers = start_callers(server, streams, 1)
     for _ in range(streams):
-        handler.opened.acquire(timeout=PATIENCE_SECONDS)
-    grown = resident_kilobytes() - before
+        handler.opened.acquire(timeout=TIMEOUT_SECONDS)
+    memory_growth = resident_kilobytes() - before
     cpu = cpu_seconds()
     handler.begin.set()
-    callers.wait(PATIENCE_SECONDS)
+    callers.wait(TIMEOUT_SECONDS)
     cpu = cpu_seconds() - cpu
     server.stop(1.0)
     per_piece = cpu / (streams * PIECES) * MICROSECONDS
-    return StreamsMeasured(per_piece, grown / streams)
+    return StreamCosts(per_piece, memory_growth / streams)
 
 
 def measure_requests(connections: int) -> float:
-    """Measure whole requests on kept connections, in microseconds of processor."""
+    """Return the processor time of a request on persistent connections, in us."""
     handler = PacedHandler(connections, 0, writes=False)
     handler.begin.set()
     config = CallersServerConfig("127.0.0.1:0", max_open_calls=connections + 8)
     server = CallersServer.from_config(config, handler)
     server.start()
     cpu = cpu_seconds()
-    each = min(max(ALL_REQUESTS // connections, LEAST_REQUESTS), MOST_REQUESTS)
-    start_callers(server, connections, each).wait(PATIENCE_SECONDS)
+    requests_per_connection = min(
+        max(TOTAL_REQUESTS // connections, MIN_REQUESTS), MAX_REQUESTS
+    )
+    start_callers(server, connections, requests_per_connection).wait(TIMEOUT_SECONDS)
     cpu = cpu_seconds() - cpu
     server.stop(1.0)
-    return cpu / (connections * each) * MICROSECONDS
+    return cpu / (connections * requests_per_connection) * MICROSECONDS
 
 
-def be_callers(address: str, connections: int, requests: int) -> None:
-    """Send requests on all connections at once and read every answer to its end."""
+def run_callers(address: str, connections: int, requests: int) -> None:
+    """Send requests on all connections concurrently, and read every answer."""
     host, port = address.split(":")
     selector = selectors.DefaultSelector()
     left: dict[socket.socket, int] = {}
@@ -159,8 +161,8 @@
                     connection.sendall(REQUEST)
 
 
-def spread(values: list[float]) -> dict[str, float]:
-    """Give the middle, the least and the most."""
+def summarize(values: list[float]) -> dict[str, float]:
+    """Return the median, minimum and maximum."""
     return {
         "median": round(statistics.median(values), 1),
         "least": round(min(values), 1),
@@ -170,17 +172,21 @@
 
 def measure(streams: int, rounds: int) -> dict:
     """Measure one number of open streams."""
-    writing = [measure_streams(streams, True) for _ in range(rounds)]
-    waking = [measure_streams(streams, False) for _ in range(rounds)]
+    writing_runs = [measure_streams(streams, True) for _ in range(rounds)]
+    waking_runs = [measure_streams(streams, False) for _ in range(rounds)]
     requests = [measure_requests(streams) for _ in range(rounds)]
     return {
         "open_streams": streams,
-        "cpu_us_per_piece": spread([run.cpu_microseconds_per_piece for run in writing]),
-        "cpu_us_per_wake_alone": spread(
-            [run.cpu_microseconds_per_piece for run in waking]
+        "cpu_us_per_piece": summarize(
+            [run.cpu_microseconds_per_piece for run in writing_runs]
+        ),
+        "cpu_us_per_wake_alone": summarize(
+            [run.cpu_microseconds_per_piece for run in waking_runs]
+        ),
+        "cpu_us_per_request": summarize(requests),
+        "kb_per_open_stream": summarize(
+            [run.kilobytes_per_stream for run in writing_runs]
         ),
-        "cpu_us_per_request": spread(requests),
-        "kb_per_open_stream": spread([run.kilobytes_per_stream for run in writing]),
     }
 
 
@@ -193,7 +199,7 @@
     arguments = parser.parse_args()
     if arguments.be_callers:
         address, connections, requests = arguments.be_callers
-        be_callers(address, int(connections), int(requests))
+        run_callers(address, int(connections), int(requests))
         return
     rows = [measure(streams, arguments.rounds) for streams in arguments.streams]
     print(json.dumps({"piece_bytes": len(PIECE), "rows": rows}, indent=2))
--- a/benchmarks/configuration_reading.py
+++ b/benchmarks/configuration_reading.py
@@ -1,8 +1,8 @@
 """Measure what a change of one route costs a gateway, by the number of routes.
 
-`read_whole_ms` is what it cost before: decoded, checked and digested as a whole, 44 ms
-with 4,450 routes. `read_changed_ms` is what it costs now, 7 ms: unpacked, decoded where
-it is new, and indexed.
+`read_whole_ms` is the time to decode, check and digest the whole configuration, 44 ms
+with 4,450 routes. `read_changed_ms` is the time that a gateway takes, 7 ms:
+decompress it, decode only the new parts, and index it.
 """
 
 import json
@@ -25,8 +25,8 @@
 ROUNDS = 7
 
 
-def least_milliseconds(work: Callable[[], object]) -> float:
-    """Return the shortest time of some rounds, in milliseconds."""
+def min_milliseconds(work: Callable[[], object]) -> float:
+    """Return the minimum time over the rounds, in milliseconds."""
     times = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
@@ -35,38 +35,38 @@
     return min(times) * 1e3
 
 
-def row_of(routes: int) -> dict[str, float]:
-    """Measure one size: bytes, and milliseconds for a version of one route more."""
+def measure(routes: int) -> dict[str, float]:
+    """Measure one size: bytes, and the time to apply a version with one more route."""
     before, after = many_routes(7, routes - 1), many_routes(9, routes)
 
-    def accepted() -> None:
+    def apply() -> None:
         reader = ConfigurationReader()
         reader.read_accepted(before)
         began = time.perf_counter()
         configuration = reader.read_accepted(
-            decompress_configuration(small).ok_value
+            decompress_configuration(compressed).ok_value
         ).ok_value
         RouteTable.from_configuration(configuration)
-        in_force.append(time.perf_counter() - began)
+        apply_seconds.append(time.perf_counter() - began)
 
-    small = compress_configuration(after)
-    in_force: list[float] = []
+    compressed = compress_configuration(after)
+    apply_seconds: list[float] = []
     for _ in range(ROUNDS):
-        accepted()
+        apply()
     return {
         "routes": routes,
         "written_kb": len(after) / 1e3,
-        "packed_kb": len(small) / 1e3,
-        "read_whole_ms": least_milliseconds(lambda: ConfigurationReader().read(after)),
-        "read_changed_ms": min(in_force) * 1e3,
-        "pack_ms": least_milliseconds(lambda: compress_configuration(after)),
+        "packed_kb": len(compressed) / 1e3,
+        "read_whole_ms": min_milliseconds(lambda: ConfigurationReader().read(after)),
+        "read_changed_ms": min(apply_seconds) * 1e3,
+        "pack_ms": min_milliseconds(lambda: compress_configuration(after)),
     }
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print a JSON line for each size."""
     for routes in ROUTES:
-        row = row_of(routes)
+        row = measure(routes)
         print(json.dumps({name: round(value, 2) for name, value in row.items()}))
 
 
--- a/benchmarks/configuration_spreading.py
+++ b/benchmarks/configuration_spreading.py
@@ -1,8 +1,8 @@
 """Measure how a change reaches every gateway, by routes, gateways and links.
 
-On a clock of its own, with the gateways' own parts: processor time counts for nothing.
-Before, a change of 1,600 routes at 24 gateways took 2.7 s on links of 0.4 MB/s and
-24.1 MB; now 0.2 s and 2.0 MB, two versions in a row each time.
+The real parts of the gateways run on a simulated clock, on which processor time is
+free. Distributing two versions in a row of 1,600 routes to 24 gateways on links of
+0.4 MB/s took 0.2 s and 2.0 MB; an earlier version took 2.7 s and 24.1 MB.
 """
 
 import json
@@ -24,39 +24,39 @@
 SECONDS = 20.0
 
 
-def row_of(routes: int, gateways: int, link_mbit: int) -> dict[str, float]:
-    """Measure one size: seconds to the last gateway, and what each one receives."""
+def measure(routes: int, gateways: int, link_mbit: int) -> dict[str, float]:
+    """Measure one size: seconds to the last gateway, and bytes received by each."""
     with pytest.MonkeyPatch.context() as patch:
         rate = link_mbit * 1e6 / 8
-        world = SlowLinkFleet(patch, REPLICAS, gateways - REPLICAS, rate)
-        world.run(3.0)
-        world.commit(accepted(many_routes(3, routes - 1)))
-        world.run(10.0)
-        began, before = world.clock.now, world.received()
-        world.commit(accepted(many_routes(7, routes)))
-        world.run(SECONDS)
-        with_change, before = world.received() - before, world.received()
-        # What they tell each other without any change is not the change's cost.
-        world.run(SECONDS)
-        spent = with_change - (world.received() - before)
+        fleet = SlowLinkFleet(patch, REPLICAS, gateways - REPLICAS, rate)
+        fleet.run(3.0)
+        fleet.commit(accepted(many_routes(3, routes - 1)))
+        fleet.run(10.0)
+        began, before = fleet.clock.now, fleet.received()
+        fleet.commit(accepted(many_routes(7, routes)))
+        fleet.run(SECONDS)
+        with_change, before = fleet.received() - before, fleet.received()
+        # Idle traffic is measured apart and subtracted.
+        fleet.run(SECONDS)
+        spent = with_change - (fleet.received() - before)
         return {
             "link_mbit": link_mbit,
             "gateways": gateways,
             "routes": routes,
-            "seconds": round(world.last_in_force(7) - began, 3),
+            "seconds": round(fleet.last_in_force(7) - began, 3),
             "kb_each": round(spent / (gateways - REPLICAS) / 1e3, 1),
-            "most_copies": max(world.copies[7].values()),
+            "most_copies": max(fleet.copies[7].values()),
         }
 
 
 def main() -> None:
-    """Print a line for each size."""
-    quiet = structlog.make_filtering_bound_logger(logging.CRITICAL)
-    structlog.configure(wrapper_class=quiet)
+    """Print a JSON line for each size."""
+    quiet_logger = structlog.make_filtering_bound_logger(logging.CRITICAL)
+    structlog.configure(wrapper_class=quiet_logger)
     for link_mbit in LINKS_MBIT:
         for gateways in GATEWAYS:
             for routes in ROUTES:
-                print(json.dumps(row_of(routes, gateways, link_mbit)), flush=True)
+                print(json.dumps(measure(routes, gateways, link_mbit)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -1,8 +1,8 @@
-"""Measure changes, their spreading and fail-over on real daemons.
+"""Measure changes, their propagation and fail-over on real daemons.
 
-Run as `python benchmarks/control_plane.py`; the table goes to standard output and the
-figures to benchmarks/results/control_plane.json. Times are wall-clock seconds on a
-machine that may be busy, so the load average is part of the result.
+Run `python benchmarks/control_plane.py`; the results go to standard output and to
+benchmarks/results/control_plane.json. Times are wall-clock seconds on a machine that
+may be busy, so the results include the load average.
 """
 
 import json
@@ -38,7 +38,7 @@
 
 
 class Summary(NamedTuple):
-    """Describe a sample of times, in seconds."""
+    """Summarize measured times, in seconds."""
 
     runs: int
     median: float
@@ -46,21 +46,21 @@
     worst: float
 
 
-def summarise(seconds: list[float]) -> Summary:
-    """Describe some times."""
+def summarize(seconds: list[float]) -> Summary:
+    """Summarize some times."""
     ordered = sorted(seconds)
     p95 = ordered[min(len(ordered) - 1, int(0.95 * len(ordered)))]
     return Summary(len(ordered), statistics.median(ordered), p95, ordered[-1])
 
 
 def poll(condition: Callable[[], bool]) -> None:
-    """Poll more often than the starter does."""
+    """Wait for a condition, polling more often than `wait_until`."""
     while not condition():
         time.sleep(POLL_SECONDS)
 
 
-def weigh(weight: int) -> dict:
-    """Return a change of one customer's weight."""
+def weight_change(weight: int) -> dict:
+    """Build a change of one customer's weight."""
     customer = {
         "name": "mill",
         "services": ["scribe"],
@@ -70,35 +70,39 @@
     return {"put_customers": [customer]}
 
 
-def everywhere(fleet: LocalFleet, wanted: int) -> bool:
-    """Tell whether all processes show a version, as the first entry knows it."""
+def is_applied_everywhere(fleet: LocalFleet, wanted: int) -> bool:
+    """Return whether the first entry sees a version at all processes."""
     instances = state(fleet, fleet.entry_names[0])["instances"]
     return all(one["configuration_version"] >= wanted for one in instances)
 
 
 def measure_changes(fleet: LocalFleet) -> tuple[Summary, Summary, Summary]:
-    """Measure plan and confirm, then in force at all entries, then at all processes."""
-    confirms, entries, processes = [], [], []
+    """Measure the time to confirm changes, then to all entries and all processes."""
+    confirm_seconds, entry_seconds, process_seconds = [], [], []
     for number in range(CHANGES):
-        begun = time.monotonic()
-        answer = fleet.change(f"change-{number}", weigh(number + 1))
+        began = time.monotonic()
+        answer = fleet.change(f"change-{number}", weight_change(number + 1))
         confirmed = time.monotonic()
         wanted = answer["configuration_version"]
         for name in fleet.entry_names:
             poll(lambda name=name, wanted=wanted: version(fleet, name) >= wanted)
-        entries.append(time.monotonic() - confirmed)
-        poll(lambda wanted=wanted: everywhere(fleet, wanted))
-        processes.append(time.monotonic() - confirmed)
-        confirms.append(confirmed - begun)
-    return summarise(confirms), summarise(entries), summarise(processes)
+        entry_seconds.append(time.monotonic() - confirmed)
+        poll(lambda wanted=wanted: is_applied_everywhere(fleet, wanted))
+        process_seconds.append(time.monotonic() - confirmed)
+        confirm_seconds.append(confirmed - began)
+    return (
+        summarize(confirm_seconds),
+        summarize(entry_seconds),
+        summarize(process_seconds),
+    )
 
 
 def accepts_change(fleet: LocalFleet, name: str, number: int) -> bool:
-    """Try a change through one entry."""
+    """Try a change at one entry, and return whether it was accepted."""
     document = {
         "change_id": f"after-{number}",
         "based_on": number,
-        "change": weigh(number % 100 + 1),
+        "change": weight_change(number % 100 + 1),
     }
     try:
         return fleet.try_change_at(name, document) is not None
@@ -107,52 +111,52 @@
 
 
 def measure_fail_over(fleet: LocalFleet) -> Summary:
-    """Measure from the leader's kill to the next change in force at another entry."""
+    """Measure from killing the leader to the next accepted change at another entry."""
     seconds = []
     for _ in range(FAIL_OVERS):
         killed = leader(fleet)
         other = next(name for name in fleet.entry_names if name != killed)
         base = version(fleet, other)
         fleet.kill(killed)
-        begun = time.monotonic()
+        began = time.monotonic()
         poll(lambda other=other, base=base: accepts_change(fleet, other, base))
-        seconds.append(time.monotonic() - begun)
+        seconds.append(time.monotonic() - began)
         fleet.start_entry(killed)
         wait_until(lambda killed=killed: fleet.is_ready(killed), "its return")
-    return summarise(seconds)
+    return summarize(seconds)
 
 
 def measure_catch_up(fleet: LocalFleet) -> float:
-    """Measure an entry's start to readiness after many changes passed it by."""
-    late = fleet.entry_names[-1]
-    fleet.kill(late)
+    """Measure an entry's start until it is ready and up to date after many changes."""
+    restarted = fleet.entry_names[-1]
+    fleet.kill(restarted)
     for number in range(CATCH_UP_CHANGES):
-        fleet.change(f"passed-by-{number}", weigh(number + 1))
+        fleet.change(f"passed-by-{number}", weight_change(number + 1))
     wanted = version(fleet, fleet.entry_names[0])
-    begun = time.monotonic()
-    fleet.start_entry(late)
-    wait_until(lambda: fleet.is_ready(late), "its return")
-    poll(lambda: version(fleet, late) >= wanted)
-    return time.monotonic() - begun
+    began = time.monotonic()
+    fleet.start_entry(restarted)
+    wait_until(lambda: fleet.is_ready(restarted), "its return")
+    poll(lambda: version(fleet, restarted) >= wanted)
+    return time.monotonic() - began
 
 
 def main() -> int:
-    """Measure everything once, print and store it."""
+    """Run all measurements, and print and store the results."""
     with (
         tempfile.TemporaryDirectory() as folder,
         LocalFleet(Path(folder) / "fleet") as fleet,
     ):
         start_fleet(fleet, (*ENGINES, PLAIN))
         before = os.getloadavg()
-        confirm, entries, processes = measure_changes(fleet)
+        confirm, entry_seconds, process_seconds = measure_changes(fleet)
         fail_over = measure_fail_over(fleet)
         catch_up = measure_catch_up(fleet)
     result = {
         "load_average_before": before,
         "load_average_after": os.getloadavg(),
         "plan_and_confirm": confirm._asdict(),
-        "in_force_at_all_entries": entries._asdict(),
-        "in_force_at_all_processes": processes._asdict(),
+        "in_force_at_all_entries": entry_seconds._asdict(),
+        "in_force_at_all_processes": process_seconds._asdict(),
         "fail_over_to_next_change": fail_over._asdict(),
         "start_after_changes_passed_by": {
             "changes": CATCH_UP_CHANGES,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""Measure what messages, heartbeats and streamed frames cost our processes.
+"""Measure the processor cost of messages, heartbeats and streamed frames.
 
 Run `python benchmarks/fleet.py [--seconds 5] [--out FILE]`; the result is JSON.
 Sender and receiver are separate processes, each measured by its processor time.
@@ -19,7 +19,7 @@
 
 
 def measure(seconds: float) -> dict[str, object]:
-    """Run every measurement, one after the other."""
+    """Run all measurements in turn."""
     return {
         "python": platform.python_version(),
         "seconds_each": seconds,
@@ -30,7 +30,7 @@
 
 
 def main() -> None:
-    """Measure and write the result."""
+    """Run the measurements and write the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--out", type=Path)
--- a/benchmarks/fleet_mailboxes.py
+++ b/benchmarks/fleet_mailboxes.py
@@ -1,9 +1,9 @@
-"""Measure mailboxes: messages by size, and what an idle peer costs."""
+"""Measure mailboxes: messages by size, and the cost of idle peers."""
 
 import sys
 from time import monotonic, process_time, sleep
 
-from fleet_partner import answer_questions, partner, resident_kilobytes
+from helper_process import helper_process, resident_kilobytes, serve_queries
 
 from cowslipshelf_core.messages import Withdraw
 from cowslipshelf_fleet.mailboxes import Mailbox, MailboxConfig, Received
@@ -11,12 +11,12 @@
 HEARTBEAT_SECONDS = 1.0
 SILENCE_SECONDS = 5.0
 SETTLE_SECONDS = 2.0
-IN_FLIGHT_BYTES = 4_000_000
+MAX_IN_FLIGHT_BYTES = 4_000_000
 MICROSECONDS = 1e6
 
 
-def started(name: str) -> Mailbox:
-    """Start a mailbox that counts what it gets."""
+def start_mailbox(name: str) -> Mailbox:
+    """Start a mailbox that only counts messages."""
     config = MailboxConfig(
         instance=name,
         epoch=name,
@@ -33,32 +33,36 @@
 
 
 def ignore(_: Received) -> None:
-    """Do nothing with a message; the mailbox has counted it."""
+    """Drop a message; the mailbox has counted it."""
 
 
 def measure_messages(size: int, seconds: float) -> dict[str, object]:
-    """Send messages of one size as fast as the receiver takes them."""
+    """Send messages of one size as fast as the receiver handles them."""
     message = Withdraw("u" * size, "e")
-    with partner(__file__, "1") as other:
-        address = other.ask("addresses")["addresses"][0]
-        sender = started("sender")
+    with helper_process(__file__, "1") as helper:
+        address = helper.query("addresses")["addresses"][0]
+        sender = start_mailbox("sender")
         sender.send(address, message)
         sleep(SETTLE_SECONDS)
-        before, cpu, began = other.ask("state"), process_time(), monotonic()
+        before, cpu, began = helper.query("state"), process_time(), monotonic()
         sent_before = sender.counters
         while monotonic() - began < seconds:
             send_within_window(sender, address, message)
-        cpu, took, after = process_time() - cpu, monotonic() - began, other.ask("state")
+        cpu, took, after = (
+            process_time() - cpu,
+            monotonic() - began,
+            helper.query("state"),
+        )
         counters = sender.counters
         sender.stop()
     sent = counters.sent - sent_before.sent
-    got = after["received"] - before["received"]
+    received = after["received"] - before["received"]
     return {
         "message_bytes": size,
-        "messages_per_second": round(got / took),
+        "messages_per_second": round(received / took),
         "sender_cpu_microseconds": round(cpu / sent * MICROSECONDS, 1),
         "receiver_cpu_microseconds": round(
-            (after["cpu"] - before["cpu"]) / got * MICROSECONDS, 1
+            (after["cpu"] - before["cpu"]) / received * MICROSECONDS, 1
         ),
         "envelope_bytes": round((counters.sent_bytes - sent_before.sent_bytes) / sent),
         "dropped": counters.dropped_no_room - sent_before.dropped_no_room,
@@ -66,19 +70,19 @@
 
 
 def send_within_window(sender: Mailbox, address: str, message: Withdraw) -> None:
-    """Send one message, or wait a little where too much is on its way."""
+    """Send one message, or sleep if too many bytes are in flight."""
     link = sender.peer_at(address).link
-    if link.sent_bytes - link.acknowledged_bytes > IN_FLIGHT_BYTES:
+    if link.sent_bytes - link.acknowledged_bytes > MAX_IN_FLIGHT_BYTES:
         sleep(0.0005)
         return
     sender.send(address, message)
 
 
 def measure_idle_peers(count: int, seconds: float) -> dict[str, object]:
-    """Keep connections to many peers that have nothing to say."""
-    with partner(__file__, str(max(count, 1))) as other:
-        addresses = other.ask("addresses")["addresses"][:count]
-        sender = started("sender")
+    """Measure the cost of connections to a number of idle peers."""
+    with helper_process(__file__, str(max(count, 1))) as helper:
+        addresses = helper.query("addresses")["addresses"][:count]
+        sender = start_mailbox("sender")
         memory = resident_kilobytes()
         for address in addresses:
             sender.send(address, Withdraw("u", "e"))
@@ -102,15 +106,17 @@
 
 
 def main() -> None:
-    """Be the partner: a number of mailboxes that receive."""
-    mailboxes = [started(f"receiver {number}") for number in range(int(sys.argv[1]))]
+    """Run the helper process: a number of receiving mailboxes."""
+    mailboxes = [
+        start_mailbox(f"receiver {number}") for number in range(int(sys.argv[1]))
+    ]
 
     def state() -> dict[str, object]:
-        received = sum(mailbox.counters.received for mailbox in mailboxes)
-        return {"received": received, "cpu": process_time()}
+        total_received = sum(mailbox.counters.received for mailbox in mailboxes)
+        return {"received": total_received, "cpu": process_time()}
 
     addresses = [mailbox.address for mailbox in mailboxes]
-    answer_questions({"addresses": lambda: {"addresses": addresses}, "state": state})
+    serve_queries({"addresses": lambda: {"addresses": addresses}, "state": state})
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_streams.py
+++ b/benchmarks/fleet_streams.py
@@ -3,7 +3,7 @@
 from threading import Thread
 from time import monotonic, process_time, sleep
 
-from fleet_partner import answer_questions, partner, resident_kilobytes
+from helper_process import helper_process, resident_kilobytes, serve_queries
 
 from cowslipshelf_core.messages import AttemptRefused, StreamChunk, StreamEnd
 from cowslipshelf_core.upstream import HandOver
@@ -24,23 +24,23 @@
 
 
 class SteadyHandler:
-    """Write a frame to every stream, one token interval after the other."""
+    """Write a frame to every stream in each token interval."""
 
     def __init__(self) -> None:
         self.buffers: list[FrameBuffer] = []
         self.written = 0
         self.stopping = False
-        self.writing = Thread(target=self.write_all, daemon=True)
-        self.writing.start()
+        self.thread = Thread(target=self.write_all, daemon=True)
+        self.thread.start()
 
     def hand_over(self, _: HandOver) -> AttemptRefused | FrameBuffer:
-        """Begin one more stream."""
+        """Start a stream."""
         buffer = FrameBuffer()
         self.buffers.append(buffer)
         return buffer
 
     def write_all(self) -> None:
-        """Write frames; streams take turns within the interval."""
+        """Write frames, spaced evenly over the streams within an interval."""
         while not self.stopping:
             began = monotonic()
             streams = list(self.buffers)
@@ -52,15 +52,15 @@
             sleep(0.0 if streams else TOKEN_SECONDS)
 
     def end_all(self) -> dict[str, object]:
-        """End every stream whole."""
+        """Stop writing and end every stream."""
         self.stopping = True
-        self.writing.join()
+        self.thread.join()
         for buffer in self.buffers:
             buffer.append(StreamEnd(buffer.last_sequence))
         return {}
 
     def state(self) -> dict[str, object]:
-        """Tell how much was written, and at which cost."""
+        """Return the frames written, processor time and memory."""
         return {
             "written": self.written,
             "cpu": process_time(),
@@ -78,28 +78,28 @@
         self.thread.start()
 
     def read(self) -> None:
-        """Count until the stream ends."""
+        """Count chunks until the stream ends."""
         for frame in self.stream:
             self.chunks += isinstance(frame, StreamChunk)
 
 
 def measure_streams(count: int, seconds: float) -> dict[str, object]:
-    """Read a number of streams at the pace of token generation."""
+    """Read a number of streams at the rate of token generation."""
     client = AttemptsClient.from_config(AttemptsClientConfig(5.0, 30.0, KEY))
-    with partner(__file__) as other:
-        address = other.ask("address")["address"]
-        own_memory, memory = resident_kilobytes(), other.ask("state")["memory"]
+    with helper_process(__file__) as helper:
+        address = helper.query("address")["address"]
+        own_memory, memory = resident_kilobytes(), helper.query("state")["memory"]
         readers = [
             CountingReader(client.hand_over(address, hand_over(number)))
             for number in range(count)
         ]
         sleep(SETTLE_SECONDS)
         own_memory = resident_kilobytes() - own_memory
-        before, read, cpu = other.ask("state"), total(readers), process_time()
+        before, read, cpu = helper.query("state"), total_chunks(readers), process_time()
         sleep(seconds)
-        read, cpu = total(readers) - read, process_time() - cpu
-        after = other.ask("state")
-        other.ask("end")
+        read, cpu = total_chunks(readers) - read, process_time() - cpu
+        after = helper.query("state")
+        helper.query("end")
         for reader in readers:
             reader.thread.join()
     written = after["written"] - before["written"]
@@ -115,13 +115,13 @@
     }
 
 
-def total(readers: list[CountingReader]) -> int:
-    """Return how many chunks were read."""
+def total_chunks(readers: list[CountingReader]) -> int:
+    """Return the number of chunks read."""
     return sum(reader.chunks for reader in readers)
 
 
 def hand_over(number: int) -> HandOver:
-    """Return a small request."""
+    """Build a small request."""
     return HandOver(
         request_id=f"request {number}",
         attempt_id=f"attempt {number}",
@@ -146,12 +146,12 @@
 
 
 def main() -> None:
-    """Be the partner: a server of steady streams."""
+    """Run the helper process: a server of steady streams."""
     handler = SteadyHandler()
     config = AttemptsServerConfig("127.0.0.1:0", KEY, heartbeat_seconds=1.0)
     server = AttemptsServer.from_config(config, handler)
     server.start()
-    answer_questions(
+    serve_queries(
         {
             "address": lambda: {"address": server.address},
             "state": handler.state,
--- a/benchmarks/real_path_entry.py
+++ b/benchmarks/real_path_entry.py
@@ -1,6 +1,6 @@
-"""Run an entry daemon whose choice of the upstream is replaced by a baseline's.
+"""Run an entry daemon with a baseline policy in place of the router.
 
-All else is the product's own path. Only the measurement starts this.
+The rest of the daemon is unchanged. Only `real_path.py` starts this.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 def main() -> NoReturn:
-    """Run the entry, and end the process with its exit code."""
+    """Run the entry, and exit with its exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--choice", choices=sorted(BASELINES), required=True)
     parser.add_argument("--settings", type=Path, required=True)
--- a/benchmarks/real_path_load.py
+++ b/benchmarks/real_path_load.py
@@ -1,4 +1,4 @@
-"""Offer a seeded load to the entries of one choice and sum up what came of it."""
+"""Send a seeded load to the entries of one choice, and summarize the outcomes."""
 
 import os
 import threading
@@ -17,7 +17,7 @@
     PREFILL_SECONDS_PER_TOKEN_SQUARED,
     STEP_SECONDS,
     TIME_SCALE,
-    ComparedFleet,
+    ComparisonFleet,
     customer_key,
 )
 
@@ -38,34 +38,34 @@
     summarize,
 )
 
-SHORTEST_TOKENS = 1_000
+MIN_PROMPT_TOKENS = 1_000
 SHORT_TOKENS = 8_000
 LONG_TOKENS = 100_000
-LONGEST_TOKENS = 1_000_000
+MAX_PROMPT_TOKENS = 1_000_000
 LONG_SHARE = 0.02
 OUTPUT_TOKENS = 48
-SECONDS_PER_FURTHER_DECODER = 0.0003
+STEP_SECONDS_PER_DECODE = 0.0003
 SHORT_DEADLINE_SECONDS = 5.0
 LONG_DEADLINE_SECONDS = 20.0
-MOST_CONCURRENT = 400
+MAX_CONCURRENT = 400
 CAPACITY_DRAWS = 50_000
 CALIBRATIONS = 24
-KILL_AT_SHARE = 0.4
-"""Part of a run after which engines are lost."""
+KILL_TIME_SHARE = 0.4
+"""Share of a run after which engines are killed."""
 
 
 class Run(NamedTuple):
-    """Be one load that is offered through the entries of one choice."""
+    """Describe one load that is sent to the entries of one choice."""
 
     choice: str
     load: float
-    """Offered engine time over the engines' capacity."""
+    """Offered engine time as a share of the engines' capacity."""
     seed: int
     with_long: bool = True
     engines_lost: int = 0
 
     def name(self) -> str:
-        """Name it, apart from the choice."""
+        """Return the run's name, without the choice."""
         parts = [f"{self.load:g} of capacity"]
         if not self.with_long:
             parts.append("no long prompts")
@@ -75,16 +75,16 @@
 
 
 def engine_seconds(prompt_tokens: int) -> float:
-    """Return the real seconds that a request takes of an engine in a full batch."""
+    """Return the real seconds of engine time that a request uses in a full batch."""
     linear = PREFILL_SECONDS_PER_TOKEN * prompt_tokens
     squared = PREFILL_SECONDS_PER_TOKEN_SQUARED * prompt_tokens**2
     steps = -(-prompt_tokens // CHUNK_TOKENS) * STEP_SECONDS
-    decode = OUTPUT_TOKENS * SECONDS_PER_FURTHER_DECODER
+    decode = OUTPUT_TOKENS * STEP_SECONDS_PER_DECODE
     return TIME_SCALE * (linear + squared + steps + decode)
 
 
-def shape_of(seed: int, rate: float, seconds: float) -> LoadShape:
-    """Return the shape that every load has, but for its rate."""
+def load_shape(seed: int, rate: float, seconds: float) -> LoadShape:
+    """Return the load shape, which is the same for all runs but for seed and rate."""
     customers = tuple(
         CustomerShare(name, share)
         for name, share in zip(CUSTOMERS, CUSTOMER_SHARES, strict=True)
@@ -93,20 +93,20 @@
         seed,
         rate,
         seconds,
-        SHORTEST_TOKENS,
+        MIN_PROMPT_TOKENS,
         LONG_TOKENS,
-        LONGEST_TOKENS,
+        MAX_PROMPT_TOKENS,
         LONG_SHARE,
         customers,
     )
 
 
-def capacity(engines: int) -> float:
-    """Return the arrivals a second that would keep all engines just busy.
+def capacity_per_second(engines: int) -> float:
+    """Return the arrivals per second that fully use all engines.
 
-    Prompts that fit no engine are refused and take up no engine time.
+    Prompts that fit no engine are refused and use no engine time.
     """
-    shape = shape_of(seed=0, rate=1.0, seconds=float(CAPACITY_DRAWS))
+    shape = load_shape(seed=0, rate=1.0, seconds=float(CAPACITY_DRAWS))
     lengths = [arrival.prompt_tokens for arrival in draw_arrivals(shape)]
     taken = sum(engine_seconds(tokens) for tokens in lengths if fits(tokens))
     return engines * len(lengths) / taken
@@ -117,14 +117,14 @@
     return prompt_tokens + OUTPUT_TOKENS <= MEMORY_TOKENS
 
 
-def draw(run: Run, rate: float, seconds: float) -> list[Arrival]:
-    """Draw a run's arrivals: the same for every choice, with or without long ones."""
-    drawn = draw_arrivals(shape_of(run.seed, run.load * rate, seconds))
+def draw_run_arrivals(run: Run, rate: float, seconds: float) -> list[Arrival]:
+    """Draw a run's arrivals, which are the same for every choice."""
+    drawn = draw_arrivals(load_shape(run.seed, run.load * rate, seconds))
     return [a for a in drawn if run.with_long or a.prompt_tokens <= LONG_TOKENS]
 
 
-class TwoDeadlines:
-    """Send long prompts with a deadline of their own."""
+class DeadlineSender:
+    """Send short and long prompts with different deadlines."""
 
     def __init__(self, addresses: tuple[str, ...], marker: str) -> None:
         self.short, self.long = (
@@ -134,7 +134,7 @@
                     MODEL,
                     OUTPUT_TOKENS,
                     deadline,
-                    MOST_CONCURRENT,
+                    MAX_CONCURRENT,
                     f"{kind}-{marker}",
                     {name: customer_key(name) for name in CUSTOMERS},
                 )
@@ -156,8 +156,8 @@
         self.long.close()
 
 
-def marker_of(run: Run) -> str:
-    """Begin a run's prompts with text of their own, so that none is cached."""
+def prompt_marker(run: Run) -> str:
+    """Return a prefix for a run's prompts, so that no other run has cached them."""
     return "-".join(
         (
             run.choice,
@@ -170,13 +170,13 @@
 
 
 def calibrate(addresses: tuple[str, ...]) -> UnloadedTime:
-    """Time short prompts one after the other in a fleet at rest."""
-    sender = TwoDeadlines(addresses, "calibrate")
+    """Measure the first-token time of single short prompts in an idle fleet."""
+    sender = DeadlineSender(addresses, "calibrate")
     random = Random(0)
     samples = []
     try:
         for index in range(CALIBRATIONS):
-            tokens = random.randint(SHORTEST_TOKENS, SHORT_TOKENS)
+            tokens = random.randint(MIN_PROMPT_TOKENS, SHORT_TOKENS)
             arrival = Arrival(index, 0.0, CUSTOMERS[0], tokens)
             outcome = sender.send(arrival, sender.short.now())
             if outcome.first_token_seconds is not None:
@@ -189,16 +189,18 @@
     return unloaded
 
 
-def offer(fleet: ComparedFleet, run: Run, rate: float, seconds: float) -> list[Outcome]:
-    """Offer one run's load; its engines are lost part of the way through."""
-    arrivals = draw(run, rate, seconds)
-    sender = TwoDeadlines(fleet.callers_of(run.choice), marker_of(run))
+def run_load(
+    fleet: ComparisonFleet, run: Run, rate: float, seconds: float
+) -> list[Outcome]:
+    """Send one run's load, and kill its lost engines part of the way through."""
+    arrivals = draw_run_arrivals(run, rate, seconds)
+    sender = DeadlineSender(fleet.callers_of(run.choice), prompt_marker(run))
     killer = threading.Timer(
-        KILL_AT_SHARE * seconds, fleet.lose_engines, [run.engines_lost]
+        KILL_TIME_SHARE * seconds, fleet.kill_engines, [run.engines_lost]
     )
     killer.start()
     try:
-        return run_open_loop(arrivals, sender.send, MOST_CONCURRENT, LoadClock())
+        return run_open_loop(arrivals, sender.send, MAX_CONCURRENT, LoadClock())
     finally:
         sender.close()
         killer.join()
@@ -211,7 +213,7 @@
 
 
 def in_time_share(outcomes: Sequence[Outcome]) -> float:
-    """Return the share answered whole within their deadline."""
+    """Return the share answered completely within the deadline."""
     in_time = sum(
         each.ending is Ending.WHOLE and (each.total_seconds or 0) <= deadline_of(each)
         for each in outcomes
@@ -220,7 +222,7 @@
 
 
 def goodput(outcomes: Sequence[Outcome]) -> float:
-    """Return the engine seconds of the prompts that were answered in time."""
+    """Return the engine seconds of the requests that were answered in time."""
     return sum(
         engine_seconds(each.arrival.prompt_tokens)
         for each in outcomes
@@ -232,18 +234,18 @@
 CLASSES = {
     "short (to 8k)": (0, SHORT_TOKENS),
     "medium (to 100k)": (SHORT_TOKENS, LONG_TOKENS),
-    "long (over 100k)": (LONG_TOKENS, LONGEST_TOKENS),
+    "long (over 100k)": (LONG_TOKENS, MAX_PROMPT_TOKENS),
 }
 
 
-def class_figures(outcomes: Sequence[Outcome]) -> dict[str, Any]:
-    """Sum up by class; prompts that fit no engine are left to the refusals."""
+def summarize_classes(outcomes: Sequence[Outcome]) -> dict[str, Any]:
+    """Summarize by prompt length, without prompts that fit no engine."""
     figures = {}
-    for name, (above, to) in CLASSES.items():
+    for name, (above, at_most) in CLASSES.items():
         members = [
             each
             for each in outcomes
-            if above < each.arrival.prompt_tokens <= to
+            if above < each.arrival.prompt_tokens <= at_most
             and fits(each.arrival.prompt_tokens)
         ]
         first = [
@@ -262,31 +264,31 @@
     return figures
 
 
-def figures_of(
+def summarize_run(
     run: Run, outcomes: Sequence[Outcome], seconds: float, unloaded: UnloadedTime
 ) -> dict[str, Any]:
-    """Put a run and its figures into a JSON document."""
-    summed = summarize(outcomes, FiguresConfig(SHORT_TOKENS, 0.0, unloaded))
-    served = [each for each in outcomes if fits(each.arrival.prompt_tokens)]
-    slowdown = summed.short_slowdown
+    """Return a run and its results as a JSON document."""
+    summary = summarize(outcomes, FiguresConfig(SHORT_TOKENS, 0.0, unloaded))
+    fitting = [each for each in outcomes if fits(each.arrival.prompt_tokens)]
+    slowdown = summary.short_slowdown
     return {
         "run": run._asdict() | {"name": run.name()},
         "load_average": os.getloadavg(),
-        "planned": summed.planned,
-        "fit_no_engine": len(outcomes) - len(served),
-        "in_time_share_of_those_that_fit": in_time_share(served),
+        "planned": summary.planned,
+        "fit_no_engine": len(outcomes) - len(fitting),
+        "in_time_share_of_those_that_fit": in_time_share(fitting),
         "offered_engine_seconds_per_second": sum(
-            engine_seconds(each.arrival.prompt_tokens) for each in served
+            engine_seconds(each.arrival.prompt_tokens) for each in fitting
         )
         / seconds,
         "goodput_engine_seconds_per_second": goodput(outcomes) / seconds,
-        "endings": summed.endings,
-        "refusals": summed.refusals,
-        "breaks": summed.breaks,
-        "sent_late_by_the_tool": summed.late_arrivals,
-        "classes": class_figures(outcomes),
+        "endings": summary.endings,
+        "refusals": summary.refusals,
+        "breaks": summary.breaks,
+        "sent_late_by_the_tool": summary.late_arrivals,
+        "classes": summarize_classes(outcomes),
         "buckets": {
-            name: each._asdict() for name, each in summed.first_token_seconds.items()
+            name: each._asdict() for name, each in summary.first_token_seconds.items()
         },
         "short_slowdown": slowdown._asdict() if slowdown else None,
     }
--- a/benchmarks/real_path_report.py
+++ b/benchmarks/real_path_report.py
@@ -1,4 +1,4 @@
-"""Show the results of `real_path.py` as Markdown tables and one plot.
+"""Format the results of `real_path.py` as Markdown tables and a plot.
 
 Run `python benchmarks/real_path_report.py`; the tables go to the standard output.
 """
@@ -22,27 +22,27 @@
 MEDIUM = "medium (to 100k)"
 LONG = "long (over 100k)"
 
-Figures = dict[str, Any]
+RunResult = dict[str, Any]
 
 
-def slowdown_p95(figures: Figures) -> float:
-    """Return the slowdown that 5 in 100 short requests exceed."""
-    return figures["short_slowdown"]["p95"]
+def slowdown_p95(result: RunResult) -> float:
+    """Return the p95 slowdown of short requests."""
+    return result["short_slowdown"]["p95"]
 
 
-def long_p95(figures: Figures) -> float:
+def long_p95(result: RunResult) -> float:
     """Return the long prompts' p95 time to first token, in seconds."""
-    return figures["classes"][LONG]["first_token_seconds"]["p95"]
+    return result["classes"][LONG]["first_token_seconds"]["p95"]
 
 
-def in_time(figures: Figures) -> float:
-    """Return the share answered in time, of the prompts that fit an engine."""
-    return figures["in_time_share_of_those_that_fit"]
+def in_time(result: RunResult) -> float:
+    """Return the share answered in time of the prompts that fit an engine."""
+    return result["in_time_share_of_those_that_fit"]
 
 
-def goodput(figures: Figures) -> float:
-    """Return the engine seconds answered in time, for each second of the load."""
-    return figures["goodput_engine_seconds_per_second"]
+def goodput(result: RunResult) -> float:
+    """Return the engine seconds answered in time per second of the load."""
+    return result["goodput_engine_seconds_per_second"]
 
 
 PANELS = (
@@ -53,7 +53,7 @@
 )
 
 
-def plain_runs(document: Figures) -> list[Figures]:
+def standard_runs(document: RunResult) -> list[RunResult]:
     """Return the runs with long prompts and all engines."""
     return [
         each
@@ -62,24 +62,24 @@
     ]
 
 
-def choices_of(document: Figures) -> list[str]:
-    """List the choices compared, ours first."""
+def choices_of(document: RunResult) -> list[str]:
+    """List the choices, cowslipshelf first."""
     found = {each["run"]["choice"]: None for each in document["runs"]}
     return sorted(found, key=lambda choice: (choice != "cowslipshelf", choice))
 
 
-def plot(document: Figures, file: Path) -> None:
-    """Draw one panel for each figure, over the load."""
-    sheet, axes = plt.subplots(1, len(PANELS), figsize=(15, 3.6))
-    for axis, (title, read, scale) in zip(axes, PANELS, strict=True):
+def plot(document: RunResult, file: Path) -> None:
+    """Plot one panel for each statistic, by load."""
+    figure, axes = plt.subplots(1, len(PANELS), figsize=(15, 3.6))
+    for axis, (title, statistic, scale) in zip(axes, PANELS, strict=True):
         for choice in choices_of(document):
             points: dict[float, list[float]] = {}
-            for each in plain_runs(document):
+            for each in standard_runs(document):
                 if each["run"]["choice"] == choice:
-                    points.setdefault(each["run"]["load"], []).append(read(each))
+                    points.setdefault(each["run"]["load"], []).append(statistic(each))
             loads = sorted(points)
-            middle = [median(points[load]) for load in loads]
-            axis.plot(loads, middle, marker="o", label=choice)
+            medians = [median(points[load]) for load in loads]
+            axis.plot(loads, medians, marker="o", label=choice)
             axis.vlines(
                 loads,
                 [min(points[load]) for load in loads],
@@ -89,12 +89,12 @@
         axis.set_xlabel("offered load over capacity")
         axis.set_yscale(scale)
     axes[0].legend(fontsize=8)
-    sheet.tight_layout()
-    sheet.savefig(file, dpi=90)
+    figure.tight_layout()
+    figure.savefig(file, dpi=90)
 
 
 def table(head: tuple[str, ...], rows: list[tuple[str, ...]]) -> Iterator[str]:
-    """Write a table in Markdown."""
+    """Yield the lines of a Markdown table."""
     yield f"| {' | '.join(head)} |"
     yield f"|{' --- |' * len(head)}"
     for row in rows:
@@ -102,30 +102,30 @@
     yield ""
 
 
-def summary_row(figures: Figures) -> tuple[str, ...]:
-    """Describe one run in one line."""
-    run = figures["run"]
-    slowdown = figures["short_slowdown"]
-    first = figures["classes"][LONG]["first_token_seconds"]
-    refusals = ", ".join(f"{n} {code}" for code, n in figures["refusals"].items())
-    breaks = ", ".join(f"{n} {name}" for name, n in figures["breaks"].items())
+def summary_row(result: RunResult) -> tuple[str, ...]:
+    """Return the table row of one run."""
+    run = result["run"]
+    slowdown = result["short_slowdown"]
+    first = result["classes"][LONG]["first_token_seconds"]
+    refusals = ", ".join(f"{n} {code}" for code, n in result["refusals"].items())
+    breaks = ", ".join(f"{n} {name}" for name, n in result["breaks"].items())
     return (
         run["name"],
         str(run["seed"]),
         run["choice"],
         f"{slowdown['p50']:.2f} / {slowdown['p95']:.2f} / {slowdown['p99']:.2f}",
         f"{first['p50']:.2f} / {first['p95']:.2f} ({first['count']})",
-        f"{in_time(figures):.3f}",
-        f"{goodput(figures):.2f}",
+        f"{in_time(result):.3f}",
+        f"{goodput(result):.2f}",
         "; ".join(part for part in (refusals, breaks) if part) or "none",
-        f"{figures['load_average'][0]:.0f}",
+        f"{result['load_average'][0]:.0f}",
     )
 
 
-def bucket_rows(document: Figures, load: float) -> list[tuple[str, ...]]:
-    """Describe times to first token by bucket at one load, seed by seed."""
+def bucket_rows(document: RunResult, load: float) -> list[tuple[str, ...]]:
+    """Return rows of the times to first token at one load, by bucket and seed."""
     rows = []
-    for each in plain_runs(document):
+    for each in standard_runs(document):
         if each["run"]["load"] != load:
             continue
         for name, times in each["buckets"].items():
@@ -143,8 +143,8 @@
     return sorted(rows, key=lambda row: (int(row[0].split()[1][:-1]), row[1], row[2]))
 
 
-def lines(document: Figures) -> Iterator[str]:
-    """Write all tables."""
+def report_lines(document: RunResult) -> Iterator[str]:
+    """Yield the lines of all tables."""
     head = (
         "load",
         "seed",
@@ -169,7 +169,7 @@
     arguments = parser.parse_args()
     document = json.loads(arguments.results.read_text())
     plot(document, arguments.plot)
-    print("\n".join(lines(document)))
+    print("\n".join(report_lines(document)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -1,4 +1,4 @@
-"""Measure what a hand-over costs a sidecar and an announcement costs an entry.
+"""Measure the cost of a hand-over to a sidecar, and of an announcement to an entry.
 
 Prints JSON. Usage: `python benchmarks/sidecar.py`, with the core package installed.
 """
@@ -40,24 +40,24 @@
 CUSTOMERS = 1900
 ROUNDS = 7
 CYCLES = 2000
-ALIVE = 64
-SPENT = 10_000
+OPEN_ATTEMPTS = 64
+ENDED_ATTEMPTS = 10_000
 MICROSECONDS = 1e6
-HUGE_MEMORY = 10**9
+MEMORY_TOKENS = 10**9
 HOT_PREFIXES = tuple(range(2**60, 2**60 + 16))
 
 
-class Spread(TypedDict):
-    """Tell a figure over the rounds."""
+class Summary(TypedDict):
+    """Summarize one quantity over the rounds."""
 
     median: float
     least: float
     most: float
 
 
-def spread(values: list[float]) -> Spread:
-    """Sum up the rounds."""
-    return Spread(
+def summarize(values: list[float]) -> Summary:
+    """Return the median, minimum and maximum."""
+    return Summary(
         median=round(median(values), 2),
         least=round(min(values), 2),
         most=round(max(values), 2),
@@ -65,22 +65,22 @@
 
 
 def microseconds_per_call(call: Callable[[], None], calls: int) -> float:
-    """Measure the processor time of `call`, which does a thing `calls` times."""
+    """Return the processor time of `call`, which repeats an action `calls` times."""
     gc.collect()
     began_at = process_time()
     call()
     return (process_time() - began_at) * MICROSECONDS / calls
 
 
-def describe(name: str) -> UpstreamDescription:
-    """Describe an upstream called `name`."""
+def build_description(name: str) -> UpstreamDescription:
+    """Build the description of an upstream."""
     return UpstreamDescription(
-        name, "maadi", "scribe", "model", ("small",), HUGE_MEMORY, True, "127.0.0.1:1"
+        name, "maadi", "scribe", "model", ("small",), MEMORY_TOKENS, True, "127.0.0.1:1"
     )
 
 
 def hand_over(name: str) -> HandOver:
-    """Make a hand-over with a body of its own."""
+    """Build the hand-over of an attempt."""
     return HandOver(
         request_id="request",
         attempt_id=name,
@@ -106,8 +106,10 @@
 
 
 def new_sidecar() -> SidecarState:
-    """Start a sidecar under a configuration of the size to come."""
-    state = SidecarState.from_config(SidecarConfig(describe("runner-1"), "start-1"))
+    """Build a sidecar with a configuration of the target size."""
+    state = SidecarState.from_config(
+        SidecarConfig(build_description("runner-1"), "start-1")
+    )
     customers = tuple(
         Customer(f"customer-{index}", "", ("scribe",)) for index in range(CUSTOMERS)
     )
@@ -122,7 +124,7 @@
 
 
 def run_cycles(state: SidecarState, names: list[str]) -> None:
-    """Carry attempts from hand-over to end."""
+    """Run attempts from hand-over to end."""
     for name in names:
         state.handle(HandOverArrived(hand_over(name)), 1.0)
         state.handle(UpstreamAccepted(name), 1.0)
@@ -130,34 +132,34 @@
         state.handle(UpstreamFinished(name, True, 100), 1.5)
 
 
-def measure_hand_overs() -> Spread:
-    """Measure a whole hand-over cycle beside other attempts."""
+def measure_hand_overs() -> Summary:
+    """Measure the cycle of an attempt beside other open attempts."""
     state = new_sidecar()
-    for index in range(ALIVE):
+    for index in range(OPEN_ATTEMPTS):
         state.handle(HandOverArrived(hand_over(f"alive-{index}")), 0.0)
     rounds = []
     for number in range(ROUNDS):
         names = [f"{number}-{index}" for index in range(CYCLES)]
         call = lambda names=names: run_cycles(state, names)  # noqa: E731
         rounds.append(microseconds_per_call(call, CYCLES))
-    return spread(rounds)
+    return summarize(rounds)
 
 
-def measure_reports() -> Spread:
-    """Measure a load report with attempts alive and slopes learnt."""
+def measure_reports() -> Summary:
+    """Measure a load report with open attempts."""
     state = new_sidecar()
-    for index in range(ALIVE):
+    for index in range(OPEN_ATTEMPTS):
         state.handle(HandOverArrived(hand_over(f"alive-{index}")), 0.0)
     call = lambda: [state.load_report() for _ in range(CYCLES)]  # noqa: E731
-    return spread([microseconds_per_call(call, CYCLES) for _ in range(ROUNDS)])
+    return summarize([microseconds_per_call(call, CYCLES) for _ in range(ROUNDS)])
 
 
 def announcements(fleet: int, sequence: int) -> list[AnnounceArrived]:
-    """Let each upstream of a fleet announce itself once."""
+    """Build an announcement of each upstream of a fleet."""
     load = LoadReport(sequence=sequence, hot_prefixes=HOT_PREFIXES)
     return [
         AnnounceArrived(
-            Announce(describe(f"runner-{index}"), f"start-{index}", 3.0, load),
+            Announce(build_description(f"runner-{index}"), f"start-{index}", 3.0, load),
             f"sidecar-{index}",
             "127.0.0.1:1",
         )
@@ -165,8 +167,8 @@
     ]
 
 
-def measure_announcements(fleet: int) -> Spread:
-    """Measure an announcement that brings a newer load report."""
+def measure_announcements(fleet: int) -> Summary:
+    """Measure an announcement with a newer load report."""
     directory = Directory.from_config(DirectoryConfig())
     rounds = []
     for sequence in range(1, ROUNDS + 2):
@@ -175,21 +177,21 @@
             directory.handle(event, 0.0) for event in events
         ]
         rounds.append(microseconds_per_call(call, fleet))
-    return spread(rounds[1:])
+    return summarize(rounds[1:])
 
 
-def measure_ticks(fleet: int) -> Spread:
+def measure_ticks(fleet: int) -> Summary:
     """Measure a tick of the directory."""
     directory = Directory.from_config(DirectoryConfig())
     for event in announcements(fleet, 1):
         directory.handle(event, 0.0)
     ticks = 20
     call = lambda: [directory.handle(TickElapsed(), 0.1) for _ in range(ticks)]  # noqa: E731
-    return spread([microseconds_per_call(call, ticks) for _ in range(ROUNDS)])
+    return summarize([microseconds_per_call(call, ticks) for _ in range(ROUNDS)])
 
 
 def bytes_per_item(build: Callable[[], object], items: int) -> int:
-    """Measure what `build` leaves allocated, for each of its items."""
+    """Return the bytes that `build` leaves allocated per item."""
     gc.collect()
     tracemalloc.start()
     built = build()
@@ -201,37 +203,39 @@
 
 
 def build_directory() -> Directory:
-    """Make a directory with every upstream's own description and load report."""
+    """Build a directory with a description and load report for every upstream."""
     directory = Directory.from_config(DirectoryConfig())
     for index in range(FLEET_SIZES[-1]):
         prefixes = tuple(hash_ + index for hash_ in HOT_PREFIXES)
         load = LoadReport(sequence=1000 + index, hot_prefixes=prefixes)
-        announce = Announce(describe(f"runner-{index}"), f"start-{index}", 3.0, load)
+        announce = Announce(
+            build_description(f"runner-{index}"), f"start-{index}", 3.0, load
+        )
         directory.handle(AnnounceArrived(announce, "sidecar", "127.0.0.1:1"), 0.0)
     return directory
 
 
-def fill(state: SidecarState) -> SidecarState:
-    """Give a sidecar attempts that are alive."""
-    for index in range(ALIVE):
+def open_attempts(state: SidecarState) -> SidecarState:
+    """Open a number of attempts at a sidecar."""
+    for index in range(OPEN_ATTEMPTS):
         state.handle(HandOverArrived(hand_over(f"alive-{index}")), 0.0)
     return state
 
 
-def spend(state: SidecarState) -> SidecarState:
-    """Let a sidecar remember ended attempts."""
-    for index in range(0, SPENT, CYCLES):
-        run_cycles(state, [f"attempt-{index + each:032}" for each in range(CYCLES)])
+def end_attempts(state: SidecarState) -> SidecarState:
+    """Run a number of attempts that a sidecar keeps as ended."""
+    for index in range(0, ENDED_ATTEMPTS, CYCLES):
+        run_cycles(state, [f"attempt-{index + offset:032}" for offset in range(CYCLES)])
     return state
 
 
 def main() -> None:
-    """Print all figures as JSON."""
-    alive, spent = new_sidecar(), new_sidecar()
+    """Print all measurements as JSON."""
+    open_sidecar, ended_sidecar = new_sidecar(), new_sidecar()
     figures = {
         "python": sys.version.split()[0],
         "rounds": ROUNDS,
-        "alive_attempts": ALIVE,
+        "alive_attempts": OPEN_ATTEMPTS,
         "customers": CUSTOMERS,
         "microseconds_per_hand_over_cycle": measure_hand_overs(),
         "microseconds_per_load_report": measure_reports(),
@@ -242,8 +246,12 @@
             fleet: measure_ticks(fleet) for fleet in FLEET_SIZES
         },
         "bytes_per_upstream": bytes_per_item(build_directory, FLEET_SIZES[-1]),
-        "bytes_per_alive_attempt": bytes_per_item(lambda: fill(alive), ALIVE),
-        "bytes_per_ended_attempt": bytes_per_item(lambda: spend(spent), SPENT),
+        "bytes_per_alive_attempt": bytes_per_item(
+            lambda: open_attempts(open_sidecar), OPEN_ATTEMPTS
+        ),
+        "bytes_per_ended_attempt": bytes_per_item(
+            lambda: end_attempts(ended_sidecar), ENDED_ATTEMPTS
+        ),
     }
     json.dump(figures, sys.stdout, indent=2)
     print()
--- a/benchmarks/upstream_streams.py
+++ b/benchmarks/upstream_streams.py
@@ -1,7 +1,7 @@
-"""Measure an engine's streams: processor time for an event, at both ends.
+"""Measure the processor time per event of an engine's streams, at both ends.
 
-Run it with `python benchmarks/upstream_streams.py [STREAMS ...]`; the streams are
-spread over ten engine stand-ins of one process.
+Run `python benchmarks/upstream_streams.py [STREAMS ...]`; the streams are distributed
+over ten engine stand-ins in one process.
 """
 
 import os
@@ -19,17 +19,17 @@
 ENGINES = 10
 TOKEN_SECONDS = 0.044
 MEMORY_TOKENS = 10**12
-MOST_OUTPUT_TOKENS = 10**7
+MAX_OUTPUT_TOKENS = 10**7
 SETTLE_SECONDS = 2.0
 MEASURED_SECONDS = 5.0
 MICROSECONDS = 1e6
 STREAM_COUNTS = (1, 50, 300)
 PROCESS_TIME_FIELDS = slice(11, 13)
-"""Where user and system time stand after the name in `/proc/PID/stat`."""
+"""User and system time among the fields after the name in `/proc/PID/stat`."""
 
 
-class Figures(NamedTuple):
-    """Be what one number of streams cost."""
+class StreamCosts(NamedTuple):
+    """Hold the costs of a number of streams."""
 
     streams: int
     events_per_second: float
@@ -47,7 +47,7 @@
         Thread(target=self.read, daemon=True).start()
 
     def read(self) -> None:
-        """Count until the stream is closed."""
+        """Count events until the stream is closed."""
         try:
             for _ in self.stream:
                 self.events += 1
@@ -56,7 +56,7 @@
 
 
 def hand_over(number: int) -> HandOver:
-    """Return a request whose answer outlasts the measurement."""
+    """Build a request whose answer takes longer than the measurement."""
     body = {"model": "m", "prompt": f"{number}", "stream": True}
     return HandOver(
         request_id=f"request-{number}",
@@ -71,18 +71,18 @@
         non_idempotent=False,
         deadline_seconds=600.0,
         prompt_tokens=1,
-        max_output_tokens=MOST_OUTPUT_TOKENS,
+        max_output_tokens=MAX_OUTPUT_TOKENS,
         priority=0,
         prefix_hash=0,
         method="POST",
         path="/v1/completions",
         headers=(),
-        body=msgspec.json.encode(body | {"max_tokens": MOST_OUTPUT_TOKENS}),
+        body=msgspec.json.encode(body | {"max_tokens": MAX_OUTPUT_TOKENS}),
     )
 
 
 def start_engines() -> tuple[subprocess.Popen[bytes], tuple[str, ...]]:
-    """Start the stand-ins at the pace of token generation."""
+    """Start the stand-ins at the rate of token generation."""
     options = {
         "--count": ENGINES,
         "--memory-tokens": MEMORY_TOKENS,
@@ -106,8 +106,8 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def measure(streams: int) -> Figures:
-    """Read a number of streams for a while."""
+def measure(streams: int) -> StreamCosts:
+    """Measure a number of streams."""
     process, addresses = start_engines()
     clients = [
         EngineClient.from_config(EngineClientConfig(f"http://{address}"))
@@ -126,7 +126,7 @@
         reader.ended.wait()
     process.terminate()
     process.wait()
-    return Figures(
+    return StreamCosts(
         streams,
         round(events / MEASURED_SECONDS, 1),
         round(engine / events * MICROSECONDS, 1),
@@ -135,7 +135,7 @@
 
 
 def main() -> None:
-    """Print the figures of each number of streams as one JSON line."""
+    """Print the costs of each number of streams as a JSON line."""
     for streams in map(int, sys.argv[1:] or STREAM_COUNTS):
         print(msgspec.json.encode(measure(streams)._asdict()).decode())
 
