--- a/packages/core/src/cowslipshelf_core/internal/agreement/recovery.py
+++ b/packages/core/src/cowslipshelf_core/internal/agreement/recovery.py
@@ -19,11 +19,11 @@
 FORCED_PROPOSAL_PREFIX = "forced-members:"
 
 FORCED_MEMBERS_WARNING = (
-    "This replica becomes the only member of a new cluster that continues from its "
-    "log. Every change that it had not received is lost, even if a caller or "
+    "This replica becomes the only member of a new cluster that goes on from its "
+    "log. Every change that it had not received is lost, even where a caller or "
     "operator was told that it was accepted. Entries that were never accepted may "
-    "take effect. Stop all other replicas first and wipe their data folders; they "
-    "are refused until then, and join again as new replicas."
+    "come into force. Stop all other replicas first and wipe their data folders; "
+    "they are refused until then, and join again as new ones."
 )
 
 
--- a/packages/core/src/cowslipshelf_core/internal/control/changes.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/changes.py
@@ -109,7 +109,7 @@
     ) -> PlanRecorded | PlanOutdated | PlanRefused:
         """Repeat the first answer, unless the id belongs to another change."""
         if known.operator != command.operator:
-            reason = f"change id {command.change_id!r} belongs to another operator"
+            reason = f"change id {command.change_id!r} is another operator's"
             return PlanRefused(command.change_id, (reason,))
         if known.digest != digest:
             reason = f"change id {command.change_id!r} was used for another change"
--- a/packages/core/src/cowslipshelf_core/internal/control/documents.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/documents.py
@@ -118,7 +118,7 @@
                 f"`change_id` has 1 to {MAX_CHANGE_ID_CHARACTERS} characters"
             )
         if self.based_on < 0:
-            raise ValueError("`based_on` must be a version, or 0 if there is none yet")
+            raise ValueError("`based_on` is a version, 0 where there is none yet")
 
     def to_change(self) -> Change | WantedState:
         """Return the wanted state or change, with keys replaced by their hashes."""
--- a/packages/core/src/cowslipshelf_core/internal/control/grants.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/grants.py
@@ -84,7 +84,7 @@
             return LoadGrantRefused(command.grant_id, reason, max(soonest - at, 0.0))
         missing = command.tokens - self.tokens
         if missing > 0:
-            reason = "the fleet's rate limit is reached"
+            reason = "the fleet's rate is used up"
             wait = missing / limits.tokens_per_second
             return LoadGrantRefused(command.grant_id, reason, wait)
         return None
--- a/packages/core/src/cowslipshelf_core/internal/control/orders.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/orders.py
@@ -94,7 +94,7 @@
             return OrderRefused(command.order_id, "this order is not open")
         if order.fencing != command.fencing:
             return OrderRefused(
-                command.order_id, f"the open order has fencing number {order.fencing}"
+                command.order_id, f"its fencing number is {order.fencing}"
             )
         slot = end_open_order(slot)
         self.store(slot)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/compression.py
@@ -29,5 +29,5 @@
     except zlib.error as error:
         return Err(str(error))
     if not decompressor.eof:
-        return Err("it is truncated or larger than any accepted configuration")
+        return Err("it is cut short or larger than any that is taken")
     return Ok(body)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -174,9 +174,9 @@
 def suspect_report_problem(report: SuspectRequestReport) -> str | None:
     """Return why a report of another gateway is invalid, or None if it is valid."""
     if not is_request_digest(report.digest):
-        return "the digest is malformed"
+        return "the digest is none"
     if len(report.exits) > MAX_EXITS:
-        return f"{len(report.exits)} exits, {MAX_EXITS} at most"
+        return f"{len(report.exits)} ends, {MAX_EXITS} at most"
     ages = [each.age_seconds for each in report.exits] + [report.trial_age_seconds]
     if not all(math.isfinite(age) and age >= 0.0 for age in ages):
         return "an age is negative or not finite"
--- a/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claim_lookup.py
@@ -50,7 +50,7 @@
     if held.refusal is not None:
         return _on_stored_refusal(state, refusal, held.refusal)
     if not held.deadline_passed and not owner_gone:
-        return refuse_still_running(state, f"request {held.request_id} is running")
+        return refuse_still_running(state, f"request {held.request_id} runs")
     # Taking over the key would need an upstream, and there is none.
     detail = f"request {held.request_id} under this key may have run"
     return refuse(state, refusal._replace(code=state.refusal_code(), detail=detail))
--- a/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/claiming.py
@@ -151,7 +151,7 @@
     if held.refusal is not None:
         return _on_stored_refusal(state, attempt, held, held.refusal, now)
     if not held.deadline_passed and not owner_gone:
-        return refuse_still_running(state, f"request {held.request_id} is running")
+        return refuse_still_running(state, f"request {held.request_id} runs")
     state.other_claim = held
     return revoke_holder(state, held)
 
--- a/packages/core/src/cowslipshelf_core/internal/requests/ending.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/ending.py
@@ -96,7 +96,7 @@
     closing = close_attempt(state, AttemptOutcome.NEVER_RAN)
     state.phase = Phase.ENDED
     if not answer.whole:
-        detail = f"completed with status {answer.status}; answer too large to store"
+        detail = f"ran whole with status {answer.status}; answer too large to store"
         refusal = Refusal(
             RefusalCode.OUTCOME_UNKNOWN,
             RefusalReason.TOO_LARGE,
--- a/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/streaming.py
@@ -119,7 +119,7 @@
 def on_stream_lost(state: RequestState, attempt: OpenAttempt) -> list[RequestEffect]:
     """Resume at the same sidecar, which keeps its frames, or give up the stream."""
     if attempt.resumes >= state.config.max_resumes:
-        return _give_up_stream(state, attempt, "lost again without a new chunk")
+        return _give_up_stream(state, attempt, "lost again without a new piece")
     note = Note(f"stream lost after piece {attempt.sequence}; resuming")
     return [note, *resume(state, attempt)]
 
--- a/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/dispatcher.py
@@ -160,7 +160,7 @@
         """
         spread = plan_spread(group, request.profile, request.asked.excluded)
         if spread is None:
-            detail = "the remaining upstreams together can't hold the prompt"
+            detail = "the upstreams not tried yet can't hold the prompt together"
             refusal = not_run(RefusalReason.NO_UPSTREAM, detail)
             return answer_refusal(request.asked, refusal, now - request.asked_at)
         prediction = predict(self.config, spread.last, request.profile, True, now)
@@ -223,7 +223,7 @@
             upstream_id,
             considered,
             queued,
-            f"lowest predicted cost of {len(considered)} considered",
+            f"least predicted harm of {len(considered)} looked at",
         )
         return PlacementAnswered(
             request.asked.placement_id,
--- a/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/refusals.py
@@ -47,7 +47,7 @@
         wanted = f"model {facts.model} for " if facts.model else ""
         return not_run(
             RefusalReason.NO_UPSTREAM,
-            f"no upstream is available for {wanted}service {facts.service}",
+            f"no upstream takes {wanted}service {facts.service} now",
             retry_after_seconds,
         )
     if (
@@ -58,9 +58,9 @@
         if expected_back and fits_together([*group.members, *expected_back], profile):
             return not_run(
                 RefusalReason.NO_UPSTREAM,
-                f"{profile.memory_tokens} tokens of memory are needed; the available "
-                f"upstreams of service {facts.service} have them only together with "
-                f"{len(expected_back)} that are unavailable now",
+                f"{profile.memory_tokens} tokens of memory are needed, which the "
+                f"upstreams of service {facts.service} have only together with "
+                f"{len(expected_back)} that take no work now",
                 retry_after_seconds,
             )
         return too_large(group, profile)
@@ -95,9 +95,7 @@
 
 def past_deadline() -> Refusal:
     """Refuse a request whose deadline has passed."""
-    return not_run(
-        RefusalReason.DEADLINE_PASSED, "the deadline passed before placement"
-    )
+    return not_run(RefusalReason.DEADLINE_PASSED, "no time was left to place it")
 
 
 def too_slow(least_seconds: float, facts: PlacementFacts) -> Refusal:
@@ -113,7 +111,7 @@
     """Refuse a request that would be queued too long to finish in time."""
     return not_run(
         RefusalReason.CANNOT_FINISH_IN_TIME,
-        f"would be queued for {wait_seconds:.1f} s and not finish in time",
+        f"would wait {wait_seconds:.1f} s and then not finish in time",
         retry_after_seconds,
     )
 
@@ -122,8 +120,8 @@
     """Refuse a request of low value under overload."""
     return not_run(
         RefusalReason.OVERLOADED,
-        "overloaded: of the requests beyond their customer's share, this one has the "
-        "lowest value per engine second",
+        "too much is asked for; of the work over its customer's share this is worth "
+        "least for each engine second",
         retry_after_seconds,
     )
 
@@ -132,6 +130,6 @@
     """Refuse a request of a customer that is at its concurrency limit."""
     return not_run(
         RefusalReason.CUSTOMER_LIMIT,
-        f"the customer already has {limit} requests open here, which is its limit",
+        f"the customer already runs {limit} requests here, which is its limit",
         retry_after_seconds,
     )
--- a/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/spread_planning.py
@@ -28,7 +28,7 @@
         names = [place.upstream_id for place in self.helpers] + [
             upstream_id_of(self.last)
         ]
-        return f"fits no single upstream; spread over {', '.join(names)}"
+        return f"fits no upstream alone; spread over {', '.join(names)}"
 
 
 def needs_spread(group: Group, profile: RequestProfile) -> bool:
--- a/packages/core/src/cowslipshelf_core/internal/spread/machine.py
+++ b/packages/core/src/cowslipshelf_core/internal/spread/machine.py
@@ -136,7 +136,7 @@
             case TimePassed() if self.phase is Phase.RESERVING:
                 return self.check_reserve_deadline(now)
             case NoLongerWanted():
-                detail = "the caller disconnected or its deadline passed"
+                detail = "the caller went away or its deadline passed"
                 return self.give_up(
                     self.not_run_refusal(RefusalReason.CANCELLED, detail)
                 )
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/assembly.py
@@ -181,7 +181,7 @@
 
 def drop_own_message(delivered: Delivered) -> None:
     """Drop a message that this process sent to itself; no sidecar sends one."""
-    LOG.warning("message to own process dropped", type=type(delivered.message).__name__)
+    LOG.warning("message to itself", type=type(delivered.message).__name__)
 
 
 def make_order_context(
