--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -6,7 +6,11 @@
 import msgspec
 
 from common.agreement_cluster import DECODER
-from common.matrix_control_cluster import ControlCluster, Mail, Viewer
+from common.matrix_control_cluster import (
+    ConfigurationObserver,
+    ControlCluster,
+    PendingMessage,
+)
 from cowslipshelf_core.agreement import (
     CommandSubmitted,
     PeerMessageArrived,
@@ -41,15 +45,15 @@
 
 REPLICAS = 3
 TICK_SECONDS = 0.05
-PATIENCE_SECONDS = 10.0
-TROUBLE_ROUNDS = 12
-LATE_ROUNDS = 30
+COMMAND_TIMEOUT_SECONDS = 10.0
+MESSAGE_FAULT_ROUNDS = 12
+DELAY_ROUNDS = 30
 LAG_ROUNDS = 4
 SNAPSHOT_AFTER = 50
-MOST_ROUNDS = 1500
-SPREADING_ROUNDS = 60
+MAX_ROUNDS = 1500
+PROPAGATION_ROUNDS = 60
 """Three seconds, in which a version must be in force everywhere."""
-PROCESSES = ("entry-8", "entry-9", "runner-1", "runner-2")
+PROCESSES_WITHOUT_REPLICA = ("entry-8", "entry-9", "runner-1", "runner-2")
 """Processes without a replica; the entries among them bring changes."""
 
 
@@ -67,38 +71,41 @@
             REPLICAS, self.seed, snapshot_after_entries=SNAPSHOT_AFTER, entries_kept=5
         )
         self.instances = tuple(sorted(self.cluster.nodes))
-        self.mail: list[Mail] = []
-        self.late: list[tuple[int, object]] = []
-        self.due: list[tuple[int, Callable[[], None]]] = []
+        self.messages: list[PendingMessage] = []
+        self.delayed: list[tuple[int, object]] = []
+        self.scheduled: list[tuple[int, Callable[[], None]]] = []
         self.round = 0
-        self.trouble = ""
-        self.trouble_ends = 0
+        self.message_fault = ""
+        self.message_fault_ends = 0
         self.silent: set[frozenset[str]] = set()
-        self.answers_lost = 0
-        self.fired = False
+        self.answers_to_lose = 0
+        self.injected = False
         self.leader = ""
         self.dead_until = 0
         """What the leader sent last is lost with it until then."""
         self.answered = False
         self.payload = b""
-        self.marks: set[str] = set()
+        self.steps_reached: set[str] = set()
         self.outcomes: dict[str, object] = {}
-        self.asked = 0
+        self.submitted = 0
         config = ProposalClientConfig(self.instances)
         self.clients = {
-            name: ProposalClient.from_config(config) for name in PROCESSES[:2]
+            name: ProposalClient.from_config(config)
+            for name in PROCESSES_WITHOUT_REPLICA[:2]
         }
         self.starts = 0
-        self.viewers = {}
-        for name in (*PROCESSES, *self.instances):
-            self.boot_viewer(name)
+        self.observers = {}
+        for name in (*PROCESSES_WITHOUT_REPLICA, *self.instances):
+            self.start_observer(name)
         self.cluster.run_until(self.cluster.is_settled)
-        self.run_rounds(SPREADING_ROUNDS)
+        self.run_rounds(PROPAGATION_ROUNDS)
 
-    def boot_viewer(self, name: str) -> None:
+    def start_observer(self, name: str) -> None:
         self.starts += 1
         config = ConfigurationViewConfig(f"start-{self.starts}", self.instances)
-        self.viewers[name] = Viewer(ConfigurationView.from_config(config))
+        self.observers[name] = ConfigurationObserver(
+            ConfigurationView.from_config(config)
+        )
 
     @property
     def now(self) -> float:
@@ -112,48 +119,50 @@
 
     def run_round(self) -> None:
         self.round += 1
-        due = [action for at, action in self.due if at <= self.round]
-        self.due = [item for item in self.due if item[0] > self.round]
-        for action in due:
+        scheduled = [action for at, action in self.scheduled if at <= self.round]
+        self.scheduled = [item for item in self.scheduled if item[0] > self.round]
+        for action in scheduled:
             action()
         self.cluster.tick(TICK_SECONDS)
-        self.look()
+        self.inject_at_step()
         for name in self.clients:
-            self.tell_client(name, TickElapsed())
-        self.tick_viewers()
-        mail, self.mail = self.mail, []
+            self.handle_client_event(name, TickElapsed())
+        self.tick_observers()
+        messages, self.messages = self.messages, []
         network, self.cluster.network = self.cluster.network, []
-        for item in self.disturb([*network, *mail]):
+        for item in self.apply_message_fault([*network, *messages]):
             self.deliver(item)
-            self.look()
+            self.inject_at_step()
 
-    def disturb(self, items: list) -> list:
+    def apply_message_fault(self, items: list) -> list:
         """Delay, reorder or double what is on its way while there is trouble."""
-        items = self.hold_back(items)
-        ready = [item for at, item in self.late if at <= self.round]
-        self.late = [entry for entry in self.late if entry[0] > self.round]
-        if self.round > self.trouble_ends:
+        items = self.delay_slow_follower(items)
+        ready = [item for at, item in self.delayed if at <= self.round]
+        self.delayed = [entry for entry in self.delayed if entry[0] > self.round]
+        if self.round > self.message_fault_ends:
             return ready + items
-        match self.trouble:
+        match self.message_fault:
             case "late":
-                self.late += [(self.round + LATE_ROUNDS, item) for item in items]
+                self.delayed += [(self.round + DELAY_ROUNDS, item) for item in items]
                 return ready
             case "crossed":
-                late = items[::2]
-                self.late += [(self.round + 3, item) for item in late]
+                delayed = items[::2]
+                self.delayed += [(self.round + 3, item) for item in delayed]
                 return items[1::2][::-1] + ready[::-1]
             case "doubled":
-                self.late += [(self.round + TROUBLE_ROUNDS, item) for item in items]
+                self.delayed += [
+                    (self.round + MESSAGE_FAULT_ROUNDS, item) for item in items
+                ]
                 return ready + [item for item in items for _ in (1, 2)]
         return ready + items
 
-    def hold_back(self, items: list) -> list:
+    def delay_slow_follower(self, items: list) -> list:
         """Let one follower lag until the fault, so that a quorum is just two."""
-        if not self.payload or self.fired:
+        if not self.payload or self.injected:
             return items
         slow = max(n.instance for n in self.cluster.nodes.values() if not n.leads)
         lagging = [item for item in items if item.recipient == slow]
-        self.late += [(self.round + LAG_ROUNDS, item) for item in lagging]
+        self.delayed += [(self.round + LAG_ROUNDS, item) for item in lagging]
         return [item for item in items if item.recipient != slow]
 
     def deliver(self, item) -> None:
@@ -161,38 +170,38 @@
         lost = self.dead_until > self.round and item.sender == self.leader
         if ends & self.cluster.isolated or ends in self.silent or lost:
             return
-        if isinstance(item, Mail):
+        if isinstance(item, PendingMessage):
             item.deliver()
             return
         message = DECODER.decode(item.data)
         event = PeerMessageArrived(item.sender, message)
         self.cluster.step(item.recipient, [event])
 
-    def post(self, sender: str, recipient: str, deliver: Callable) -> None:
-        self.mail.append(Mail(sender, recipient, deliver))
+    def send(self, sender: str, recipient: str, deliver: Callable) -> None:
+        self.messages.append(PendingMessage(sender, recipient, deliver))
 
     # Commands, from an entry without a replica.
 
     def submit(self, name: str, command) -> str:
-        self.asked += 1
-        submit_id = f"submit-{self.asked}"
-        deadline = self.now + PATIENCE_SECONDS
+        self.submitted += 1
+        submit_id = f"submit-{self.submitted}"
+        deadline = self.now + COMMAND_TIMEOUT_SECONDS
         event = CommandSubmitted(submit_id, encode_command(command), deadline)
-        self.tell_client(name, event)
+        self.handle_client_event(name, event)
         return submit_id
 
-    def tell_client(self, name: str, event) -> None:
+    def handle_client_event(self, name: str, event) -> None:
         client = self.clients[name]
         for effect in client.handle(event, self.now, self.cluster.random):
             match effect:
                 case SendTo(instance, message):
-                    self.post(
+                    self.send(
                         name,
                         instance,
                         lambda i=instance, m=message: self.propose(name, i, m),
                     )
                     if message.command == self.payload:
-                        self.marks.add("proposed")
+                        self.steps_reached.add("proposed")
                 case ProposalAnswered(submit_id, _, outcome):
                     self.outcomes[submit_id] = decode_outcome(outcome)
                 case ProposalFailed(submit_id):
@@ -201,91 +210,97 @@
     def propose(self, name: str, instance: str, message) -> None:
         def answer(result: ProposalResult) -> None:
             result = msgspec.structs.replace(result, proposal_id=message.proposal_id)
-            self.post(instance, name, lambda: self.answer(name, instance, result))
+            self.send(instance, name, lambda: self.answer(name, instance, result))
 
-        self.cluster.put(instance, message.command, answer)
+        self.cluster.submit(instance, message.command, answer)
 
     def answer(self, name: str, instance: str, result: ProposalResult) -> None:
-        if result.refusal is None and self.answers_lost:
-            self.answers_lost -= 1
+        if result.refusal is None and self.answers_to_lose:
+            self.answers_to_lose -= 1
             return
         event = ProposalResultArrived(instance, result)
-        self.tell_client(name, event)
+        self.handle_client_event(name, event)
 
-    def ask(self, command, names=PROCESSES[:2]):
+    def commit(self, command, names=PROCESSES_WITHOUT_REPLICA[:2]):
         """Submit a command, and resend it through the other entry until answered."""
-        for number in range(MOST_ROUNDS // 200):
+        for number in range(MAX_ROUNDS // 200):
             submit_id = self.submit(names[number % len(names)], command)
             while submit_id not in self.outcomes:
-                assert self.round < MOST_ROUNDS * 4, "no answer"
+                assert self.round < MAX_ROUNDS * 4, "no answer"
                 self.run_round()
             outcome = self.outcomes[submit_id]
             if not isinstance(outcome, ProposalFailed):
                 return outcome
         raise AssertionError(f"no answer to {command}")
 
-    def change(self, change_id: str, model: str, based_on: int) -> RecordPlan:
+    def plan_command(self, change_id: str, model: str, based_on: int) -> RecordPlan:
         change = Change(put_models=(Model(model, "1"),))
         return RecordPlan(change_id, "rita", based_on, change)
 
     # What is in force in every process.
 
-    def tick_viewers(self) -> None:
-        names = list(self.viewers)
+    def tick_observers(self) -> None:
+        names = list(self.observers)
         for number, name in enumerate(names):
             if name in self.cluster.isolated:
                 continue
             if name in self.cluster.nodes:
                 self.publish(name)
             other = names[(number + self.round) % len(names)]
-            version = self.viewers[other].view.in_force.version
+            version = self.observers[other].view.in_force.version
             if other not in self.cluster.isolated:
                 seen = VersionSeen(other, version)
-                self.post(other, name, lambda n=name, s=seen: self.look_at(n, s))
-            self.look_at(name, ViewTick())
+                self.send(
+                    other, name, lambda n=name, s=seen: self.update_observer(n, s)
+                )
+            self.update_observer(name, ViewTick())
 
     def publish(self, name: str) -> None:
         node = self.cluster.nodes[name]
         if node.running and name not in self.cluster.frozen:
             applied = self.cluster.states[name].configuration
-            self.look_at(name, SnapshotArrived(ConfigurationSnapshot(applied, False)))
+            self.update_observer(
+                name, SnapshotArrived(ConfigurationSnapshot(applied, False))
+            )
 
-    def look_at(self, name: str, event) -> None:
-        viewer = self.viewers[name]
-        for effect in viewer.view.handle(event, self.now):
+    def update_observer(self, name: str, event) -> None:
+        observer = self.observers[name]
+        for effect in observer.view.handle(event, self.now):
             match effect:
-                case AskForConfiguration(address, question):
-                    self.post(
+                case AskForConfiguration(address, query):
+                    self.send(
                         name,
                         address,
-                        lambda a=address, q=question: self.tell(a, name, q),
+                        lambda a=address, q=query: self.answer_query(a, name, q),
                     )
                 case ApplyConfiguration(configuration):
-                    viewer.versions.append(configuration.version)
+                    observer.versions.append(configuration.version)
                     if any(m.name == "wanted" for m in configuration.models):
-                        self.marks.add("in force")
+                        self.steps_reached.add("in force")
 
-    def tell(self, address: str, asker: str, question) -> None:
+    def answer_query(self, address: str, recipient: str, query) -> None:
         """Answer a question for the configuration; a replica asks a quorum first."""
 
         def answer(confirmed: bool) -> None:
-            held = self.viewers[address].view.in_force
+            held = self.observers[address].view.in_force
             if address in self.cluster.nodes:
                 held = self.cluster.states[address].configuration
-            snapshot = ConfigurationSnapshot(held, confirmed, question.query_id)
+            snapshot = ConfigurationSnapshot(held, confirmed, query.query_id)
             arrived = SnapshotArrived(snapshot, address)
-            self.post(address, asker, lambda: self.look_at(asker, arrived))
+            self.send(
+                address, recipient, lambda: self.update_observer(recipient, arrived)
+            )
 
         if address in self.cluster.nodes:
-            self.cluster.ask_quorum(address, answer)
+            self.cluster.read_from_quorum(address, answer)
         else:
             answer(False)
 
     # Steps and faults.
 
-    def look(self) -> None:
+    def inject_at_step(self) -> None:
         """Bring the faults about at the first moment of the step."""
-        if not self.payload or self.fired:
+        if not self.payload or self.injected:
             return
         holders = [
             instance
@@ -294,15 +309,15 @@
         ]
         committed = self.cluster.committed.values()
         if holders:
-            self.marks.add("synced at one")
+            self.steps_reached.add("synced at one")
         if len(holders) > 1:
-            self.marks.add("synced at a quorum")
+            self.steps_reached.add("synced at a quorum")
         if any(entry.payload == self.payload for entry in committed):
-            self.marks.add("applied")
-        if self.step in self.marks:
-            self.fired = True
+            self.steps_reached.add("applied")
+        if self.step in self.steps_reached:
+            self.injected = True
             self.leader = next(
                 n.instance for n in self.cluster.nodes.values() if n.leads
             )
             for fault in self.faults:
-                self.bring(fault)
+                self.inject(fault)
--- a/tests/common/matrix_control_cluster.py
+++ b/tests/common/matrix_control_cluster.py
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Mail:
+class PendingMessage:
     """Be a message to or from a process without a replica."""
 
     sender: str
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Viewer:
+class ConfigurationObserver:
     """Be the configuration in force in one process, and every version it had."""
 
     view: ConfigurationView
@@ -53,8 +53,8 @@
     """Apply the control state on top of the replicas, as the replica's actor does."""
 
     states: dict[str, ControlState] = field(default_factory=dict)
-    proposers: dict[str, Callable] = field(default_factory=dict)
-    questions: dict[str, Callable] = field(default_factory=dict)
+    answer_callbacks: dict[str, Callable] = field(default_factory=dict)
+    pending_reads: dict[str, Callable] = field(default_factory=dict)
     frozen: dict[str, list] = field(default_factory=dict)
 
     def restart(self, instance) -> None:
@@ -72,11 +72,11 @@
         events = self.frozen.pop(instance, [])
         self.step(instance, events)
 
-    def put(self, instance, command: bytes, answer: Callable) -> None:
+    def submit(self, instance, command: bytes, answer: Callable) -> None:
         """Propose under an id of its own: every copy is answered for itself."""
         self.proposed += 1
         proposal_id = f"proposal-{self.proposed}"
-        self.proposers[f"{instance} {proposal_id}"] = answer
+        self.answer_callbacks[f"{instance} {proposal_id}"] = answer
         at = 1000.0 + self.nodes[instance].clock
         self.step(instance, [CommandProposed(proposal_id, command, at)])
 
@@ -92,9 +92,9 @@
             return
         super().perform(node, effect)
         read_id = getattr(effect, "read_id", None)
-        if read_id in self.questions:
+        if read_id in self.pending_reads:
             confirmed = read_id in self.confirmed_reads
-            self.questions.pop(read_id)(confirmed)
+            self.pending_reads.pop(read_id)(confirmed)
 
     def refuse(self, instance, effect: ProposalRefused) -> None:
         """Refuse what was not answered here.
@@ -102,12 +102,12 @@
         A leader that was frozen may say "outcome unknown" of what another leader has
         committed meanwhile; the cluster alone would take that one for the answer.
         """
-        assert f"{instance} {effect.proposal_id}" in self.proposers
+        assert f"{instance} {effect.proposal_id}" in self.answer_callbacks
         self.refused[effect.proposal_id] = effect.reason
         self.answer(instance, effect.proposal_id, 0, b"", effect)
 
     def answer(self, instance, proposal_id, index, outcome, refused=None) -> None:
-        answer = self.proposers.pop(f"{instance} {proposal_id}", None)
+        answer = self.answer_callbacks.pop(f"{instance} {proposal_id}", None)
         if answer is not None:
             reason = refused.reason if refused else None
             leader = refused.leader if refused else None
@@ -126,7 +126,7 @@
         super().install(node, ENCODER.encode(applied.commands), index)
         self.states[node.instance] = ControlState.from_snapshot(applied.state)
 
-    def ask_quorum(self, instance, answer: Callable) -> None:
+    def read_from_quorum(self, instance, answer: Callable) -> None:
         if self.nodes[instance].running and instance not in self.frozen:
-            self.questions[f"read-{len(self.reads)}"] = answer
+            self.pending_reads[f"read-{len(self.reads)}"] = answer
             self.read(instance)
--- a/tests/common/matrix_entry.py
+++ b/tests/common/matrix_entry.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from common.matrix_fleet import Control, Sidecar
-from common.matrix_timeline import Process, Timeline
+from common.matrix_scheduler import EventScheduler, Process
 from cowslipshelf_core.errors import Refusal, RefusalCode, RefusalReason
 from cowslipshelf_core.messages import (
     ClaimAbsent,
@@ -56,7 +56,7 @@
 
 CALL_SECONDS = 2.0
 """Silence after which a call or a stream is given up."""
-MOST_CLAIM_SECONDS = 10.0
+MAX_CLAIM_SECONDS = 10.0
 LEASE_SECONDS = 3.0
 NO_UPSTREAM = Refusal(RefusalCode.NOT_RUN, RefusalReason.NO_UPSTREAM, "place")
 
@@ -65,41 +65,41 @@
 class Connection:
     """Carry an attempt's frames in order; once silent, it stays silent and open."""
 
-    run: "Run"
+    run: "RequestRun"
     attempt_id: str
     silent: bool = False
     closed: bool = False
     ended: bool = False
     sent: int = 0
-    taken: int = 0
-    early: dict[int, Frame] = field(default_factory=dict)
+    delivered: int = 0
+    out_of_order: dict[int, Frame] = field(default_factory=dict)
 
-    def carry(self, frame: Frame) -> None:
+    def send(self, frame: Frame) -> None:
         if self.silent or self.closed or self.ended:
             return
         self.ended = isinstance(frame, StreamEnd)
         self.sent += 1
         run, number = self.run, self.sent
-        run.entry.to_self(run.start, lambda: self.arrive(number, frame))
+        run.entry.deliver(run.start, lambda: self.arrive(number, frame))
 
     def arrive(self, number: int, frame: Frame) -> None:
         """Keep the order; a copy goes on to the machine, which must drop it."""
-        if number <= self.taken:
+        if number <= self.delivered:
             self.run.receive(self, frame)
             return
-        self.early[number] = frame
-        self.run.take_early(self)
+        self.out_of_order[number] = frame
+        self.run.receive_in_order(self)
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         run = self.run
-        run.entry.to_self(run.start, lambda: run.lose_stream(self))
+        run.entry.deliver(run.start, lambda: run.lose_stream(self))
 
 
 @dataclass
 class Entry:
     """Be one entry instance: what it knows of upstreams, and its requests."""
 
-    timeline: Timeline
+    scheduler: EventScheduler
     process: Process
     sidecars: dict[str, Sidecar]
     control: Control
@@ -113,29 +113,31 @@
         self.known.clear()
         self.tick()
 
-    def hear(self, name: str, epoch: str, sequence: int, leaving: bool) -> None:
-        self.known[name] = (self.timeline.now, epoch, sequence, leaving)
+    def record_announcement(
+        self, name: str, epoch: str, sequence: int, leaving: bool
+    ) -> None:
+        self.known[name] = (self.scheduler.now, epoch, sequence, leaving)
 
     def tick(self) -> None:
         owner = OwnerSeen(self.process.name)
         for sidecar in self.sidecars.values():
-            self.timeline.send(
-                sidecar.process, lambda sidecar=sidecar: sidecar.decide(owner)
+            self.scheduler.send(
+                sidecar.process, lambda sidecar=sidecar: sidecar.handle(owner)
             )
-        self.timeline.timer(self.process, 1.0, self.tick)
+        self.scheduler.set_timer(self.process, 1.0, self.tick)
 
-    def to_self(self, start: int, action: Callable) -> None:
+    def deliver(self, start: int, action: Callable) -> None:
         """Let something reach this start of the process over the network."""
 
         def arrive() -> None:
             if self.process.start == start:
                 action()
 
-        self.timeline.send(self.process, arrive)
+        self.scheduler.send(self.process, arrive)
 
     def choose(self, excluded: frozenset[str]) -> Placed | PlacementRefused:
-        for name, (heard_at, epoch, sequence, leaving) in sorted(self.known.items()):
-            fresh = self.timeline.now - heard_at < LEASE_SECONDS
+        for name, (received_at, epoch, sequence, leaving) in sorted(self.known.items()):
+            fresh = self.scheduler.now - received_at < LEASE_SECONDS
             if fresh and not leaving and name not in excluded:
                 self.attempts += 1
                 attempt_id = f"{self.process.name}-{self.process.start}-{self.attempts}"
@@ -144,68 +146,70 @@
         return PlacementRefused(NO_UPSTREAM)
 
 
-class Run:
+class RequestRun:
     """Own one request: its machine, its connection, and what its caller has seen."""
 
-    def __init__(self, entry: Entry, request: CallerRequest, reached: Callable) -> None:
+    def __init__(
+        self, entry: Entry, request: CallerRequest, step_reached: Callable
+    ) -> None:
         self.entry = entry
-        self.timeline = entry.timeline
+        self.scheduler = entry.scheduler
         self.start = entry.process.start
         self.request = request
         self.machine = RequestMachine.from_config(request, RequestConfig())
-        self.reached = reached
+        self.step_reached = step_reached
         self.effects: deque = deque()
-        self.arrived: deque = deque()
+        self.received_frames: deque = deque()
         self.connection: Connection | None = None
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.calls = 0
         self.waiting = False
-        self.twin: Run | None = None
+        self.crossed_run: RequestRun | None = None
         self.events: list = []
         self.answer: list[bytes] = []
         self.finals: list[tuple[float, object]] = []
-        self.deadline = self.timeline.now + request.deadline_seconds
+        self.deadline = self.scheduler.now + request.deadline_seconds
 
     def begin(self) -> None:
         self.handle(Started())
-        self.reached("admitted", self.request)
-        self.timeline.timer(
-            self.entry.process, self.request.deadline_seconds, self.look_at_deadline
+        self.step_reached("admitted", self.request)
+        self.scheduler.set_timer(
+            self.entry.process, self.request.deadline_seconds, self.check_deadline
         )
-        self.watch()
-        self.go()
+        self.check_silence()
+        self.advance()
 
     def handle(self, event) -> None:
         self.events.append(event)
-        self.effects.extend(self.machine.handle(event, self.timeline.now))
-        if self.twin is not None and self.timeline.crosses():
-            self.twin.take_crossed(event)
+        self.effects.extend(self.machine.handle(event, self.scheduler.now))
+        if self.crossed_run is not None and self.scheduler.misdelivers_answers():
+            self.crossed_run.receive_misdelivered(event)
 
-    def take_crossed(self, event) -> None:
+    def receive_misdelivered(self, event) -> None:
         """Take what was meant for another request's attempt."""
         if getattr(event, "attempt_id", None) is not None:
-            self.effects.extend(self.machine.handle(event, self.timeline.now))
-            self.go()
+            self.effects.extend(self.machine.handle(event, self.scheduler.now))
+            self.advance()
 
-    def go(self) -> None:
+    def advance(self) -> None:
         while not self.waiting:
             if self.effects:
                 self.perform(self.effects.popleft())
             elif self.machine.has_ended():
                 self.close()
                 return
-            elif self.connection is not None and self.arrived:
-                self.read(self.arrived.popleft())
+            elif self.connection is not None and self.received_frames:
+                self.read(self.received_frames.popleft())
             else:
                 return
 
-    def look_at_deadline(self) -> None:
+    def check_deadline(self) -> None:
         if not self.waiting and not self.machine.has_ended():
             self.handle(DeadlinePassed())
-            self.go()
+            self.advance()
 
-    def ask(
-        self, seconds: float, lost, question: Callable, local: bool = False
+    def wait_for_answer(
+        self, seconds: float, lost, send_request: Callable, local: bool = False
     ) -> None:
         """Wait for one answer, or for the call's limit.
 
@@ -222,49 +226,49 @@
                 self.waiting = False
                 if connection is not None:
                     self.connection = connection
-                    self.heard_at = self.timeline.now
+                    self.received_at = self.scheduler.now
             elif event is lost:
                 return
             if event is not None:
                 self.handle(event)
             if connection is not None:
-                self.take_early(connection)
-            self.go()
+                self.receive_in_order(connection)
+            self.advance()
 
-        def bring(*args) -> None:
+        def deliver(*args) -> None:
             if local:
-                self.timeline.timer(self.entry.process, 0.0, lambda: answer(*args))
+                self.scheduler.set_timer(self.entry.process, 0.0, lambda: answer(*args))
             else:
-                self.entry.to_self(self.start, lambda: answer(*args))
+                self.entry.deliver(self.start, lambda: answer(*args))
 
-        question(bring)
-        self.timeline.timer(self.entry.process, seconds, lambda: answer(lost))
+        send_request(deliver)
+        self.scheduler.set_timer(self.entry.process, seconds, lambda: answer(lost))
 
-    def call(self, upstream: str, lost, refused, ask: Callable) -> None:
+    def call_sidecar(self, upstream: str, lost, refused, ask: Callable) -> None:
         """Ask a sidecar."""
         sidecar = self.entry.sidecars[upstream]
 
-        def question(answer: Callable) -> None:
-            self.timeline.send(
+        def send_request(answer: Callable) -> None:
+            self.scheduler.send(
                 sidecar.process,
                 lambda: ask(sidecar, answer),
                 lambda: answer(refused),
             )
 
-        self.ask(CALL_SECONDS, lost, question)
+        self.wait_for_answer(CALL_SECONDS, lost, send_request)
 
     def perform(self, effect) -> None:
         match effect:
             case ChoosePlacement(excluded=excluded):
-                self.ask(
+                self.wait_for_answer(
                     CALL_SECONDS,
                     PlacementRefused(NO_UPSTREAM),
                     lambda answer: answer(self.entry.choose(excluded)),
                     local=True,
                 )
             case AskClaim(claim) | MoveClaim(claim) | LookUpClaim(claim):
-                left = self.deadline - self.timeline.now
-                self.ask_control(claim, max(0.0, min(MOST_CLAIM_SECONDS, left)))
+                left = self.deadline - self.scheduler.now
+                self.ask_control(claim, max(0.0, min(MAX_CLAIM_SECONDS, left)))
             case FinishClaim(claim, wait_seconds):
                 self.ask_control(claim, wait_seconds)
             case SendHandOver(upstream, hand_over):
@@ -275,7 +279,7 @@
                 self.resume(upstream, attempt_id, after)
             case Revoke(_, attempt_id, epoch, upstream, sequence):
                 lost = RevokeAnswered(None, attempt_id)
-                self.call(
+                self.call_sidecar(
                     upstream,
                     lost,
                     lost,
@@ -288,19 +292,19 @@
             case Cancel(upstream, attempt_id):
                 sidecar = self.entry.sidecars[upstream]
                 cancel = CancelArrived(attempt_id)
-                self.timeline.send(sidecar.process, lambda: sidecar.decide(cancel))
+                self.scheduler.send(sidecar.process, lambda: sidecar.handle(cancel))
             case AskRetryBudget():
                 self.handle(RetryAnswered(True, 0.5))
             case Wait(seconds):
-                self.ask(max(0.001, seconds), WaitElapsed(), lambda _: None)
+                self.wait_for_answer(max(0.001, seconds), WaitElapsed(), lambda _: None)
             case AnswerHead():
                 assert not self.answer
             case AnswerChunk(data):
                 self.answer.append(data)
             case AnswerEnd() | AnswerRefusal():
-                self.finals.append((self.timeline.now, effect))
+                self.finals.append((self.scheduler.now, effect))
 
-    def ask_control(self, claim, patience: float) -> None:
+    def ask_control(self, claim, timeout_seconds: float) -> None:
         """Put a claim to the state; the end of a request waits for no event."""
 
         def event_of(outcome):
@@ -317,35 +321,35 @@
         unknown = Refusal(
             RefusalCode.OUTCOME_UNKNOWN, RefusalReason.NO_QUORUM, "control"
         )
-        self.ask(
-            patience + 1.0,
+        self.wait_for_answer(
+            timeout_seconds + 1.0,
             event_of(unknown),
-            lambda answer: self.entry.control.ask(
-                claim, patience, lambda outcome: answer(event_of(outcome))
+            lambda answer: self.entry.control.submit(
+                claim, timeout_seconds, lambda outcome: answer(event_of(outcome))
             ),
         )
 
     def send_hand_over(self, upstream: str, hand_over) -> None:
         attempt_id = hand_over.attempt_id
 
-        def take(sidecar: Sidecar, answer: Callable) -> None:
+        def accept(sidecar: Sidecar, answer: Callable) -> None:
             refused = sidecar.hand_over(hand_over)
             connection = Connection(self, attempt_id) if refused is None else None
             answer(HandOverAnswered(refused, attempt_id), connection)
             if connection is not None:
                 sidecar.open_stream(connection, 0)
 
-        self.call(
+        self.call_sidecar(
             upstream,
             HandOverLost(True, attempt_id),
             HandOverLost(False, attempt_id),
-            take,
+            accept,
         )
 
     def resume(self, upstream: str, attempt_id: str, after: int) -> None:
         lost = ResumeAnswered(False, attempt_id)
 
-        def take(sidecar: Sidecar, answer: Callable) -> None:
+        def accept(sidecar: Sidecar, answer: Callable) -> None:
             if attempt_id not in sidecar.frames:
                 answer(lost)
                 return
@@ -353,26 +357,26 @@
             answer(ResumeAnswered(True, attempt_id), connection)
             sidecar.open_stream(connection, after)
 
-        self.call(upstream, lost, lost, take)
+        self.call_sidecar(upstream, lost, lost, accept)
 
-    def take_early(self, connection: Connection) -> None:
+    def receive_in_order(self, connection: Connection) -> None:
         """Take what has come in order; before the answer itself, nothing has."""
         if connection is not self.connection:
             return
-        while connection.taken + 1 in connection.early:
-            connection.taken += 1
-            self.receive(connection, connection.early.pop(connection.taken))
+        while connection.delivered + 1 in connection.out_of_order:
+            connection.delivered += 1
+            self.receive(connection, connection.out_of_order.pop(connection.delivered))
 
     def receive(self, connection: Connection, frame: Frame) -> None:
         if connection is not self.connection:
             return
-        self.heard_at = self.timeline.now
-        self.arrived.append(frame)
-        self.go()
+        self.received_at = self.scheduler.now
+        self.received_frames.append(frame)
+        self.advance()
 
     def read(self, frame: Frame) -> None:
         attempt_id = self.connection.attempt_id
-        if self.timeline.now >= self.deadline:
+        if self.scheduler.now >= self.deadline:
             self.handle(DeadlinePassed())
             return
         if isinstance(frame, StreamHeartbeat):
@@ -382,25 +386,25 @@
         self.handle(FrameArrived(frame, attempt_id))
         if isinstance(frame, StreamChunk) and frame.tokens:
             step = "first token" if frame.sequence <= 2 else "mid-stream"
-            self.reached(step, self.request)
+            self.step_reached(step, self.request)
 
-    def watch(self) -> None:
+    def check_silence(self) -> None:
         """Notice a silent stream, which heartbeats would keep alive."""
-        silent = self.timeline.now - self.heard_at >= CALL_SECONDS
+        silent = self.scheduler.now - self.received_at >= CALL_SECONDS
         if silent and self.connection is not None and not self.waiting:
             self.lose_stream(self.connection)
         if not self.machine.has_ended():
-            self.timeline.timer(self.entry.process, 0.25, self.watch)
+            self.scheduler.set_timer(self.entry.process, 0.25, self.check_silence)
 
     def lose_stream(self, connection: Connection) -> None:
         if connection is self.connection and not self.machine.has_ended():
             attempt_id = connection.attempt_id
             self.close()
             self.handle(StreamLost(attempt_id))
-            self.go()
+            self.advance()
 
     def close(self) -> None:
         if self.connection is not None:
             self.connection.closed = True
         self.connection = None
-        self.arrived.clear()
+        self.received_frames.clear()
--- a/tests/common/matrix_fleet.py
+++ b/tests/common/matrix_fleet.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from common.matrix_timeline import LATENCY_SECONDS, Process, Timeline
+from common.matrix_scheduler import LATENCY_SECONDS, EventScheduler, Process
 from common.sidecars import configuration, description
 from cowslipshelf_core.configuration import FleetConfiguration
 from cowslipshelf_core.control import ControlState, decode_command, encode_command
@@ -43,16 +43,16 @@
 from cowslipshelf_core.sidecar import ConfigurationApplied as InForce
 from cowslipshelf_core.upstream import HandOver
 
-PIECE_SECONDS = 0.1
+CHUNK_SECONDS = 0.1
 TICK_SECONDS = 0.25
 ENGINE_SILENCE_SECONDS = 4.0
-MOST_ENGINE_RESUMES = 3
+MAX_ENGINE_RESUMES = 3
 TOKENS = 5
 HEAD = StreamHead(200, ())
 CLAIM_RETRY_SECONDS = 0.2
 
 
-def pieces_of(body: bytes, delivered: int = 0) -> list[tuple[bytes, int]]:
+def answer_chunks(body: bytes, delivered: int = 0) -> list[tuple[bytes, int]]:
     """Give the pieces of the answer that belongs to a body, and to no other."""
     tokens = [(b"%s-%d " % (body, number), 1) for number in range(TOKENS)]
     opening = [] if delivered else [(b"<open>", 0)]
@@ -60,7 +60,7 @@
 
 
 def whole_answer(body: bytes) -> bytes:
-    return b"".join(data for data, _ in pieces_of(body))
+    return b"".join(data for data, _ in answer_chunks(body))
 
 
 @dataclass
@@ -70,70 +70,70 @@
     It loses the first cancel of every attempt.
     """
 
-    timeline: Timeline
+    scheduler: EventScheduler
     process: Process
-    reached: Callable[[str, HandOver], None]
+    step_reached: Callable[[str, HandOver], None]
     started: list[tuple[float, HandOver]] = field(default_factory=list)
     """The truth about what ran here, whatever dies."""
     held: dict[AttemptId, int] = field(default_factory=dict)
-    made: dict[AttemptId, list[tuple[bytes, int]]] = field(default_factory=dict)
+    produced: dict[AttemptId, list[tuple[bytes, int]]] = field(default_factory=dict)
     readers: dict[AttemptId, Callable] = field(default_factory=dict)
     finished: set[AttemptId] = field(default_factory=set)
-    cancels: set[AttemptId] = field(default_factory=set)
+    cancelled_once: set[AttemptId] = field(default_factory=set)
 
     def run(self, hand_over: HandOver, reader: Callable) -> None:
         attempt_id = hand_over.attempt_id
-        self.started.append((self.timeline.now, hand_over))
+        self.started.append((self.scheduler.now, hand_over))
         self.held[attempt_id] = hand_over.prompt_tokens + hand_over.max_output_tokens
-        self.made[attempt_id] = []
+        self.produced[attempt_id] = []
         self.readers[attempt_id] = reader
-        self.reached("accepted by the engine", hand_over)
-        self.timeline.timer(
-            self.process, PIECE_SECONDS, lambda: self.produce(hand_over)
+        self.step_reached("accepted by the engine", hand_over)
+        self.scheduler.set_timer(
+            self.process, CHUNK_SECONDS, lambda: self.produce(hand_over)
         )
 
     def produce(self, hand_over: HandOver) -> None:
         attempt_id = hand_over.attempt_id
         if attempt_id not in self.held:
             return
-        pieces = pieces_of(hand_over.body, hand_over.delivered_tokens)
-        made = self.made[attempt_id]
-        made.append(pieces[len(made)])
-        last = len(made) == len(pieces)
-        self.readers[attempt_id](len(made), *made[-1], last)
+        chunks = answer_chunks(hand_over.body, hand_over.delivered_tokens)
+        produced = self.produced[attempt_id]
+        produced.append(chunks[len(produced)])
+        last = len(produced) == len(chunks)
+        self.readers[attempt_id](len(produced), *produced[-1], last)
         if last:
             self.finished.add(attempt_id)
         else:
-            self.timeline.timer(
-                self.process, PIECE_SECONDS, lambda: self.produce(hand_over)
+            self.scheduler.set_timer(
+                self.process, CHUNK_SECONDS, lambda: self.produce(hand_over)
             )
 
     def resume(self, attempt_id: AttemptId, after: int, reader: Callable) -> bool:
-        if attempt_id not in self.made:
+        if attempt_id not in self.produced:
             return False
         self.readers[attempt_id] = reader
-        made = self.made[attempt_id]
-        for sequence in range(after + 1, len(made) + 1):
-            last = sequence == len(made) and attempt_id in self.finished
-            reader(sequence, *made[sequence - 1], last)
+        produced = self.produced[attempt_id]
+        for sequence in range(after + 1, len(produced) + 1):
+            last = sequence == len(produced) and attempt_id in self.finished
+            reader(sequence, *produced[sequence - 1], last)
         return True
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        if attempt_id in self.cancels:
+        if attempt_id in self.cancelled_once:
             self.held.pop(attempt_id, None)
-        self.cancels.add(attempt_id)
+        self.cancelled_once.add(attempt_id)
 
-    def end_was_read(self, attempt_id: AttemptId) -> None:
+    def acknowledge_end(self, attempt_id: AttemptId) -> None:
         self.held.pop(attempt_id, None)
 
     def restart(self) -> None:
         self.held.clear()
-        self.made.clear()
+        self.produced.clear()
         self.process.alive = True
 
 
 @dataclass
-class Runner:
+class AttemptRunner:
     """Follow one attempt at the engine, as the sidecar's thread for it does."""
 
     sidecar: "Sidecar"
@@ -141,27 +141,27 @@
     sequence: int = 0
     output_tokens: int = 0
     resumes: int = 0
-    heard_at: float = 0.0
+    received_at: float = 0.0
     cancelled: bool = False
     ended: bool = False
     connection: int = 0
 
     def begin(self) -> None:
-        self.heard_at = self.sidecar.timeline.now
+        self.received_at = self.sidecar.scheduler.now
         reader = self.new_reader()
         engine = self.sidecar.engine
         self.sidecar.call_engine(
             lambda: self.accepted(engine.run(self.hand_over, reader)),
             lambda: self.end(self.failure(RefusalCode.NOT_RUN)),
         )
-        self.watch()
+        self.check_silence()
 
     def accepted(self, _: None) -> None:
         attempt_id = self.hand_over.attempt_id
         self.sidecar.from_engine(lambda: self.started(attempt_id))
 
     def started(self, attempt_id: AttemptId) -> None:
-        self.sidecar.decide(UpstreamAccepted(attempt_id))
+        self.sidecar.handle(UpstreamAccepted(attempt_id))
         if not self.ended:
             self.sidecar.append(attempt_id, HEAD)
 
@@ -171,44 +171,44 @@
 
         def read(sequence: int, data: bytes, tokens: int, last: bool) -> None:
             self.sidecar.from_engine(
-                lambda: self.take(connection, sequence, data, tokens, last)
+                lambda: self.receive(connection, sequence, data, tokens, last)
             )
 
         return read
 
-    def take(self, connection, sequence, data, tokens, last) -> None:
+    def receive(self, connection, sequence, data, tokens, last) -> None:
         if self.ended or connection != self.connection:
             return
-        self.heard_at = self.sidecar.timeline.now
+        self.received_at = self.sidecar.scheduler.now
         attempt_id = self.hand_over.attempt_id
         if self.cancelled:
             self.end(self.failure(RefusalCode.FAILED))
             return
         if self.sequence == 0:
-            self.sidecar.decide(FirstTokenArrived(attempt_id))
+            self.sidecar.handle(FirstTokenArrived(attempt_id))
         self.sequence = sequence
         self.output_tokens += tokens
         self.sidecar.append(attempt_id, StreamChunk(sequence, data, tokens))
         if last:
             engine = self.sidecar.engine
             self.sidecar.call_engine(
-                lambda: engine.end_was_read(attempt_id), lambda: None
+                lambda: engine.acknowledge_end(attempt_id), lambda: None
             )
             self.end(None)
 
-    def watch(self) -> None:
+    def check_silence(self) -> None:
         if self.ended:
             return
-        timeline = self.sidecar.timeline
-        if timeline.now - self.heard_at >= ENGINE_SILENCE_SECONDS:
-            self.lost()
-        timeline.timer(self.sidecar.process, TICK_SECONDS, self.watch)
+        scheduler = self.sidecar.scheduler
+        if scheduler.now - self.received_at >= ENGINE_SILENCE_SECONDS:
+            self.resume_stream()
+        scheduler.set_timer(self.sidecar.process, TICK_SECONDS, self.check_silence)
 
-    def lost(self) -> None:
+    def resume_stream(self) -> None:
         """Ask the engine for the rest; a few times at most."""
-        self.heard_at = self.sidecar.timeline.now
+        self.received_at = self.sidecar.scheduler.now
         self.resumes += 1
-        if self.cancelled or self.resumes > MOST_ENGINE_RESUMES:
+        if self.cancelled or self.resumes > MAX_ENGINE_RESUMES:
             self.end(self.failure(RefusalCode.FAILED))
             return
         reader = self.new_reader()
@@ -216,11 +216,11 @@
 
         def ask() -> None:
             if not engine.resume(attempt_id, self.sequence, reader):
-                self.sidecar.from_engine(self.cut)
+                self.sidecar.from_engine(self.fail)
 
-        self.sidecar.call_engine(ask, self.cut)
+        self.sidecar.call_engine(ask, self.fail)
 
-    def cut(self) -> None:
+    def fail(self) -> None:
         self.end(self.failure(RefusalCode.FAILED))
 
     def failure(self, code: RefusalCode) -> Refusal:
@@ -233,22 +233,22 @@
         attempt_id = self.hand_over.attempt_id
         self.sidecar.append(attempt_id, StreamEnd(self.sequence, refusal))
         if refusal is None:
-            self.sidecar.reached("last token", self.hand_over)
+            self.sidecar.step_reached("last token", self.hand_over)
         whole = refusal is None
-        self.sidecar.decide(UpstreamFinished(attempt_id, whole, self.output_tokens))
+        self.sidecar.handle(UpstreamFinished(attempt_id, whole, self.output_tokens))
 
 
 @dataclass
 class Sidecar:
     """Perform the effects of `SidecarState` in the order of the daemon's actor."""
 
-    timeline: Timeline
+    scheduler: EventScheduler
     process: Process
     engine: Engine
-    reached: Callable[[str, HandOver], None]
+    step_reached: Callable[[str, HandOver], None]
     listeners: list = field(default_factory=list)
     """Entries that hear its announcements."""
-    taken: list[tuple[float, AttemptId]] = field(default_factory=list)
+    accepted_attempts: list[tuple[float, AttemptId]] = field(default_factory=list)
     configuration: FleetConfiguration = field(default_factory=configuration)
     left_at: float | None = None
 
@@ -260,9 +260,9 @@
         self.state = SidecarState.from_config(config)
         self.frames: dict[AttemptId, list[Frame]] = {}
         self.readers: list = []
-        self.runners: dict[AttemptId, Runner] = {}
+        self.runners: dict[AttemptId, AttemptRunner] = {}
         self.ticks = 0
-        self.decide(InForce(self.configuration))
+        self.handle(InForce(self.configuration))
         self.tick()
 
     @property
@@ -270,33 +270,41 @@
         return Epoch(f"{self.process.name}-start-{self.process.start}")
 
     def leave(self) -> None:
-        self.left_at = self.timeline.now
-        self.decide(LeavingStarted())
+        self.left_at = self.scheduler.now
+        self.handle(LeavingStarted())
 
     def drain(self) -> None:
         """Put a configuration in force that drains this upstream, for good."""
-        self.left_at = self.timeline.now
+        self.left_at = self.scheduler.now
         self.configuration = configuration(2, draining=(self.process.name,))
         if self.process.alive:
-            self.decide(InForce(self.configuration))
+            self.handle(InForce(self.configuration))
 
     def tick(self) -> None:
         self.ticks += 1
-        self.decide(TickElapsed())
+        self.handle(TickElapsed())
         if self.ticks % 4 == 0:
             self.call_engine(self.read_inventory, lambda: None)
             for connection in self.readers:
-                connection.carry(StreamHeartbeat())
+                connection.send(StreamHeartbeat())
         if self.ticks % 2 == 1:
             sequence = self.state.load_report().sequence
-            news = (self.process.name, self.epoch, sequence, self.left_at is not None)
+            announcement = (
+                self.process.name,
+                self.epoch,
+                sequence,
+                self.left_at is not None,
+            )
             for entry in self.listeners:
-                self.timeline.send(entry.process, lambda entry=entry: entry.hear(*news))
-        self.timeline.timer(self.process, TICK_SECONDS, self.tick)
+                self.scheduler.send(
+                    entry.process,
+                    lambda entry=entry: entry.record_announcement(*announcement),
+                )
+        self.scheduler.set_timer(self.process, TICK_SECONDS, self.tick)
 
     def read_inventory(self) -> None:
         held = tuple(HeldMemory(*item) for item in self.engine.held.items())
-        self.from_engine(lambda: self.decide(InventoryRead(held)))
+        self.from_engine(lambda: self.handle(InventoryRead(held)))
 
     def call_engine(self, action: Callable, refused: Callable) -> None:
         """Ask over a fresh connection; no such call is repeated by the network."""
@@ -304,29 +312,29 @@
 
         def arrive() -> None:
             if self.engine.process.alive:
-                self.engine.process.enter(action)
+                self.engine.process.deliver(action)
             elif self.process.start == start:
-                self.process.enter(refused)
+                self.process.deliver(refused)
 
-        self.timeline.after(LATENCY_SECONDS, arrive)
+        self.scheduler.call_later(LATENCY_SECONDS, arrive)
 
     def from_engine(self, action: Callable) -> None:
-        self.timeline.timer(self.process, LATENCY_SECONDS, action)
+        self.scheduler.set_timer(self.process, LATENCY_SECONDS, action)
 
-    def decide(self, event) -> None:
-        for effect in self.state.handle(event, self.timeline.now):
+    def handle(self, event) -> None:
+        for effect in self.state.handle(event, self.scheduler.now):
             self.perform(effect)
 
     def hand_over(self, hand_over: HandOver) -> AttemptRefused | None:
-        self.decide(OwnerSeen(hand_over.owner))
-        effects = self.state.handle(HandOverArrived(hand_over), self.timeline.now)
+        self.handle(OwnerSeen(hand_over.owner))
+        effects = self.state.handle(HandOverArrived(hand_over), self.scheduler.now)
         refused = None
         for effect in effects:
             if isinstance(effect, RefuseAttempt):
                 refused = effect.refused
         if refused is None:
             self.frames[hand_over.attempt_id] = []
-            self.taken.append((self.timeline.now, hand_over.attempt_id))
+            self.accepted_attempts.append((self.scheduler.now, hand_over.attempt_id))
         for effect in effects:
             self.perform(effect)
         return refused
@@ -336,7 +344,7 @@
     ) -> NeverRan | MayHaveRun:
         answer = MayHaveRun(attempt_id, known=False)
         event = RevokeArrived(attempt_id, epoch, sequence)
-        for effect in self.state.handle(event, self.timeline.now):
+        for effect in self.state.handle(event, self.scheduler.now):
             match effect:
                 case AnswerRevoke():
                     answer = effect.answer
@@ -347,9 +355,9 @@
     def perform(self, effect) -> None:
         match effect:
             case StartAttempt(hand_over):
-                runner = Runner(self, hand_over)
+                runner = AttemptRunner(self, hand_over)
                 self.runners[hand_over.attempt_id] = runner
-                self.reached("handed over", hand_over)
+                self.step_reached("handed over", hand_over)
                 runner.begin()
             case EndAttempt(attempt_id, refusal):
                 self.append(attempt_id, StreamEnd(0, refusal))
@@ -369,21 +377,21 @@
         frames.append(frame)
         for connection in self.readers:
             if connection.attempt_id == attempt_id:
-                connection.carry(frame)
+                connection.send(frame)
 
     def open_stream(self, connection, after: int) -> None:
         self.readers.append(connection)
         for frame in self.frames[connection.attempt_id]:
             if not isinstance(frame, StreamChunk) or frame.sequence > after:
-                connection.carry(frame)
+                connection.send(frame)
 
 
 @dataclass
 class Control:
     """Be the replicated state, which has no leader now and then."""
 
-    timeline: Timeline
-    reached: Callable[[str, object], None]
+    scheduler: EventScheduler
+    step_reached: Callable[[str, object], None]
     state: ControlState = field(default_factory=ControlState)
     down_until: float = 0.0
     answers_lost_at: float = -1.0
@@ -391,33 +399,33 @@
 
     def fail(self, seconds: float) -> None:
         """Lose the leader: what it answered just now is lost as well."""
-        self.down_until = self.timeline.now + seconds
-        self.answers_lost_at = self.timeline.now
+        self.down_until = self.scheduler.now + seconds
+        self.answers_lost_at = self.scheduler.now
 
-    def ask(self, command, patience: float, answer: Callable) -> None:
+    def submit(self, command, timeout_seconds: float, answer: Callable) -> None:
         """Commit a command, again where its answer is lost, until patience ends."""
         data = encode_command(command)
-        give_up_at = self.timeline.now + patience
+        give_up_at = self.scheduler.now + timeout_seconds
 
         def attempt() -> None:
-            if self.timeline.now >= give_up_at:
+            if self.scheduler.now >= give_up_at:
                 unknown = RefusalCode.OUTCOME_UNKNOWN
                 answer(Refusal(unknown, RefusalReason.NO_QUORUM, "control"))
-            elif self.timeline.now < self.down_until:
-                self.timeline.after(CLAIM_RETRY_SECONDS, attempt)
+            elif self.scheduler.now < self.down_until:
+                self.scheduler.call_later(CLAIM_RETRY_SECONDS, attempt)
             else:
                 self.commit(decode_command(data), answer, attempt)
 
-        self.timeline.after(LATENCY_SECONDS, attempt, message=True)
+        self.scheduler.call_later(LATENCY_SECONDS, attempt, message=True)
 
-    def commit(self, command, answer: Callable, again: Callable) -> None:
+    def commit(self, command, answer: Callable, retry: Callable) -> None:
         self.index += 1
-        applied_at = self.timeline.now
+        applied_at = self.scheduler.now
         outcome = self.state.apply(command, self.index, applied_at)
-        self.reached(type(command).__name__, command)
+        self.step_reached(type(command).__name__, command)
 
-        def bring() -> None:
+        def deliver() -> None:
             lost = self.answers_lost_at >= applied_at
-            again() if lost else answer(outcome)
+            retry() if lost else answer(outcome)
 
-        self.timeline.after(LATENCY_SECONDS, bring, message=True)
+        self.scheduler.call_later(LATENCY_SECONDS, deliver, message=True)
--- a/tests/common/matrix_requests.py
+++ b/tests/common/matrix_requests.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from common.matrix_entry import CALL_SECONDS, Entry, Run
+from common.matrix_entry import CALL_SECONDS, Entry, RequestRun
 from common.matrix_fleet import Control, Engine, Sidecar, whole_answer
-from common.matrix_timeline import Process, Timeline
+from common.matrix_scheduler import EventScheduler, Process
 from common.requests_world import caller_request
 from common.sidecars import MEMORY_TOKENS
 from cowslipshelf_core.errors import RefusalCode
@@ -23,42 +23,44 @@
 MARGIN_SECONDS = CALL_SECONDS + 1.0
 """A call under way at the deadline is bounded by its own limit."""
 KINDS = ("keyed", "repeatable", "whole", "once")
-LEAVING = {"drain while busy", "shutdown while busy"}
-STEPS_OF_KEYED = ("claimed", "answer stored")
-STEPS = {"ClaimAsked": "claimed", "ClaimFinished": "answer stored"}
+LEAVING_FAULTS = {"drain while busy", "shutdown while busy"}
+KEYED_STEPS = ("claimed", "answer stored")
+STEP_OF_COMMAND = {"ClaimAsked": "claimed", "ClaimFinished": "answer stored"}
 
 
 @dataclass
-class RequestWorld:
+class RequestSimulation:
     """Run a caller's request beside a neighbour's, and bring about the faults."""
 
     kind: str
     step: str
     faults: tuple[str, ...]
-    timeline: Timeline = field(default_factory=Timeline)
-    runs: list[Run] = field(default_factory=list)
-    fired: bool = False
-    cut_runs: set[str] = field(default_factory=set)
+    scheduler: EventScheduler = field(default_factory=EventScheduler)
+    runs: list[RequestRun] = field(default_factory=list)
+    injected: bool = False
+    disconnected: set[str] = field(default_factory=set)
     """Requests whose entry died: their callers see their connection cut."""
 
     def __post_init__(self) -> None:
-        timeline = self.timeline
-        self.control = Control(timeline, self.reached)
+        scheduler = self.scheduler
+        self.control = Control(scheduler, self.step_reached)
         self.sidecars = {}
         self.entries = {}
         for name in UPSTREAMS:
-            engine = Engine(timeline, Process(f"engine of {name}"), self.reached)
-            self.sidecars[name] = Sidecar(timeline, Process(name), engine, self.reached)
+            engine = Engine(scheduler, Process(f"engine of {name}"), self.step_reached)
+            self.sidecars[name] = Sidecar(
+                scheduler, Process(name), engine, self.step_reached
+            )
         for name in ENTRIES:
             self.entries[name] = Entry(
-                timeline, Process(name), self.sidecars, self.control, self.is_alive
+                scheduler, Process(name), self.sidecars, self.control, self.is_alive
             )
         for sidecar in self.sidecars.values():
             sidecar.listeners = list(self.entries.values())
             sidecar.boot()
         for entry in self.entries.values():
             entry.boot()
-        timeline.run(timeline.now + SETTLING_SECONDS)
+        scheduler.run(scheduler.now + SETTLING_SECONDS)
 
     def is_alive(self, entry: str) -> bool:
         process = self.entries[entry].process
@@ -66,7 +68,7 @@
 
     # The request and its steps.
 
-    def begin(self, request_id: str, entry: str, body: bytes) -> Run:
+    def begin(self, request_id: str, entry: str, body: bytes) -> RequestRun:
         request = caller_request(
             request_id=request_id,
             owner=entry,
@@ -83,29 +85,33 @@
         )
         if not request_id.startswith("main"):
             request = request._replace(idempotency_key=None)
-        run = Run(self.entries[entry], request, self.reached)
+        run = RequestRun(self.entries[entry], request, self.step_reached)
         self.runs.append(run)
         run.begin()
         return run
 
-    def reached(self, step: str, what) -> None:
+    def step_reached(self, step: str, subject) -> None:
         """Bring the faults about as soon as the request comes to the step."""
-        step = STEPS.get(step, step)
-        if self.fired or step != self.step or not what.request_id.startswith("main"):
+        step = STEP_OF_COMMAND.get(step, step)
+        if (
+            self.injected
+            or step != self.step
+            or not subject.request_id.startswith("main")
+        ):
             return
-        self.fired = True
+        self.injected = True
         for fault in self.faults:
-            self.timeline.after(0.0, lambda fault=fault: self.bring(fault))
+            self.scheduler.call_later(0.0, lambda fault=fault: self.inject(fault))
 
     def run(self) -> None:
         """Go through the request, its caller's resends, and all that comes late."""
         self.begin("other-1", "entry-1", b"other")
         first = self.begin("main-0", "entry-1", b"main")
-        start = self.timeline.now
+        start = self.scheduler.now
         for number, seconds in enumerate(RESEND_SECONDS, start=1):
-            self.timeline.run(start + seconds)
+            self.scheduler.run(start + seconds)
             entry = ENTRIES[number % len(ENTRIES)]
-            unanswered = not first.finals or "main-0" in self.cut_runs
+            unanswered = not first.finals or "main-0" in self.disconnected
             sent_again = self.kind == "keyed" or (
                 self.kind != "once" and unanswered and number == len(RESEND_SECONDS)
             )
@@ -113,8 +119,8 @@
                 self.begin(f"main-{number}", entry, b"main")
         bound = SidecarConfig("", "").max_reservation_seconds(DEADLINE_SECONDS)
         grace = SidecarConfig("", "").unclaimed_grace_seconds + 4.0
-        self.timeline.run(start + RESEND_SECONDS[-1] + DEADLINE_SECONDS)
-        self.timeline.run(self.timeline.now + bound + grace)
+        self.scheduler.run(start + RESEND_SECONDS[-1] + DEADLINE_SECONDS)
+        self.scheduler.run(self.scheduler.now + bound + grace)
 
     # Faults.
 
@@ -127,8 +133,8 @@
                     return sidecar
         return self.sidecars[UPSTREAMS[0]]
 
-    def bring(self, fault: str) -> None:
-        later = self.timeline.after
+    def inject(self, fault: str) -> None:
+        later = self.scheduler.call_later
         sidecar, engine = self.target, self.target.engine
         entry = self.entries[ENTRIES[0]]
         match fault:
@@ -136,16 +142,16 @@
                 engine.process.kill()
                 engine.held.clear()
                 for runner in sidecar.runners.values():
-                    sidecar.from_engine(runner.lost)
+                    sidecar.from_engine(runner.resume_stream)
                 later(RESTART_SECONDS, engine.restart)
             case "sidecar killed":
                 sidecar.process.kill()
-                self.timeline.lose_messages()
+                self.scheduler.lose_messages()
                 for connection in sidecar.readers:
-                    connection.cut()
+                    connection.disconnect()
                 later(RESTART_SECONDS, sidecar.boot)
             case "entry killed":
-                self.cut_runs |= {
+                self.disconnected |= {
                     run.request.request_id
                     for run in self.runs
                     if run.entry is entry and not run.finals
@@ -163,43 +169,43 @@
             case "entry frozen and resumed":
                 self.freeze(entry.process)
             case "connection silent":
-                self.timeline.lose_messages()
+                self.scheduler.lose_messages()
                 for connection in sidecar.readers:
                     connection.silent = True
             case "engine connection silent":
                 for runner in sidecar.runners.values():
                     runner.connection += 1
             case "message late":
-                self.timeline.begin_trouble("late")
+                self.scheduler.start_message_fault("late")
             case "message doubled":
-                self.timeline.begin_trouble("doubled")
+                self.scheduler.start_message_fault("doubled")
             case "message crossed":
-                self.timeline.begin_trouble("crossed")
-                self.cross_answers()
+                self.scheduler.start_message_fault("crossed")
+                self.misdeliver_answers()
             case "drain while busy":
                 # A dead sidecar learns of it when it starts again.
                 alive = sidecar.process.alive
-                sidecar.process.enter(sidecar.drain) if alive else sidecar.drain()
+                sidecar.process.deliver(sidecar.drain) if alive else sidecar.drain()
             case "shutdown while busy":
-                sidecar.process.enter(sidecar.leave)
+                sidecar.process.deliver(sidecar.leave)
             case _:
                 raise ValueError(fault)
 
     def freeze(self, process: Process) -> None:
         process.frozen = process.alive
-        self.timeline.after(FREEZE_SECONDS, process.resume)
+        self.scheduler.call_later(FREEZE_SECONDS, process.resume)
 
-    def cross_answers(self) -> None:
+    def misdeliver_answers(self) -> None:
         """Give each machine what the other one was told of its attempts."""
         first, second = self.runs[:2]
         for run, other in ((first, second), (second, first)):
             for event in other.events:
-                run.take_crossed(event)
-            other.twin = run
+                run.receive_misdelivered(event)
+            other.crossed_run = run
 
     # Promises.
 
-    def started(self) -> list[tuple[str, str]]:
+    def started_attempts(self) -> list[tuple[str, str]]:
         """List request and attempt of everything that any engine ran."""
         return [
             (hand_over.request_id, hand_over.attempt_id)
@@ -208,7 +214,7 @@
         ]
 
     def check(self) -> None:
-        assert self.fired, "the step was never reached"
+        assert self.injected, "the step was never reached"
         self.check_answers()
         self.check_runs()
         self.check_memory()
@@ -216,10 +222,10 @@
 
     def check_answers(self) -> None:
         for run in self.runs:
-            if run.request.request_id not in self.cut_runs:
+            if run.request.request_id not in self.disconnected:
                 self.check_answer(run)
 
-    def check_answer(self, run: Run) -> None:
+    def check_answer(self, run: RequestRun) -> None:
         request = run.request
         name = request.request_id
         assert len(run.finals) == 1, f"{name} got {len(run.finals)} final answers"
@@ -253,8 +259,8 @@
         ]
 
     def check_runs(self) -> None:
-        ran = [item for item in self.started() if item[0].startswith("main")]
-        attempts = [attempt for _, attempt in self.started()]
+        ran = [item for item in self.started_attempts() if item[0].startswith("main")]
+        attempts = [attempt for _, attempt in self.started_attempts()]
         assert len(set(attempts)) == len(attempts), f"doubled attempt in {attempts}"
         if self.kind in ("keyed", "once"):
             assert len(ran) <= 1, f"ran more than once: {ran}"
@@ -262,13 +268,15 @@
     def check_leaving(self) -> None:
         """Check by what the sidecar took; a frozen engine may begin it later."""
         for sidecar in self.sidecars.values():
-            taken = {attempt for _, attempt in sidecar.taken}
+            accepted = {attempt for _, attempt in sidecar.accepted_attempts}
             ran = {hand_over.attempt_id for _, hand_over in sidecar.engine.started}
-            assert ran <= taken, f"{ran - taken} ran without being taken"
+            assert ran <= accepted, f"{ran - accepted} ran without being taken"
             if sidecar.left_at is not None:
-                late = [a for at, a in sidecar.taken if at > sidecar.left_at]
+                late = [
+                    a for at, a in sidecar.accepted_attempts if at > sidecar.left_at
+                ]
                 assert not late, f"a leaving upstream took {late}"
-        if LEAVING.issuperset(self.faults):
+        if LEAVING_FAULTS.issuperset(self.faults):
             finals = {run.request.request_id: run.finals[-1][1] for run in self.runs}
             for name in ("main-0", "other-1"):
                 assert isinstance(finals[name], AnswerEnd), f"{name} was cut"
--- a/tests/common/matrix_timeline.py
+++ b/tests/common/matrix_scheduler.py
@@ -8,12 +8,12 @@
 Action = Callable[[], None]
 
 LATENCY_SECONDS = 0.01
-TROUBLE_SECONDS = 0.3
+MESSAGE_FAULT_SECONDS = 0.3
 """For so long after its fault, messages are late, crossed or doubled."""
-LATE_SECONDS = 8.0
-COPY_SECONDS = (0.05, 6.0)
-CROSSING = 3.0
-CROSSED_SECONDS = 2.0
+DELAY_SECONDS = 8.0
+DUPLICATE_DELAYS_SECONDS = (0.05, 6.0)
+REORDER_FACTOR = 3.0
+MISDELIVERY_SECONDS = 2.0
 """For so long after the trouble, what it delayed still comes to the wrong one."""
 
 
@@ -25,25 +25,25 @@
     start: int = 1
     alive: bool = True
     frozen: bool = False
-    waiting: list[Action] = field(default_factory=list)
+    pending: list[Action] = field(default_factory=list)
 
-    def enter(self, action: Action) -> None:
+    def deliver(self, action: Action) -> None:
         if self.alive:
-            self.waiting.append(action) if self.frozen else action()
+            self.pending.append(action) if self.frozen else action()
 
     def kill(self) -> None:
         self.start += 1
         self.alive = self.frozen = False
-        self.waiting.clear()
+        self.pending.clear()
 
     def resume(self) -> None:
         self.frozen = False
-        while self.waiting and self.alive:
-            self.waiting.pop(0)()
+        while self.pending and self.alive:
+            self.pending.pop(0)()
 
 
 @dataclass(order=True)
-class Due:
+class ScheduledEvent:
     """Be something that happens at its time."""
 
     at: float
@@ -53,28 +53,30 @@
 
 
 @dataclass
-class Timeline:
+class EventScheduler:
     """Order everything that happens; equal histories every time."""
 
     now: float = 100.0
-    queue: list[Due] = field(default_factory=list)
-    numbers: count = field(default_factory=count)
-    trouble: str = ""
-    trouble_ends: float = 0.0
-
-    def after(self, seconds: float, action: Action, message: bool = False) -> None:
-        due = Due(self.now + seconds, next(self.numbers), action, message)
+    queue: list[ScheduledEvent] = field(default_factory=list)
+    sequence_numbers: count = field(default_factory=count)
+    message_fault: str = ""
+    message_fault_ends: float = 0.0
+
+    def call_later(self, seconds: float, action: Action, message: bool = False) -> None:
+        due = ScheduledEvent(
+            self.now + seconds, next(self.sequence_numbers), action, message
+        )
         heappush(self.queue, due)
 
-    def timer(self, process: Process, seconds: float, action: Action) -> None:
+    def set_timer(self, process: Process, seconds: float, action: Action) -> None:
         """Wake a process, unless it has died meanwhile."""
         start = process.start
 
         def wake() -> None:
             if process.start == start:
-                process.enter(action)
+                process.deliver(action)
 
-        self.after(seconds, wake)
+        self.call_later(seconds, wake)
 
     def send(
         self, process: Process, action: Action, refused: Action | None = None
@@ -83,40 +85,40 @@
 
         def arrive() -> None:
             if process.alive:
-                process.enter(action)
+                process.deliver(action)
             elif refused is not None:
-                self.after(LATENCY_SECONDS, refused)
+                self.call_later(LATENCY_SECONDS, refused)
 
-        for seconds in self.travel_seconds():
-            self.after(seconds, arrive, message=True)
+        for seconds in self.delivery_delays():
+            self.call_later(seconds, arrive, message=True)
 
-    def travel_seconds(self) -> tuple[float, ...]:
-        left = self.trouble_ends - self.now
+    def delivery_delays(self) -> tuple[float, ...]:
+        left = self.message_fault_ends - self.now
         if left <= 0:
             return (LATENCY_SECONDS,)
-        match self.trouble:
+        match self.message_fault:
             case "late":
-                return (LATENCY_SECONDS + LATE_SECONDS,)
+                return (LATENCY_SECONDS + DELAY_SECONDS,)
             case "crossed":
-                return (LATENCY_SECONDS + left * CROSSING,)
+                return (LATENCY_SECONDS + left * REORDER_FACTOR,)
             case "doubled":
-                return (LATENCY_SECONDS, *COPY_SECONDS)
+                return (LATENCY_SECONDS, *DUPLICATE_DELAYS_SECONDS)
         return (LATENCY_SECONDS,)
 
-    def crosses(self) -> bool:
+    def misdelivers_answers(self) -> bool:
         """Tell whether answers come to the wrong request now."""
-        over = self.now > self.trouble_ends + CROSSED_SECONDS
-        return self.trouble == "crossed" and not over
+        over = self.now > self.message_fault_ends + MISDELIVERY_SECONDS
+        return self.message_fault == "crossed" and not over
 
-    def begin_trouble(self, trouble: str) -> None:
+    def start_message_fault(self, message_fault: str) -> None:
         """Let messages go wrong, those on their way included."""
-        self.trouble = trouble
-        self.trouble_ends = self.now + TROUBLE_SECONDS
+        self.message_fault = message_fault
+        self.message_fault_ends = self.now + MESSAGE_FAULT_SECONDS
         for due in [due for due in self.queue if due.message]:
-            seconds = [wait - LATENCY_SECONDS for wait in self.travel_seconds()]
-            if trouble == "doubled":
+            seconds = [wait - LATENCY_SECONDS for wait in self.delivery_delays()]
+            if message_fault == "doubled":
                 for wait in seconds[1:]:
-                    self.after(wait, due.action, message=True)
+                    self.call_later(wait, due.action, message=True)
             else:
                 due.at += seconds[0]
         heapify(self.queue)
