--- a/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/secrets.py
@@ -1,4 +1,4 @@
-"""Keep secrets out of log lines."""
+"""Mask secrets in log entries."""
 
 import dataclasses
 import re
@@ -9,11 +9,11 @@
 from structlog.typing import EventDict, WrappedLogger
 
 MASK = "***"
-DEEPEST_VALUE = 8
-TOO_DEEP = "..."
+MAX_DEPTH = 8
+TRUNCATED_VALUE = "..."
 
 SECRET_NAMES = frozenset({"authorization", "proxy_authorization"})
-SECRET_LAST_WORDS = (
+SECRET_SUFFIXES = (
     "_cookie",
     "_key",
     "_keys",
@@ -23,54 +23,54 @@
     "_secret",
     "_token",
 )
-BEARER = re.compile(r"(?i)\b(bearer\s+)[^\s'\",;]+")
+BEARER_PATTERN = re.compile(r"(?i)\b(bearer\s+)[^\s'\",;]+")
 
 
 def mask_secrets(_logger: WrappedLogger, _method: str, event: EventDict) -> EventDict:
-    """Mask secrets by the names they stand under, however deep they are nested."""
-    return {name: masked_field(name, value, 0) for name, value in event.items()}
+    """Mask values whose field names mark them as secret, at any depth."""
+    return {name: mask_field(name, value, 0) for name, value in event.items()}
 
 
-def masked_field(name: object, value: Any, depth: int) -> Any:
-    """Mask a value if its name says that it is secret, else what is inside it."""
+def mask_field(name: object, value: Any, depth: int) -> Any:
+    """Mask a value whose name marks it as secret, or else the secrets inside it."""
     if is_secret_name(name):
         return MASK
-    return masked_value(value, depth)
+    return mask_value(value, depth)
 
 
 def is_secret_name(name: object) -> bool:
-    """Tell whether values under a name must not be logged."""
+    """Return whether the values of a field must not be logged."""
     if not isinstance(name, str):
         return False
     plain = name.lower().replace("-", "_")
-    return plain in SECRET_NAMES or f"_{plain}".endswith(SECRET_LAST_WORDS)
+    return plain in SECRET_NAMES or f"_{plain}".endswith(SECRET_SUFFIXES)
 
 
-def masked_value(value: Any, depth: int) -> Any:
-    """Mask what is secret inside a value."""
-    # A value that contains itself would else recurse until the thread dies.
-    if depth > DEEPEST_VALUE:
-        return TOO_DEEP
+def mask_value(value: Any, depth: int) -> Any:
+    """Mask the secrets inside a value and convert it to plain data."""
+    # Without a bound, a value that contains itself would recurse without end.
+    if depth > MAX_DEPTH:
+        return TRUNCATED_VALUE
     if isinstance(value, str):
         return mask_bearer(value)
     if isinstance(value, bytes | bytearray | memoryview):
-        # Bodies hold callers' own matters; how long they are is all that is told.
+        # Bodies hold callers' private data, so only their length is logged.
         return f"{len(value)} bytes"
     fields = named_fields(value)
     if fields is not None:
         return {
-            field_name(name): masked_field(name, inner, depth + 1)
+            field_name(name): mask_field(name, inner, depth + 1)
             for name, inner in fields.items()
         }
     if isinstance(value, list | tuple | set | frozenset):
-        return [masked_item(item, depth + 1) for item in value]
+        return [mask_item(item, depth + 1) for item in value]
     if value is None or isinstance(value, bool | int | float):
         return value
-    return mask_bearer(safe_text(value))
+    return mask_bearer(safe_repr(value))
 
 
 def named_fields(value: Any) -> Mapping[Any, Any] | None:
-    """Return the fields of a mapping, record, document or data class."""
+    """Return the fields of a mapping, named tuple, struct or data class, or None."""
     if isinstance(value, Mapping):
         return value
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
@@ -83,26 +83,26 @@
     return None
 
 
-def masked_item(item: Any, depth: int) -> Any:
-    """Mask an item of a list; headers come as pairs of a name and a value."""
+def mask_item(item: Any, depth: int) -> Any:
+    """Mask a list item; headers are pairs of a name and a value."""
     match item:
         case (str() as name, value):
-            return [name, masked_field(name, value, depth)]
-    return masked_value(item, depth)
+            return [name, mask_field(name, value, depth)]
+    return mask_value(item, depth)
 
 
 def mask_bearer(text: str) -> str:
-    """Mask a key that follows the word bearer within a text."""
-    return BEARER.sub(rf"\g<1>{MASK}", text)
+    """Mask the key after the word "bearer" in a text."""
+    return BEARER_PATTERN.sub(rf"\g<1>{MASK}", text)
 
 
 def field_name(name: object) -> str:
-    """Give a field name that every format can write."""
-    return name if isinstance(name, str) else safe_text(name)
+    """Return a field name as text, which every log format can write."""
+    return name if isinstance(name, str) else safe_repr(name)
 
 
-def safe_text(value: object) -> str:
-    """Show any value, also one that cannot show itself."""
+def safe_repr(value: object) -> str:
+    """Return the repr of a value, or a note if its `__repr__` fails."""
     try:
         return repr(value)
     except Exception as error:
