--- a/examples/first_fleet.py
+++ b/examples/first_fleet.py
@@ -1,6 +1,7 @@
-"""Show the system at work: a fleet, a confirmed plan, streams, one run for two sends.
+"""Run a fleet, confirm a plan, stream answers, and send one keyed request twice.
 
-Exits with 0 only if every answer was whole and every process ended gracefully.
+Exits with 0 only if all answers were complete, the keyed request ran once and all
+daemons shut down gracefully.
 """
 
 import json
@@ -49,7 +50,7 @@
 
 
 class Answer(NamedTuple):
-    """Be what came back for one streamed request."""
+    """Hold the result of one streamed request."""
 
     label: str
     status: int
@@ -59,14 +60,14 @@
 
 
 def stream(fleet: LocalFleet, label: str, tokens: int, answers: list[Answer]) -> None:
-    """Send one streamed completion and time its first token."""
+    """Send one streamed completion, and measure the time to its first token."""
     body = {
         "model": MODEL,
         "prompt": "x" * (tokens * BYTES_PER_TOKEN),
         "max_tokens": OUTPUT_TOKENS,
         "stream": True,
     }
-    begun = time.monotonic()
+    started = time.monotonic()
     response = fleet.http.request(
         "POST",
         f"http://{fleet.callers[fleet.entry_names[0]]}/v1/completions",
@@ -75,19 +76,19 @@
         preload_content=False,
         timeout=urllib3.Timeout(connect=2.0, read=60.0),
     )
-    pieces = response.stream()
-    first = next(pieces, b"")
-    first_seconds = time.monotonic() - begun
-    text = first + b"".join(pieces)
+    chunks = response.stream()
+    first = next(chunks, b"")
+    first_seconds = time.monotonic() - started
+    text = first + b"".join(chunks)
     whole = response.status == 200 and text.rstrip().endswith(DONE)
     if not whole:
         print(f"{label}: {text[-400:]!r}")
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started
     answers.append(Answer(label, response.status, first_seconds, seconds, whole))
 
 
 def send_notice_twice(fleet: LocalFleet) -> bool:
-    """Send one call with an idempotency key through two entries."""
+    """Send a request through two entries under one key; return whether it ran once."""
     bodies = []
     for name in fleet.entry_names[:2]:
         response = fleet.http.request(
@@ -107,7 +108,7 @@
 
 
 def count_runs(fleet: LocalFleet, name: str) -> int:
-    """Ask a plain stand-in how many calls it ran."""
+    """Return how many calls a plain stand-in has run."""
     address = fleet.upstream_addresses[name]
     response = fleet.http.request("GET", f"http://{address}/_calls")
     return len(json.loads(response.data))
@@ -124,14 +125,14 @@
 
 
 def all_available(fleet: LocalFleet) -> bool:
-    """Tell whether the first entry has heard every upstream."""
+    """Return whether all upstreams are available at the first entry."""
     _, state = fleet.operator_call(fleet.entry_names[0], "GET", "/v1/state")
     available = [one for one in state["upstreams"] if one["available"]]
     return len(available) == len(UPSTREAMS)
 
 
 def run(fleet: LocalFleet) -> bool:
-    """Run the whole path once; tell whether everything was whole."""
+    """Run the example; return whether all answers were complete and correct."""
     for name in fleet.entry_names:
         fleet.start_entry(name)
     for upstream in UPSTREAMS:
@@ -161,7 +162,7 @@
 
 
 def main() -> int:
-    """Run the example; return the process's exit code."""
+    """Run the example in a new folder, and return the exit code."""
     shutil.rmtree(FOLDER, ignore_errors=True)
     fleet = LocalFleet(FOLDER)
     try:
--- a/examples/local_fleet.py
+++ b/examples/local_fleet.py
@@ -1,6 +1,6 @@
-"""Start a small fleet of real processes on this machine, for examples and tests.
+"""Run a small fleet of real processes on this machine, for examples and tests.
 
-The starter is not part of the system: none of the system's processes starts another.
+It is not part of the system, whose processes never start one another.
 """
 
 import json
@@ -27,11 +27,11 @@
 
 
 class FleetError(Exception):
-    """Say what did not happen in this fleet, and where its logs are."""
+    """Report that the fleet did not reach an expected state."""
 
 
 class Upstream(NamedTuple):
-    """Describe one upstream that the fleet runs."""
+    """Describe one upstream of the fleet."""
 
     name: str
     service: str
@@ -43,44 +43,44 @@
 
 
 class ReservedAddresses:
-    """Keep ports that the kernel gave out from being given out again.
+    """Reserve free ports until the processes that need them listen on them.
 
-    A port that is merely known to have been free is soon given to some outgoing
-    connection, and the process that it was meant for fails to start. A socket that is
-    bound and never listens keeps the port, and lets a listener have it beside itself.
+    The kernel may give a port that was found free to an outgoing connection, and the
+    process that should listen there then fails to start. A socket that is bound with
+    SO_REUSEADDR but never listens keeps the port, and still lets a listener bind it.
     """
 
     def __init__(self) -> None:
-        self.holders: list[socket.socket] = []
+        self.sockets: list[socket.socket] = []
 
     def reserve(self) -> str:
-        """Return an address that only a listener can take from now on."""
-        holder = socket.socket()
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((LOOPBACK, 0))
-        self.holders.append(holder)
-        return f"{LOOPBACK}:{holder.getsockname()[1]}"
+        """Return an address with a reserved port, which only a listener can bind."""
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind((LOOPBACK, 0))
+        self.sockets.append(reserved)
+        return f"{LOOPBACK}:{reserved.getsockname()[1]}"
 
     def release(self) -> None:
-        """Let go of every port."""
-        for holder in self.holders:
-            holder.close()
-        self.holders.clear()
+        """Release all ports."""
+        for reserved in self.sockets:
+            reserved.close()
+        self.sockets.clear()
 
 
-def wait_until(condition: Callable[[], Any], what: str) -> Any:
-    """Poll until the condition gives something true, within a wide limit."""
+def wait_until(condition: Callable[[], Any], description: str) -> Any:
+    """Poll until the condition returns a true value, and return that value."""
     limit = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < limit:
         found = condition()
         if found:
             return found
         time.sleep(POLL_SECONDS)
-    raise FleetError(f"{what} did not happen within {TIMEOUT_SECONDS:.0f} s")
+    raise FleetError(f"{description} did not happen within {TIMEOUT_SECONDS:.0f} s")
 
 
 class LocalFleet:
-    """Own the processes, settings files and data folders of one small fleet."""
+    """Manage the processes, settings files and data folders of a small fleet."""
 
     def __init__(
         self, folder: Path, entries: int = 3, timings: dict[str, float] | None = None
@@ -101,7 +101,7 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def data_centre(self, index: int) -> str:
-        """Spread instances over the data centres."""
+        """Return the data centre of an instance, assigned in turn."""
         return DATA_CENTRES[index % len(DATA_CENTRES)]
 
     def write_settings(self, name: str, document: dict[str, Any]) -> Path:
@@ -112,7 +112,7 @@
         return path
 
     def common_settings(self, name: str, index: int, mailbox: str) -> dict[str, Any]:
-        """Return what the settings of every role share."""
+        """Return the settings that all roles share."""
         return {
             "instance": name,
             "data_centre": self.data_centre(index),
@@ -132,7 +132,7 @@
         }
 
     def start_entry(self, name: str) -> None:
-        """Start, or start again, one entry daemon with its data folder."""
+        """Start or restart one entry daemon with its data folder."""
         import hashlib
 
         index = self.entry_names.index(name)
@@ -150,12 +150,12 @@
         self.start_daemon(name, self.write_settings(name, document))
 
     def start_upstream(self, upstream: Upstream) -> None:
-        """Start one upstream stand-in and the sidecar in its slot."""
+        """Start the stand-in of one upstream, and its sidecar."""
         self.start_standin(upstream)
         self.start_sidecar(upstream)
 
     def start_standin(self, upstream: Upstream) -> None:
-        """Start, or start again, the stand-in of one upstream."""
+        """Start or restart the stand-in of one upstream."""
         address = self.upstream_addresses.setdefault(
             upstream.name, self.reserved.reserve()
         )
@@ -167,7 +167,7 @@
         self.wait_for_port(address)
 
     def start_sidecar(self, upstream: Upstream) -> None:
-        """Start, or start again, the sidecar of one upstream."""
+        """Start or restart the sidecar of one upstream."""
         name = f"{upstream.name}-sidecar"
         attempts = self.attempts.setdefault(name, self.reserved.reserve())
         index = len(self.attempts)
@@ -191,7 +191,7 @@
         self.start_daemon(name, self.write_settings(name, document))
 
     def start_daemon(self, name: str, settings: Path) -> None:
-        """Start one daemon on its settings file."""
+        """Start one daemon with its settings file."""
         arguments = ["-m", "cowslipshelf_daemon", "--settings", str(settings)]
         self.start_process(name, arguments)
 
@@ -207,7 +207,7 @@
             )
 
     def wait_for_port(self, address: str) -> None:
-        """Wait until something listens."""
+        """Wait until a process listens on an address."""
         host, port = address.split(":")
 
         def listening() -> bool:
@@ -220,7 +220,7 @@
     def operator_call(
         self, name: str, method: str, path: str, document: Any = None
     ) -> tuple[int, Any]:
-        """Call one entry's operators interface."""
+        """Send a request to the operators' interface of an entry."""
         response = self.http.request(
             method,
             f"http://{self.operators[name]}{path}",
@@ -233,34 +233,34 @@
             return response.status, response.data.decode(errors="replace")
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether an entry says that it serves."""
+        """Return whether an entry reports itself ready."""
         try:
             return self.operator_call(name, "GET", "/readyz")[0] == 200
         except urllib3.exceptions.HTTPError:
             return False
 
     def wait_ready(self, names: Sequence[str] | None = None) -> None:
-        """Wait until entries are ready; all of them where none are named."""
+        """Wait until the named entries are ready; by default all of them."""
         for name in names or self.entry_names:
             wait_until(lambda name=name: self.check_ready(name), f"ready {name}")
 
     def check_ready(self, name: str) -> bool:
-        """Tell whether an entry is ready, or raise where its process has ended."""
+        """Return whether an entry is ready; raise `FleetError` if it has exited."""
         if not self.is_running(name):
             raise FleetError(f"{name} has ended; see {self.folder / name}.log")
         return self.is_ready(name)
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process was started and has not ended."""
+        """Return whether a process was started and has not exited."""
         process = self.processes.get(name)
         return process is not None and process.poll() is None
 
     def change(
         self, change_id: str, change: dict[str, Any], based_on: int | None = None
     ) -> dict[str, Any]:
-        """Plan a change and confirm it, at whichever entry can.
+        """Plan and confirm a change, and try the entries in turn until one succeeds.
 
-        A resend must be the same to the letter, the version it is based on included.
+        Every resend must be identical, including the version it is based on.
         """
         if based_on is None:
             based_on = wait_until(self.newest_version, "a configuration")[0]
@@ -268,7 +268,10 @@
         return wait_until(lambda: self.try_change(document), f"change {change_id}")
 
     def newest_version(self) -> tuple[int] | None:
-        """Read the newest configuration version that an entry knows."""
+        """Return the newest configuration version of all ready entries, in a tuple.
+
+        The tuple is true even for version 0, so that `wait_until` can return it.
+        """
         versions = [
             self.operator_call(name, "GET", "/v1/state")[1]["configuration"]["version"]
             for name in self.entry_names
@@ -277,7 +280,7 @@
         return (max(versions),) if versions else None
 
     def try_change(self, document: dict[str, Any]) -> dict[str, Any] | None:
-        """Plan and confirm once; resending either is safe."""
+        """Try each running entry once; resending a plan or confirm is safe."""
         for name in self.entry_names:
             if not self.is_running(name):
                 continue
@@ -292,7 +295,7 @@
     def try_change_at(
         self, name: str, document: dict[str, Any]
     ) -> dict[str, Any] | None:
-        """Plan and confirm once at one entry."""
+        """Plan and confirm a change once at one entry."""
         status, plan = self.operator_call(name, "POST", "/v1/plans", document)
         if status in REFUSED_STATUSES:
             raise FleetError(f"plan {document['change_id']} refused: {plan}")
@@ -304,16 +307,16 @@
         return answer if status == 200 else None
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process of this fleet."""
+        """Send a signal to one process."""
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill one process and wait until it has gone."""
+        """Kill one process and wait until it has exited."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def stop(self) -> dict[str, int]:
-        """End everything gracefully, entries first; return the exit codes."""
+        """Shut all processes down, entries first, and return their exit codes."""
         codes = {}
         sidecars = [name for name in self.processes if name.endswith("-sidecar")]
         rest = [name for name in self.processes if name not in sidecars]
@@ -325,7 +328,7 @@
         return codes
 
     def stop_group(self, names: Sequence[str]) -> dict[str, int]:
-        """Ask processes to end, then wait; kill what does not end."""
+        """Terminate processes, and kill those that do not exit in time."""
         for name in names:
             if self.is_running(name):
                 self.processes[name].send_signal(signal.SIGCONT)
@@ -333,7 +336,7 @@
         return {name: self.wait_for_exit(name) for name in names}
 
     def wait_for_exit(self, name: str) -> int:
-        """Wait for one process, and kill it past the grace."""
+        """Wait for one process to exit, and kill it after the timeout."""
         process = self.processes[name]
         try:
             return process.wait(EXIT_TIMEOUT_SECONDS)
@@ -342,7 +345,7 @@
             return process.wait()
 
     def __enter__(self) -> "LocalFleet":
-        """Begin a fleet that is stopped at the end of the block."""
+        """Return the fleet, which is stopped at the end of the block."""
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/features/changes.feature
+++ b/features/changes.feature
@@ -1,13 +1,13 @@
 Feature: faults at the steps of a change
 
-  Each row brings a fault about at the first moment of a step of a confirmed change.
-  Three replicas agree on it, with the control state on top; entries and sidecars
-  without a replica put it in force. A rival change on the same version is confirmed
-  as well, during the race or after all is settled.
-
-  Pairs that make no sense: engines hold no configuration, so that their deaths,
-  standstills and connections touch no step of a change. "drain while busy" is a
-  change itself; what it does to work is in requests.feature.
+  Each row injects a fault when a confirmed change first reaches a step. Three
+  replicas commit the change and apply it to the control state; entries and sidecars
+  without a replica put it in force. A rival change based on the same version is
+  confirmed too, either concurrently or after all repairs.
+
+  Excluded combinations: engines hold no configuration, so their crashes, pauses and
+  connections affect no step of a change. "drain while busy" is itself a change; its
+  effect on requests is tested in requests.feature.
 
   Scenario Outline: The leader dies
     The operator's confirm gets no answer, and goes to the next leader, perhaps twice.
--- a/features/claims.feature
+++ b/features/claims.feature
@@ -1,9 +1,9 @@
 Feature: faults of replicas at the steps of a claim
 
   A claim, and the answer stored under it, are commands to the replicas. Each row
-  brings the fault about at each moment of that command: proposed, synced at one,
-  synced at a quorum, applied. A caller would see its payment line run twice, or its
-  stored answer gone, had a lost disk taken the claim with it.
+  injects the fault at each state of that command: proposed, synced at one, synced at
+  a quorum, applied. If the loss of a disk lost the claim, a caller's payment would
+  run twice, or its stored answer would be gone.
 
   Scenario Outline: The leader loses its disk
     It comes back empty, under a new identity, and has no vote until it was taken in as
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Find the packages, and print the table of the matrix after the run."""
+"""Add the packages to the path, and print the fault matrix after the run."""
 
 import sys
 from collections import Counter
@@ -10,19 +10,19 @@
 
 
 class Matrix:
-    """Count the rows tried, held and failed, by feature, fault and step."""
+    """Count the rows run and failed, by feature, fault and step."""
 
     def __init__(self) -> None:
         self.tried: Counter[tuple[str, str, str]] = Counter()
         self.failed: Counter[tuple[str, str, str]] = Counter()
 
     def count(self, feature: str, fault: str, step: str, held: bool) -> None:
-        """Count a row."""
+        """Count one run of a row."""
         self.tried[feature, fault, step] += 1
         self.failed[feature, fault, step] += not held
 
     def table(self, feature: str) -> list[str]:
-        """Write rows held of rows tried as a Markdown table."""
+        """Return a Markdown table of the results of one feature."""
         cells = [cell for cell in self.tried if cell[0] == feature]
         steps = list(dict.fromkeys(step for _, _, step in cells))
         lines = [
@@ -37,7 +37,7 @@
         return lines
 
     def cell(self, feature: str, fault: str, step: str) -> str:
-        """Write one cell."""
+        """Return the text of one cell."""
         tried = self.tried[feature, fault, step]
         if not tried:
             return "–"
@@ -46,7 +46,7 @@
         return text if tried == 1 else f"{tried - failed} of {tried} held"
 
     def report(self) -> str:
-        """Write all tables, and the sums."""
+        """Return the tables of all features, and the totals."""
         lines = []
         for feature in dict.fromkeys(cell[0] for cell in self.tried):
             lines += ["", *self.table(feature)]
--- a/features/pairs.feature
+++ b/features/pairs.feature
@@ -1,10 +1,10 @@
 Feature: two faults at one step
 
-  Any two faults come at the same step, together: the second while nobody has yet
-  noticed the first. The promises are the same.
+  Each pair of faults is injected at the same step at the same time, so that the
+  second comes before any process has detected the first. The guarantees are the same.
 
-  Pairs that make no sense: two of "disk lost", "second loss after a repair" and
-  "restart after hundreds of changes" take two of three replicas at once.
+  Excluded pairs: any two of "disk lost", "second loss after a repair" and "restart
+  after hundreds of changes" take down two of three replicas at once.
 
   Scenario Outline: A request meets two faults
     A rack goes: the clerk's entry and her engine fail in one moment. Her request ends
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -1,14 +1,14 @@
 Feature: faults at the steps of a request
 
-  Each row brings a fault about at a step of a request, for requests of four kinds:
-  under an idempotency key, streamed and repeatable, wanted whole, and of a service
-  that must run once. A neighbour's request runs beside it. Every engine loses the
-  first cancel of each attempt. Time is counted, not measured.
+  Each row injects a fault at a step of a request, for four kinds of requests: with an
+  idempotency key, streamed and repeatable, not streamed, and to a service that must
+  run each request once. Another caller's request runs concurrently. Every engine
+  ignores the first cancel of each attempt. Time is simulated.
 
-  Pairs that make no sense: "claimed" and "answer stored" are steps of keyed requests
+  Excluded combinations: "claimed" and "answer stored" are steps of keyed requests
   only. "disk lost", "second loss after a repair" and "restart after hundreds of
-  changes" strike replicas, which hold nothing of a request but its claim: they are in
-  claims.feature. Operators' races and lost answers to changes touch no request.
+  changes" affect replicas, which hold nothing of a request but its claim, so they are
+  in claims.feature. Races of operators and lost answers to changes affect no request.
 
   Scenario Outline: An engine dies
     A clerk waits for a summary when the engine dies, and comes back empty a second
--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -1,4 +1,4 @@
-"""Run the rows of the matrix on the deciders, joined by queues in memory."""
+"""Run the matrix rows on the state machines, connected by in-memory queues."""
 
 from behave import given, then, when
 
--- a/tests/common/deterministic.py
+++ b/tests/common/deterministic.py
@@ -1,4 +1,7 @@
-"""Make properties give the same verdict every time, also on a busy machine."""
+"""Give properties the same examples in every run, without a time limit.
+
+A deadline per example would fail them on a busy machine.
+"""
 
 from hypothesis import settings
 
--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -1,4 +1,4 @@
-"""Carry messages between replicas and other processes in the fault matrix."""
+"""Deliver messages between replicas and other processes in the fault matrix."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -52,14 +52,14 @@
 SNAPSHOT_AFTER = 50
 MAX_ROUNDS = 1500
 PROPAGATION_ROUNDS = 60
-"""Three seconds, in which a version must be in force everywhere."""
+"""Three seconds, within which a version must be in force everywhere."""
 PROCESSES_WITHOUT_REPLICA = ("entry-8", "entry-9", "runner-1", "runner-2")
-"""Processes without a replica; the entries among them bring changes."""
+"""Processes without a replica; its entries submit the changes."""
 
 
 @dataclass
 class ChangeFleet:
-    """Join replicas with processes that hold none, and carry their messages."""
+    """Simulate replicas and processes that hold none, with their messages."""
 
     step: str
     faults: tuple[str, ...]
@@ -82,7 +82,7 @@
         self.injected = False
         self.leader = ""
         self.dead_until = 0
-        """What the leader sent last is lost with it until then."""
+        """Round until which messages of the crashed leader are dropped."""
         self.answered = False
         self.payload = b""
         self.steps_reached: set[str] = set()
@@ -111,7 +111,7 @@
     def now(self) -> float:
         return self.round * TICK_SECONDS
 
-    # One round of time, and of messages one by one.
+    # One round: a tick, then the messages one by one.
 
     def run_rounds(self, count: int) -> None:
         for _ in range(count):
@@ -135,7 +135,7 @@
             self.inject_at_step()
 
     def apply_message_fault(self, items: list) -> list:
-        """Delay, reorder or double what is on its way while there is trouble."""
+        """Delay, reorder or duplicate messages while the fault lasts."""
         items = self.delay_slow_follower(items)
         ready = [item for at, item in self.delayed if at <= self.round]
         self.delayed = [entry for entry in self.delayed if entry[0] > self.round]
@@ -157,7 +157,7 @@
         return ready + items
 
     def delay_slow_follower(self, items: list) -> list:
-        """Let one follower lag until the fault, so that a quorum is just two."""
+        """Delay one follower until the fault, so that the quorum is the other two."""
         if not self.payload or self.injected:
             return items
         slow = max(n.instance for n in self.cluster.nodes.values() if not n.leads)
@@ -180,7 +180,7 @@
     def send(self, sender: str, recipient: str, deliver: Callable) -> None:
         self.messages.append(PendingMessage(sender, recipient, deliver))
 
-    # Commands, from an entry without a replica.
+    # Commands, submitted by an entry without a replica.
 
     def submit(self, name: str, command) -> str:
         self.submitted += 1
@@ -222,7 +222,7 @@
         self.handle_client_event(name, event)
 
     def commit(self, command, names=PROCESSES_WITHOUT_REPLICA[:2]):
-        """Submit a command, and resend it through the other entry until answered."""
+        """Submit a command, alternating between entries until one answers."""
         for number in range(MAX_ROUNDS // 200):
             submit_id = self.submit(names[number % len(names)], command)
             while submit_id not in self.outcomes:
@@ -237,7 +237,7 @@
         change = Change(put_models=(Model(model, "1"),))
         return RecordPlan(change_id, "rita", based_on, change)
 
-    # What is in force in every process.
+    # The configuration in force in every process.
 
     def tick_observers(self) -> None:
         names = list(self.observers)
@@ -279,7 +279,7 @@
                         self.steps_reached.add("in force")
 
     def answer_query(self, address: str, recipient: str, query) -> None:
-        """Answer a question for the configuration; a replica asks a quorum first."""
+        """Answer a fetch of the configuration; a replica reads from a quorum first."""
 
         def answer(confirmed: bool) -> None:
             held = self.observers[address].view.in_force
@@ -299,7 +299,7 @@
     # Steps and faults.
 
     def inject_at_step(self) -> None:
-        """Bring the faults about at the first moment of the step."""
+        """Inject the faults when the step is first reached."""
         if not self.payload or self.injected:
             return
         holders = [
--- a/tests/common/matrix_changes.py
+++ b/tests/common/matrix_changes.py
@@ -1,4 +1,4 @@
-"""Let one fault, or two, meet a change at a step, and check what operators see."""
+"""Inject one or two faults at a step of a change, and check the outcomes."""
 
 from collections.abc import Callable
 
@@ -33,7 +33,7 @@
 
 
 class ChangeSimulation(ChangeFleet):
-    """Play one change, its rival and the faults, and check what must hold."""
+    """Run a change or a claim with faults, and check the guarantees."""
 
     def call_later(self, rounds: int, action: Callable[[], None]) -> None:
         self.scheduled.append((self.round + rounds, action))
@@ -86,7 +86,7 @@
                 raise ValueError(fault)
 
     def drop_messages_of(self, instance: str) -> None:
-        """Lose what a process sent last, with its connections."""
+        """Drop the messages that a process sent before its connections closed."""
         self.dead_until = self.round + 1
         self.delayed = [entry for entry in self.delayed if entry[1].sender != instance]
 
@@ -95,7 +95,7 @@
         self.call_later(5, lambda: self.cluster.restart(instance))
 
     def lose_second_disk(self) -> None:
-        """Lose the leader's disk as soon as the first loss is repaired."""
+        """Replace the leader's disk as soon as the first loss is repaired."""
         if not self.cluster.is_settled():
             self.call_later(1, self.lose_second_disk)
             return
@@ -104,7 +104,7 @@
     def commit_many_changes(
         self, instance: str, submit_id: str = "", version: int = 0
     ) -> None:
-        """Let hundreds of changes pass a stopped replica by, then start it."""
+        """Commit hundreds of changes while a replica is down, then restart it."""
         match self.outcomes.get(submit_id):
             case PlanRecorded(plan):
                 submit_id = self.submit("entry-9", ConfirmPlan(plan.plan_id, "rita"))
@@ -123,7 +123,7 @@
             1, lambda: self.commit_many_changes(instance, submit_id, version)
         )
 
-    # Whole histories, and what they must show.
+    # Complete runs and their checks.
 
     def run(self) -> None:
         if self.kind == "change":
@@ -164,7 +164,7 @@
             self.check_claim()
 
     def check_replicas(self) -> None:
-        """Check that every replica holds the same state, byte for byte."""
+        """Check that all replicas hold byte-identical state."""
         states = {s.to_snapshot() for s in self.cluster.states.values()}
         assert len(states) == 1, "replicas differ"
 
@@ -175,7 +175,7 @@
         )
 
     def check_changes(self) -> None:
-        """Check that one change won, and holds in every process for good."""
+        """Check that exactly one change won and stays in force in every process."""
         assert not self.outdated, f"not in force in time in {self.outdated}"
         outcomes = self.race_outcomes
         won = [o for o in outcomes if isinstance(o, PlanConfirmed)]
@@ -192,7 +192,7 @@
             assert observer.view.servable, name
 
     def run_claim(self) -> None:
-        """Claim a key, store its answer, and let another request ask for it."""
+        """Claim a key, store its answer, and claim it again from another request."""
         claim = self.claim("r-0", "a-0")
         stored = StoredAnswer(200, (), b"whole", True)
         finish = ClaimFinished("gate", "key", "r-0", "a-0", stored, None)
@@ -218,7 +218,7 @@
         )
 
     def settle(self) -> None:
-        """Let every repair end, and the configuration spread."""
+        """Run until all repairs are done and the configuration has propagated."""
         while self.scheduled or self.delayed or not self.cluster.is_settled():
             assert self.round < MAX_ROUNDS * 4, "never settled"
             self.run_round()
--- a/tests/common/matrix_control_cluster.py
+++ b/tests/common/matrix_control_cluster.py
@@ -1,4 +1,4 @@
-"""Join replicas of the control state for the fault matrix."""
+"""Run replicas of the control state for the fault matrix."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 
 class Applied(msgspec.Struct, array_like=True):
-    """Be a snapshot of both what the cluster checks and the control state."""
+    """Hold a snapshot of the cluster's checked commands and of the control state."""
 
     commands: list[str]
     state: bytes
@@ -33,7 +33,7 @@
 
 @dataclass
 class PendingMessage:
-    """Be a message to or from a process without a replica."""
+    """Hold an undelivered message to or from a process without a replica."""
 
     sender: str
     recipient: str
@@ -42,7 +42,7 @@
 
 @dataclass
 class ConfigurationObserver:
-    """Be the configuration in force in one process, and every version it had."""
+    """Hold one process's configuration view and every version it had in force."""
 
     view: ConfigurationView
     versions: list[int] = field(default_factory=list)
@@ -50,7 +50,7 @@
 
 @dataclass(repr=False)
 class ControlCluster(Cluster):
-    """Apply the control state on top of the replicas, as the replica's actor does."""
+    """Apply committed commands to the control state, as the replica's actor does."""
 
     states: dict[str, ControlState] = field(default_factory=dict)
     answer_callbacks: dict[str, Callable] = field(default_factory=dict)
@@ -73,7 +73,7 @@
         self.step(instance, events)
 
     def submit(self, instance, command: bytes, answer: Callable) -> None:
-        """Propose under an id of its own: every copy is answered for itself."""
+        """Propose under a new id, so that each copy of a command is answered."""
         self.proposed += 1
         proposal_id = f"proposal-{self.proposed}"
         self.answer_callbacks[f"{instance} {proposal_id}"] = answer
@@ -97,10 +97,11 @@
             self.pending_reads.pop(read_id)(confirmed)
 
     def refuse(self, instance, effect: ProposalRefused) -> None:
-        """Refuse what was not answered here.
+        """Refuse a proposal that this instance has not answered.
 
-        A leader that was frozen may say "outcome unknown" of what another leader has
-        committed meanwhile; the cluster alone would take that one for the answer.
+        A leader that was frozen may report "outcome unknown" for a command that
+        another leader has committed meanwhile. The base class would treat that commit
+        as this instance's answer.
         """
         assert f"{instance} {effect.proposal_id}" in self.answer_callbacks
         self.refused[effect.proposal_id] = effect.reason
--- a/tests/common/matrix_entry.py
+++ b/tests/common/matrix_entry.py
@@ -1,4 +1,4 @@
-"""Drive callers' requests at an entry, as the daemon's driver does."""
+"""Simulate an entry that drives callers' requests as the daemon does."""
 
 from collections import deque
 from collections.abc import Callable
@@ -55,7 +55,7 @@
 from cowslipshelf_core.sidecar import CancelArrived, OwnerSeen
 
 CALL_SECONDS = 2.0
-"""Silence after which a call or a stream is given up."""
+"""Seconds of silence after which a call or a stream is abandoned."""
 MAX_CLAIM_SECONDS = 10.0
 LEASE_SECONDS = 3.0
 NO_UPSTREAM = Refusal(RefusalCode.NOT_RUN, RefusalReason.NO_UPSTREAM, "place")
@@ -63,7 +63,7 @@
 
 @dataclass
 class Connection:
-    """Carry an attempt's frames in order; once silent, it stays silent and open."""
+    """Deliver an attempt's frames in order; a silent one stays open and silent."""
 
     run: "RequestRun"
     attempt_id: str
@@ -83,7 +83,7 @@
         run.entry.deliver(run.start, lambda: self.arrive(number, frame))
 
     def arrive(self, number: int, frame: Frame) -> None:
-        """Keep the order; a copy goes on to the machine, which must drop it."""
+        """Restore the order; pass duplicates on, as the machine must drop them."""
         if number <= self.delivered:
             self.run.receive(self, frame)
             return
@@ -97,14 +97,14 @@
 
 @dataclass
 class Entry:
-    """Be one entry instance: what it knows of upstreams, and its requests."""
+    """Simulate one entry instance and its view of the upstreams."""
 
     scheduler: EventScheduler
     process: Process
     sidecars: dict[str, Sidecar]
     control: Control
     is_alive: Callable[[str], bool]
-    """Tell whether an entry is known to be alive."""
+    """Return whether an entry is known to be alive."""
     known: dict[str, tuple[float, str, int, bool]] = field(default_factory=dict)
     attempts: int = 0
 
@@ -127,7 +127,7 @@
         self.scheduler.set_timer(self.process, 1.0, self.tick)
 
     def deliver(self, start: int, action: Callable) -> None:
-        """Let something reach this start of the process over the network."""
+        """Send an action to the process, dropped if it has restarted meanwhile."""
 
         def arrive() -> None:
             if self.process.start == start:
@@ -147,7 +147,7 @@
 
 
 class RequestRun:
-    """Own one request: its machine, its connection, and what its caller has seen."""
+    """Drive one request: its state machine, its connection and its answer."""
 
     def __init__(
         self, entry: Entry, request: CallerRequest, step_reached: Callable
@@ -186,7 +186,7 @@
             self.crossed_run.receive_misdelivered(event)
 
     def receive_misdelivered(self, event) -> None:
-        """Take what was meant for another request's attempt."""
+        """Handle an event that belongs to another request's attempt."""
         if getattr(event, "attempt_id", None) is not None:
             self.effects.extend(self.machine.handle(event, self.scheduler.now))
             self.advance()
@@ -211,10 +211,10 @@
     def wait_for_answer(
         self, seconds: float, lost, send_request: Callable, local: bool = False
     ) -> None:
-        """Wait for one answer, or for the call's limit.
+        """Wait for one answer, or for the call's timeout.
 
-        What comes after the limit, or twice, still reaches the machine, which is
-        more than the daemon's connections would let through.
+        Late and duplicate answers still reach the machine. That is stricter than
+        the daemon, whose connections would drop them.
         """
         self.calls += 1
         call = self.calls
@@ -245,7 +245,7 @@
         self.scheduler.set_timer(self.entry.process, seconds, lambda: answer(lost))
 
     def call_sidecar(self, upstream: str, lost, refused, ask: Callable) -> None:
-        """Ask a sidecar."""
+        """Call a sidecar and wait for its answer."""
         sidecar = self.entry.sidecars[upstream]
 
         def send_request(answer: Callable) -> None:
@@ -305,7 +305,7 @@
                 self.finals.append((self.scheduler.now, effect))
 
     def ask_control(self, claim, timeout_seconds: float) -> None:
-        """Put a claim to the state; the end of a request waits for no event."""
+        """Submit a claim command; a finishing request expects no event in return."""
 
         def event_of(outcome):
             if isinstance(claim, FinishClaim) or self.machine.has_ended():
@@ -360,7 +360,10 @@
         self.call_sidecar(upstream, lost, lost, accept)
 
     def receive_in_order(self, connection: Connection) -> None:
-        """Take what has come in order; before the answer itself, nothing has."""
+        """Handle the frames that are next in order, on the current connection only.
+
+        Until the hand-over or resume is answered there is no such connection.
+        """
         if connection is not self.connection:
             return
         while connection.delivered + 1 in connection.out_of_order:
@@ -389,7 +392,7 @@
             self.step_reached(step, self.request)
 
     def check_silence(self) -> None:
-        """Notice a silent stream, which heartbeats would keep alive."""
+        """Treat a stream without frames or heartbeats as lost."""
         silent = self.scheduler.now - self.received_at >= CALL_SECONDS
         if silent and self.connection is not None and not self.waiting:
             self.lose_stream(self.connection)
--- a/tests/common/matrix_fleet.py
+++ b/tests/common/matrix_fleet.py
@@ -1,4 +1,4 @@
-"""Join engines, sidecars and the control state, as the daemon's actors join them."""
+"""Simulate engines, sidecars and the control state, wired as in the daemon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -53,7 +53,7 @@
 
 
 def answer_chunks(body: bytes, delivered: int = 0) -> list[tuple[bytes, int]]:
-    """Give the pieces of the answer that belongs to a body, and to no other."""
+    """Return the answer's chunks; no two request bodies have the same answer."""
     tokens = [(b"%s-%d " % (body, number), 1) for number in range(TOKENS)]
     opening = [] if delivered else [(b"<open>", 0)]
     return [*opening, *tokens[delivered:], (b"<close>", 0)]
@@ -65,16 +65,16 @@
 
 @dataclass
 class Engine:
-    """Run what it is given, and hold its memory until its end is read or cancelled.
+    """Simulate an engine that holds memory until the end is read or cancelled.
 
-    It loses the first cancel of every attempt.
+    It ignores the first cancel of every attempt, as if the call were lost.
     """
 
     scheduler: EventScheduler
     process: Process
     step_reached: Callable[[str, HandOver], None]
     started: list[tuple[float, HandOver]] = field(default_factory=list)
-    """The truth about what ran here, whatever dies."""
+    """Every attempt that ran here; kept across restarts for the checks."""
     held: dict[AttemptId, int] = field(default_factory=dict)
     produced: dict[AttemptId, list[tuple[bytes, int]]] = field(default_factory=dict)
     readers: dict[AttemptId, Callable] = field(default_factory=dict)
@@ -134,7 +134,7 @@
 
 @dataclass
 class AttemptRunner:
-    """Follow one attempt at the engine, as the sidecar's thread for it does."""
+    """Follow one attempt at the engine, as its thread in the sidecar does."""
 
     sidecar: "Sidecar"
     hand_over: HandOver
@@ -205,7 +205,7 @@
         scheduler.set_timer(self.sidecar.process, TICK_SECONDS, self.check_silence)
 
     def resume_stream(self) -> None:
-        """Ask the engine for the rest; a few times at most."""
+        """Ask the engine for the rest, up to `MAX_ENGINE_RESUMES` times."""
         self.received_at = self.sidecar.scheduler.now
         self.resumes += 1
         if self.cancelled or self.resumes > MAX_ENGINE_RESUMES:
@@ -247,7 +247,7 @@
     engine: Engine
     step_reached: Callable[[str, HandOver], None]
     listeners: list = field(default_factory=list)
-    """Entries that hear its announcements."""
+    """Entries that receive its announcements."""
     accepted_attempts: list[tuple[float, AttemptId]] = field(default_factory=list)
     configuration: FleetConfiguration = field(default_factory=configuration)
     left_at: float | None = None
@@ -274,7 +274,7 @@
         self.handle(LeavingStarted())
 
     def drain(self) -> None:
-        """Put a configuration in force that drains this upstream, for good."""
+        """Apply a configuration that drains this upstream permanently."""
         self.left_at = self.scheduler.now
         self.configuration = configuration(2, draining=(self.process.name,))
         if self.process.alive:
@@ -307,7 +307,7 @@
         self.from_engine(lambda: self.handle(InventoryRead(held)))
 
     def call_engine(self, action: Callable, refused: Callable) -> None:
-        """Ask over a fresh connection; no such call is repeated by the network."""
+        """Call over a new connection, exempt from message faults."""
         start = self.process.start
 
         def arrive() -> None:
@@ -388,7 +388,7 @@
 
 @dataclass
 class Control:
-    """Be the replicated state, which has no leader now and then."""
+    """Simulate the replicated state, including times without a leader."""
 
     scheduler: EventScheduler
     step_reached: Callable[[str, object], None]
@@ -398,12 +398,12 @@
     index: int = 0
 
     def fail(self, seconds: float) -> None:
-        """Lose the leader: what it answered just now is lost as well."""
+        """Lose the leader, and with it the answers it has just sent."""
         self.down_until = self.scheduler.now + seconds
         self.answers_lost_at = self.scheduler.now
 
     def submit(self, command, timeout_seconds: float, answer: Callable) -> None:
-        """Commit a command, again where its answer is lost, until patience ends."""
+        """Commit a command, and again when its answer is lost, until the timeout."""
         data = encode_command(command)
         give_up_at = self.scheduler.now + timeout_seconds
 
--- a/tests/common/matrix_requests.py
+++ b/tests/common/matrix_requests.py
@@ -1,4 +1,4 @@
-"""Let one fault, or two, meet a caller's request at a step, and check the promises."""
+"""Inject one or two faults at a step of a request, and check the guarantees."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
 ISOLATION_SECONDS = 15.0
 RESEND_SECONDS = (0.5, 3.0, 60.0)
 MARGIN_SECONDS = CALL_SECONDS + 1.0
-"""A call under way at the deadline is bounded by its own limit."""
+"""A call in progress at the deadline may still run to its own timeout."""
 KINDS = ("keyed", "repeatable", "whole", "once")
 LEAVING_FAULTS = {"drain while busy", "shutdown while busy"}
 KEYED_STEPS = ("claimed", "answer stored")
@@ -30,7 +30,7 @@
 
 @dataclass
 class RequestSimulation:
-    """Run a caller's request beside a neighbour's, and bring about the faults."""
+    """Run a request and a concurrent one of another caller, and inject faults."""
 
     kind: str
     step: str
@@ -39,7 +39,7 @@
     runs: list[RequestRun] = field(default_factory=list)
     injected: bool = False
     disconnected: set[str] = field(default_factory=set)
-    """Requests whose entry died: their callers see their connection cut."""
+    """Ids of requests whose entry died, so that their callers lost the connection."""
 
     def __post_init__(self) -> None:
         scheduler = self.scheduler
@@ -91,7 +91,7 @@
         return run
 
     def step_reached(self, step: str, subject) -> None:
-        """Bring the faults about as soon as the request comes to the step."""
+        """Inject the faults when the main request first reaches the step."""
         step = STEP_OF_COMMAND.get(step, step)
         if (
             self.injected
@@ -104,7 +104,7 @@
             self.scheduler.call_later(0.0, lambda fault=fault: self.inject(fault))
 
     def run(self) -> None:
-        """Go through the request, its caller's resends, and all that comes late."""
+        """Run the request, its caller's resends, and every late effect."""
         self.begin("other-1", "entry-1", b"other")
         first = self.begin("main-0", "entry-1", b"main")
         start = self.scheduler.now
@@ -126,7 +126,7 @@
 
     @property
     def target(self) -> Sidecar:
-        """The sidecar that the request went to, or would go to."""
+        """The sidecar that got the request, or else the one that would."""
         for sidecar in self.sidecars.values():
             for _, hand_over in sidecar.engine.started:
                 if hand_over.request_id == "main-0":
@@ -183,7 +183,7 @@
                 self.scheduler.start_message_fault("crossed")
                 self.misdeliver_answers()
             case "drain while busy":
-                # A dead sidecar learns of it when it starts again.
+                # A dead sidecar gets the configuration when it restarts.
                 alive = sidecar.process.alive
                 sidecar.process.deliver(sidecar.drain) if alive else sidecar.drain()
             case "shutdown while busy":
@@ -196,17 +196,17 @@
         self.scheduler.call_later(FREEZE_SECONDS, process.resume)
 
     def misdeliver_answers(self) -> None:
-        """Give each machine what the other one was told of its attempts."""
+        """Send each machine the events of the other request's attempts."""
         first, second = self.runs[:2]
         for run, other in ((first, second), (second, first)):
             for event in other.events:
                 run.receive_misdelivered(event)
             other.crossed_run = run
 
-    # Promises.
+    # Guarantees.
 
     def started_attempts(self) -> list[tuple[str, str]]:
-        """List request and attempt of everything that any engine ran."""
+        """List the request and attempt ids of everything that any engine ran."""
         return [
             (hand_over.request_id, hand_over.attempt_id)
             for sidecar in self.sidecars.values()
@@ -245,7 +245,7 @@
                 assert not ran, f"{name} was told not run, but {ran} ran"
 
     def ran_before(self, at: float, request) -> list[str]:
-        """List what ran for a request, ever, or before it under the same key."""
+        """List attempts of a request, and earlier ones under the same key."""
         return [
             hand_over.attempt_id
             for sidecar in self.sidecars.values()
@@ -266,7 +266,10 @@
             assert len(ran) <= 1, f"ran more than once: {ran}"
 
     def check_leaving(self) -> None:
-        """Check by what the sidecar took; a frozen engine may begin it later."""
+        """Check that a leaving upstream accepts nothing new.
+
+        The time of acceptance counts, as a frozen engine may start work later.
+        """
         for sidecar in self.sidecars.values():
             accepted = {attempt for _, attempt in sidecar.accepted_attempts}
             ran = {hand_over.attempt_id for _, hand_over in sidecar.engine.started}
--- a/tests/common/matrix_rows.py
+++ b/tests/common/matrix_rows.py
@@ -1,4 +1,4 @@
-"""Make the worlds of a row of the fault matrix, and run pairs of faults."""
+"""Create the simulations of a fault matrix row, and run pairs of faults."""
 
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
@@ -12,7 +12,7 @@
 
 WORKERS = 4
 SEEDS = (0, 1, 2)
-"""They draw the timers of elections, and so who stands first."""
+"""Seeds of the election timers, which decide the first candidate."""
 CLAIM_KINDS = {"claimed": "claimed", "answer stored": "stored"}
 STEPS_OF_COMMANDS = ("proposed", "synced at one", "synced at a quorum", "applied")
 BEYOND_A_QUORUM = [
@@ -20,7 +20,7 @@
     {"disk lost", "restart after hundreds of changes"},
     {"second loss after a repair", "restart after hundreds of changes"},
 ]
-"""Each takes two of three replicas at once, and no quorum can bear that."""
+"""Each pair takes down two of three replicas at once, which leaves no quorum."""
 
 
 def request_simulations(step: str, faults: tuple[str, ...]) -> list[Simulation]:
@@ -39,7 +39,7 @@
 
 
 def pair_failures(make: MakeSimulations, step: str, faults: list[str]):
-    """Run every two faults that make sense together; give each with its failure."""
+    """Run each pair of faults that leaves a quorum; return it with its failure."""
     pairs = [p for p in combinations(faults, 2) if set(p) not in BEYOND_A_QUORUM]
     with ProcessPoolExecutor(WORKERS) as pool:
         waiting = [pool.submit(pair_failure, make, step, pair) for pair in pairs]
@@ -49,7 +49,7 @@
 
 
 def pair_failure(make: MakeSimulations, step: str, pair: tuple[str, str]) -> str:
-    """Run a pair; tell how the first of its worlds breaks a promise, if one does."""
+    """Run a pair; return the first violated guarantee, or an empty string."""
     for simulation in make(step, pair):
         try:
             simulation.run()
--- a/tests/common/matrix_scheduler.py
+++ b/tests/common/matrix_scheduler.py
@@ -1,4 +1,4 @@
-"""Pass messages between processes that die, freeze and restart, by a counted time."""
+"""Deliver messages in simulated time to processes that die, freeze and restart."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,17 +9,17 @@
 
 LATENCY_SECONDS = 0.01
 MESSAGE_FAULT_SECONDS = 0.3
-"""For so long after its fault, messages are late, crossed or doubled."""
+"""How long after the fault messages are delayed, reordered or duplicated."""
 DELAY_SECONDS = 8.0
 DUPLICATE_DELAYS_SECONDS = (0.05, 6.0)
 REORDER_FACTOR = 3.0
 MISDELIVERY_SECONDS = 2.0
-"""For so long after the trouble, what it delayed still comes to the wrong one."""
+"""How long after the fault reordered answers still reach the wrong request."""
 
 
 @dataclass
 class Process:
-    """Be one process: what arrives while it is frozen waits, and dies with it."""
+    """Hold the state of one process; a frozen one queues actions, a kill drops them."""
 
     name: str
     start: int = 1
@@ -44,7 +44,7 @@
 
 @dataclass(order=True)
 class ScheduledEvent:
-    """Be something that happens at its time."""
+    """Hold an action and the simulated time at which it runs."""
 
     at: float
     order: int
@@ -54,7 +54,7 @@
 
 @dataclass
 class EventScheduler:
-    """Order everything that happens; equal histories every time."""
+    """Run all actions in order of simulated time, the same way in every run."""
 
     now: float = 100.0
     queue: list[ScheduledEvent] = field(default_factory=list)
@@ -69,7 +69,7 @@
         heappush(self.queue, due)
 
     def set_timer(self, process: Process, seconds: float, action: Action) -> None:
-        """Wake a process, unless it has died meanwhile."""
+        """Run an action in a process, unless it has died meanwhile."""
         start = process.start
 
         def wake() -> None:
@@ -81,7 +81,7 @@
     def send(
         self, process: Process, action: Action, refused: Action | None = None
     ) -> None:
-        """Send between our processes; without a listener the sender is told so."""
+        """Send a message to a process; if it is dead, run `refused` at the sender."""
 
         def arrive() -> None:
             if process.alive:
@@ -106,12 +106,12 @@
         return (LATENCY_SECONDS,)
 
     def misdelivers_answers(self) -> bool:
-        """Tell whether answers come to the wrong request now."""
+        """Return whether answers currently reach the wrong request."""
         over = self.now > self.message_fault_ends + MISDELIVERY_SECONDS
         return self.message_fault == "crossed" and not over
 
     def start_message_fault(self, message_fault: str) -> None:
-        """Let messages go wrong, those on their way included."""
+        """Apply a fault to messages from now on, and to those in flight."""
         self.message_fault = message_fault
         self.message_fault_ends = self.now + MESSAGE_FAULT_SECONDS
         for due in [due for due in self.queue if due.message]:
@@ -124,7 +124,7 @@
         heapify(self.queue)
 
     def lose_messages(self) -> None:
-        """Lose every message that is on its way."""
+        """Drop every message in flight."""
         self.queue = [due for due in self.queue if not due.message]
         heapify(self.queue)
 
--- a/tests/common/polling.py
+++ b/tests/common/polling.py
@@ -1,4 +1,4 @@
-"""Wait for conditions, within limits so wide that no verdict hangs on them."""
+"""Wait for conditions, with a timeout too long to affect a test's result."""
 
 from collections.abc import Callable
 from time import monotonic, sleep
@@ -8,7 +8,7 @@
 
 
 def wait_for(condition: Callable[[], object], seconds: float = TIMEOUT_SECONDS) -> None:
-    """Return once the condition holds; fail where it never does."""
+    """Return once the condition holds; fail on timeout."""
     end = monotonic() + seconds
     while not condition():
         assert monotonic() < end, "the condition never held"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Give every run of the tests the same examples, so that it has the same verdict."""
+"""Make Hypothesis draw the same examples in every run and every checkout."""
 
 import importlib
 import pkgutil
@@ -21,7 +21,7 @@
     "cowslipshelf_adapter",
 )
 PROGRAM_MODULE = "__main__"
-OUR_FOLDERS = tuple(
+SOURCE_FOLDERS = tuple(
     Path(__file__).parents[1] / name for name in ("packages", "platform")
 )
 
@@ -36,29 +36,29 @@
 settings.load_profile("same-verdict")
 
 
-def is_our_module(path: str) -> bool:
-    """Tell whether a module is ours, wherever the checkout lies."""
-    return any(Path(path).is_relative_to(folder) for folder in OUR_FOLDERS)
+def is_repository_file(path: str) -> bool:
+    """Return whether a file belongs to this repository, wherever it is checked out."""
+    return any(Path(path).is_relative_to(folder) for folder in SOURCE_FOLDERS)
 
 
-def look_for_constants_in_our_modules_only() -> None:
-    """Let Hypothesis try the same constants in every checkout.
+def limit_constants_to_repository() -> None:
+    """Make Hypothesis collect constants from this repository's modules only.
 
-    It takes them from modules that it holds for local, by the names of the folders
-    above them and by the working directory: the same test saw other examples, and
-    had another verdict, in a copy elsewhere. A version without this function must
-    not be taken without another way to the same end.
+    It collects them from modules that it considers local, judged by parent folder
+    names and the working directory. The same test then saw other examples, and had
+    another result, in a checkout elsewhere. Don't upgrade to a version that lacks the
+    patched function before there is a replacement for it.
     """
     assert callable(providers.is_local_module_file)
-    providers.is_local_module_file = is_our_module
+    providers.is_local_module_file = is_repository_file
 
 
-def import_every_module() -> None:
-    """Import all our modules before any example is drawn.
+def import_all_modules() -> None:
+    """Import all modules of this repository before any example is drawn.
 
-    Hypothesis tries constants that it finds in the modules loaded so far. With modules
-    loaded as tests need them, a test would see other examples when it runs alone, or
-    after others, and a failure would come and go.
+    Hypothesis tries constants that it finds in the modules loaded so far. If tests
+    loaded modules on demand, a test's examples would depend on which tests ran before
+    it, and its failures would be intermittent.
     """
     for name in PACKAGES:
         package = importlib.import_module(name)
@@ -67,5 +67,5 @@
                 importlib.import_module(module.name)
 
 
-look_for_constants_in_our_modules_only()
-import_every_module()
+limit_constants_to_repository()
+import_all_modules()
--- a/tests/cover/deploy/test_days.py
+++ b/tests/cover/deploy/test_days.py
@@ -1,4 +1,4 @@
-"""Check that the days to be played on machines say what they are meant to."""
+"""Check the day files that are run on deployments."""
 
 import tomllib
 from collections import Counter
@@ -9,7 +9,7 @@
 DAYS = sorted((Path(__file__).parents[3] / "deploy" / "days").glob("*.toml"))
 
 
-def troubles(day: dict) -> list[dict]:
+def plan_and_faults(day: dict) -> list[dict]:
     return [*day["plan"], *day["faults"]]
 
 
@@ -18,26 +18,26 @@
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
-def test_a_day_has_the_name_of_its_file_and_trouble_in_it(path):
+def test_a_day_is_named_after_its_file_and_has_faults(path):
     day = tomllib.loads(path.read_text())
     assert day["name"] == path.stem
-    assert troubles(day) or "closing" in day
+    assert plan_and_faults(day) or "closing" in day
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
-def test_every_trouble_of_a_day_comes_twice(path):
-    """What a first trouble leaves behind shows with the second."""
-    times = Counter(
+def test_every_fault_of_a_day_comes_twice(path):
+    """State left over from a fault shows only when the same fault comes again."""
+    counts = Counter(
         str({name: value for name, value in each.items() if name != "at"})
-        for each in troubles(tomllib.loads(path.read_text()))
+        for each in plan_and_faults(tomllib.loads(path.read_text()))
     )
-    assert set(times.values()) <= {2}
+    assert set(counts.values()) <= {2}
 
 
-def test_a_start_under_the_former_name_is_among_the_troubles():
-    hows = [
+def test_a_restart_under_the_former_name_is_among_the_faults():
+    variants = [
         each.get("how", "")
         for path in DAYS
-        for each in troubles(tomllib.loads(path.read_text()))
+        for each in plan_and_faults(tomllib.loads(path.read_text()))
     ]
-    assert sum("reborn" in how for how in hows) >= 10
+    assert sum("reborn" in how for how in variants) >= 10
--- a/tests/cover/slopes/test_fitting.py
+++ b/tests/cover/slopes/test_fitting.py
@@ -1,4 +1,4 @@
-"""Test the fitted lines and the arithmetic on them."""
+"""Test line fitting and the resource budget computed from the fits."""
 
 import math
 
@@ -55,26 +55,25 @@
 
 
 def test_heartbeats_that_no_counter_shows_as_sent_count_as_carried():
-    """What an entry carries is told too small.
+    """Guard against a budget that understates an entry's network traffic.
 
-    The page says that an entry keeps to its bytes, and the network shows more. The
-    mailbox counts a heartbeat that it receives, and not one that it sends; so for
-    each heartbeat received one more was sent.
+    The mailbox counts the heartbeats that it receives, but not those that it sends.
+    So one more sent heartbeat must be added for each one received.
     """
 
-    def one(quantity, slope):
+    def slope_document(quantity, slope):
         medians = {"1": slope}
         return {"quantity": quantity, "at_zero": 5, "slope": slope, "medians": medians}
 
     hearing = [
-        one("entry: received", 900.0),
-        one("entry: sent", 300.0),
-        one("entry: messages received", 4.0),
-        one("entry: messages sent", 2.0),
+        slope_document("entry: received", 900.0),
+        slope_document("entry: sent", 300.0),
+        slope_document("entry: messages received", 4.0),
+        slope_document("entry: messages sent", 2.0),
     ]
     experiments = {
         "upstreams": {"slopes": hearing},
-        "messages": {"slopes": [one("heartbeat size", 100.0)]},
+        "messages": {"slopes": [slope_document("heartbeat size", 100.0)]},
     }
     measured = Measured({"experiments": experiments})
     assert hearing_line(measured, "upstreams") == Line(0.0, 1.4)
--- a/tests/days/__init__.py
+++ b/tests/days/__init__.py
@@ -1,1 +1,1 @@
-"""Play days of our own on the operators' deployments, one for each pair of troubles."""
+"""Run scripted days on the operators' deployments, one for each pair of faults."""
--- a/tests/days/__main__.py
+++ b/tests/days/__main__.py
@@ -1,6 +1,6 @@
-"""Play the days of `deploy/days`: `python -m days PROGRAM SITE [NAME...]` in `tests`.
+"""Run the days of `deploy/days`: `python -m days PROGRAM SITE [NAME...]` in `tests`.
 
-PROGRAM plays one day of a deployment: `PROGRAM run SITE DAY`. Prints a row a day.
+PROGRAM runs one day of a deployment: `PROGRAM run SITE DAY`. Prints a row per day.
 """
 
 import argparse
@@ -11,25 +11,25 @@
 from pathlib import Path
 
 DAYS = Path(__file__).parents[2] / "deploy" / "days"
-AT_ONCE = 4
+MAX_CONCURRENT_DAYS = 4
 
 
-def play(program: str, site: str, day: Path, folder: Path) -> str:
-    """Play one day; return the lines that judge it."""
-    played = subprocess.run(
+def run_day(program: str, site: str, day: Path, folder: Path) -> str:
+    """Run one day, and return the lines with its verdict."""
+    result = subprocess.run(
         [program, "run", site, str(day), "--why", f"Own day: {day.stem}"],
         capture_output=True,
         text=True,
         check=False,
     )
-    (folder / f"{day.stem}.out").write_text(played.stdout + played.stderr)
-    lines = played.stdout.splitlines()
-    judged = [line for line in lines if line.startswith(day.stem) or "rule" in line]
-    return "\n".join(judged) or f"{day.stem}: {(lines or [played.stderr])[-1]}"
+    (folder / f"{day.stem}.out").write_text(result.stdout + result.stderr)
+    lines = result.stdout.splitlines()
+    verdicts = [line for line in lines if line.startswith(day.stem) or "rule" in line]
+    return "\n".join(verdicts) or f"{day.stem}: {(lines or [result.stderr])[-1]}"
 
 
 def main() -> int:
-    """Play the days that are named, or all."""
+    """Run the named days, or all."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("program")
     parser.add_argument("site")
@@ -40,9 +40,9 @@
     days = [
         day for day in sorted(DAYS.glob("*.toml")) if day.stem in names or not names
     ]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_CONCURRENT_DAYS) as pool:
         for verdict in pool.map(
-            lambda day: play(arguments.program, arguments.site, day, folder), days
+            lambda day: run_day(arguments.program, arguments.site, day, folder), days
         ):
             print(verdict, flush=True)
     print(f"outputs: {folder}")
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Break real gateway processes at random, and check what callers and upstreams see."""
+"""Inject random faults into real gateway processes, and check the guarantees."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak by hand: `PYTHONPATH=tests python -m soak --seeds 50`."""
+"""Run the soak test by hand: `PYTHONPATH=tests python -m soak --seeds 50`."""
 
 import argparse
 import sys
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Run some seeds; print each verdict and keep the logs of those that fail."""
+    """Run a range of seeds, and print each result with the log folder if it failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
@@ -19,9 +19,9 @@
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        broken = run_seed(seed, arguments.seconds, folder, arguments.fleet)
-        failed += bool(broken)
-        print(f"seed {seed}: {broken[:5] or 'held'} {folder if broken else ''}")
+        violations = run_seed(seed, arguments.seconds, folder, arguments.fleet)
+        failed += bool(violations)
+        print(f"seed {seed}: {violations[:5] or 'held'} {folder if violations else ''}")
     return 1 if failed else 0
 
 
--- a/tests/soak/faulty_link.py
+++ b/tests/soak/faulty_link.py
@@ -1,4 +1,4 @@
-"""Stand between a gateway and an upstream, and misbehave as a network does."""
+"""Proxy connections from gateways to an upstream, and inject network faults."""
 
 import random
 import socket
@@ -13,20 +13,20 @@
 
 
 class LinkMode(Enum):
-    """Name what a link does with the bytes on it."""
+    """Say how a link treats connections and bytes."""
 
     PASSES = auto()
     DELAYS = auto()
     RESETS = auto()
-    """Connections are reset as they are made, and in the middle."""
+    """New connections are reset, and open ones at their next bytes."""
     SILENT = auto()
-    """Bytes are held until this ends, in both directions."""
+    """Bytes in both directions are held until the mode changes."""
     ONE_WAY = auto()
-    """Answers are held until this ends."""
+    """Bytes from the upstream are held until the mode changes."""
 
 
 class FaultyLink:
-    """Own a listening socket, whose connections are passed on to an address."""
+    """Listen on a socket, and forward its connections to an address."""
 
     def __init__(self, target: str, seed: int) -> None:
         self.target = target
@@ -38,36 +38,39 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Pass on each connection, or reset it."""
+        """Accept connections, and forward or reset each."""
         self.listener.settimeout(ACCEPT_SECONDS)
         while not self.stopped.is_set():
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except TimeoutError:
                 continue
             except OSError:
                 return
             if self.mode is LinkMode.RESETS:
-                reset(near)
+                reset(client)
                 continue
-            threading.Thread(target=self.connect, args=(near,), daemon=True).start()
+            threading.Thread(target=self.connect, args=(client,), daemon=True).start()
 
-    def connect(self, near: socket.socket) -> None:
-        """Open the other half and pump both ways."""
+    def connect(self, client: socket.socket) -> None:
+        """Connect to the target, and copy bytes both ways."""
         host, _, port = self.target.partition(":")
         try:
-            far = socket.create_connection((host, int(port)), timeout=5)
+            upstream = socket.create_connection((host, int(port)), timeout=5)
         except OSError:
-            reset(near)
+            reset(client)
             return
-        far.settimeout(None)
-        for source, sink, answers in ((near, far, False), (far, near, True)):
+        upstream.settimeout(None)
+        for source, sink, answers in (
+            (client, upstream, False),
+            (upstream, client, True),
+        ):
             threading.Thread(
                 target=self.pump, args=(source, sink, answers), daemon=True
             ).start()
 
     def pump(self, source: socket.socket, sink: socket.socket, answers: bool) -> None:
-        """Copy bytes until either side ends, as the mode says."""
+        """Copy bytes one way until either side closes, as the mode says."""
         try:
             while data := source.recv(READ_BYTES):
                 if self.mode is LinkMode.DELAYS:
@@ -84,20 +87,20 @@
             reset(sink)
 
     def wait_while_held(self, answers: bool) -> None:
-        """Hold bytes as long as the link is silent for their direction."""
+        """Wait while the mode holds bytes of this direction."""
         while not self.stopped.is_set() and (
             self.mode is LinkMode.SILENT or (answers and self.mode is LinkMode.ONE_WAY)
         ):
             time.sleep(SILENCE_STEP_SECONDS)
 
     def stop(self) -> None:
-        """Let nothing more through."""
+        """Stop accepting connections and release held bytes."""
         self.stopped.set()
         self.listener.close()
 
 
 def reset(connection: socket.socket) -> None:
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     try:
         linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/tests/soak/recorder.py
+++ b/tests/soak/recorder.py
@@ -1,4 +1,4 @@
-"""Remember what callers were told and what upstreams ran, and compare the two."""
+"""Record what callers received and what upstreams ran, and compare the two."""
 
 import threading
 from collections import defaultdict
@@ -8,81 +8,81 @@
 
 
 class Kind(StrEnum):
-    """Name what may be repeated of a request."""
+    """Name a kind of request by how it may be retried."""
 
     SAFE = "safe"
     ONCE = "once"
     STREAM = "stream"
 
 
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 EVENTS = 6
 
 
 class CallResult(NamedTuple):
-    """Be what a caller got for one attempt."""
+    """Hold what a caller received for one attempt."""
 
     attempt_id: str
     kind: Kind
     status: int
-    """Zero where no answer came."""
+    """Zero if no answer came."""
     body: bytes
     whole: bool
 
 
 @dataclass
 class CallRecorder:
-    """Collect from all threads of a run."""
+    """Collect runs and results from all threads of a soak run."""
 
     runs: dict[str, int] = field(default_factory=lambda: defaultdict(int))
-    told: list[CallResult] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    results: list[CallResult] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def ran(self, attempt_id: str) -> None:
-        """Note that an upstream began to work on an attempt."""
+    def record_run(self, attempt_id: str) -> None:
+        """Record that an upstream started to run an attempt."""
         with self.lock:
             self.runs[attempt_id] += 1
 
-    def tell(self, told: CallResult) -> None:
-        """Note what a caller got."""
+    def record_result(self, result: CallResult) -> None:
+        """Record what a caller received."""
         with self.lock:
-            self.told.append(told)
+            self.results.append(result)
 
-    def break_promise(self, text: str) -> None:
-        """Note a promise that was seen broken."""
+    def record_violation(self, text: str) -> None:
+        """Record a violated guarantee."""
         with self.lock:
-            self.broken.append(text)
+            self.violations.append(text)
 
-    def verdict(self) -> list[str]:
-        """List every promise that was broken."""
-        found = list(self.broken)
-        for told in self.told:
-            found += list(problems(told, self.runs[told.attempt_id]))
+    def all_violations(self) -> list[str]:
+        """List all violated guarantees."""
+        found = list(self.violations)
+        for result in self.results:
+            found += list(problems(result, self.runs[result.attempt_id]))
         return found
 
 
-def problems(told: CallResult, runs: int):
-    """List what is wrong with one attempt."""
-    name = f"{told.kind} {told.attempt_id}"
-    if told.kind is Kind.ONCE and runs > 1:
+def problems(result: CallResult, runs: int):
+    """List the violated guarantees of one attempt."""
+    name = f"{result.kind} {result.attempt_id}"
+    if result.kind is Kind.ONCE and runs > 1:
         yield f"{name}: ran {runs} times"
-    if told.kind is Kind.ONCE and told.status in PROMISES_NOT_RUN and runs:
-        yield f"{name}: answered {told.status} and ran"
-    if told.status != 200 or not told.whole:
+    if result.kind is Kind.ONCE and result.status in NOT_RUN_STATUSES and runs:
+        yield f"{name}: answered {result.status} and ran"
+    if result.status != 200 or not result.whole:
         return
-    if told.kind is Kind.STREAM:
-        if told.body != events_after(0):
-            yield f"{name}: events {told.body!r}"
-    elif told.body != told.attempt_id.encode():
-        yield f"{name}: got the answer {told.body!r}"
+    if result.kind is Kind.STREAM:
+        if result.body != events_after(0):
+            yield f"{name}: events {result.body!r}"
+    elif result.body != result.attempt_id.encode():
+        yield f"{name}: got the answer {result.body!r}"
 
 
 def events_after(last: int) -> bytes:
-    """Write the events of a stream behind one of them."""
+    """Return the events of a stream that follow event number `last`."""
     return b"".join(event(number) for number in range(last + 1, EVENTS + 1))
 
 
 def event(number: int) -> bytes:
-    """Write one event."""
+    """Return one encoded event."""
     return b"id: %d\ndata: part %d\n\n" % (number, number)
--- a/tests/soak/runner.py
+++ b/tests/soak/runner.py
@@ -1,4 +1,4 @@
-"""Run gateways, upstreams behind faulty links, callers and an operator together."""
+"""Run gateways, upstreams behind faulty links, callers and an operator."""
 
 import json
 import random
@@ -29,7 +29,7 @@
 UPSTREAMS = 3
 HEARTBEAT_SECONDS = 0.5
 APPLY_SECONDS = 2.0
-"""Time after its acknowledgement in which a change must be in force."""
+"""Seconds after its acknowledgement within which a change must be in force."""
 RECOVER_SECONDS = 12.0
 FAULT_PAUSE_SECONDS = (0.2, 1.5)
 FAULT_SECONDS = (0.3, 3.0)
@@ -44,12 +44,12 @@
 )
 
 
-MOST_LOST_IN_MEMORY = 3
-"""Gateways that seven without disks may lose at once."""
+MAX_LOST_IN_MEMORY = 3
+"""Gateways that a fleet of seven without disks may lose at once."""
 
 
 class FleetKind(StrEnum):
-    """Say on what the gateways keep their configuration."""
+    """Say where the gateways store their configuration."""
 
     DISKS = "disks"
     SLOW_DISKS = "slow-disks"
@@ -57,7 +57,7 @@
 
     @property
     def arguments(self) -> dict[str, float]:
-        """Return how such a fleet is run."""
+        """Return the arguments of `running_fleet` for this kind."""
         match self:
             case FleetKind.DISKS:
                 return {}
@@ -68,7 +68,7 @@
 
 
 class SoakRunner:
-    """Own everything that runs for one seed."""
+    """Run the fleet, upstreams, callers and faults of one seed."""
 
     def __init__(
         self, fleet: Fleet, seed: int, kind: FleetKind = FleetKind.DISKS
@@ -76,8 +76,8 @@
         self.fleet = fleet
         self.kind = kind
         self.random = random.Random(seed)
-        self.witness = CallRecorder()
-        self.ending = threading.Event()
+        self.recorder = CallRecorder()
+        self.stopping = threading.Event()
         self.restored = threading.Event()
         self.upstreams: list[ScriptedUpstream] = []
         self.links: list[FaultyLink] = []
@@ -88,23 +88,23 @@
             self.add_upstream(number)
 
     def add_upstream(self, number: int) -> None:
-        """Start an upstream behind a link of its own."""
+        """Start an upstream behind its own faulty link."""
         upstream = ScriptedUpstream(f"u-{number}", "plain", self.serve)
         link = FaultyLink(upstream.address, number)
         upstream.address = link.address
         self.upstreams.append(upstream)
         self.links.append(link)
 
-    # What upstreams do.
+    # Upstreams.
 
     def serve(self, exchange: Exchange) -> None:
-        """Answer with the attempt's own id, or with numbered events."""
+        """Answer with the attempt's id, or with a stream of numbered events."""
         headers = exchange.request.headers
         attempt_id = headers["x-attempt-id"]
         if headers["x-expect-instance"] != exchange.upstream.upstream_id:
             exchange.answer(421, X_Not_Run="1")
             return
-        self.witness.ran(attempt_id)
+        self.recorder.record_run(attempt_id)
         if not exchange.request.target.startswith(f"/{Kind.STREAM}/"):
             time.sleep(EVENT_PAUSE_SECONDS)
             exchange.answer(200, attempt_id.encode())
@@ -116,9 +116,9 @@
             time.sleep(EVENT_PAUSE_SECONDS)
         exchange.end_stream()
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send every upstream's heartbeats, each to any gateway that answers."""
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             for upstream in self.upstreams:
                 gateways = random.sample(self.fleet.gateways, len(self.fleet.gateways))
                 any(
@@ -127,32 +127,32 @@
                 )
             time.sleep(HEARTBEAT_SECONDS)
 
-    # What callers and the operator do.
+    # Callers and the operator.
 
-    def call_on(self, seed: int) -> None:
-        """Make one request after the other, on kept connections where they last."""
-        own = random.Random(seed)
+    def send_requests(self, seed: int) -> None:
+        """Send one request after another, and reuse connections after whole answers."""
+        rng = random.Random(seed)
         connection = None
-        while not self.ending.is_set():
-            gateway = own.choice(self.fleet.gateways)
+        while not self.stopping.is_set():
+            gateway = rng.choice(self.fleet.gateways)
             if connection is None:
                 connection = HTTPConnection(
                     gateway.host, gateway.ports.callers, timeout=12
                 )
-            told = ask_once(connection, own.choice(list(Kind)))
-            self.witness.tell(told)
-            if not told.whole or told.status != 200:
+            result = send_request(connection, rng.choice(list(Kind)))
+            self.recorder.record_result(result)
+            if not result.whole or result.status != 200:
                 connection.close()
                 connection = None
-            time.sleep(own.uniform(0, 0.05))
+            time.sleep(rng.uniform(0, 0.05))
 
-    def operate(self) -> None:
-        """Send one version after the other, again until it is acknowledged."""
+    def submit_changes(self) -> None:
+        """Submit one version after another, each until it is acknowledged."""
         version = 1
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             version += self.random.randint(1, 3)
             self.sent[version] = document(version, *ROUTES)
-            while not self.ending.is_set():
+            while not self.stopping.is_set():
                 gateway = self.random.choice(self.fleet.gateways)
                 status, _ = call(
                     gateway.control, "PUT", "/api/config", self.sent[version]
@@ -161,7 +161,9 @@
                     self.acknowledged.append((time.monotonic(), version))
                     break
                 if status in (400, 409):
-                    self.witness.break_promise(f"version {version} refused: {status}")
+                    self.recorder.record_violation(
+                        f"version {version} refused: {status}"
+                    )
                     break
                 time.sleep(0.1)
             self.read_back(self.random.choice(self.fleet.gateways))
@@ -177,15 +179,15 @@
         due = [v for at, v in self.acknowledged if at <= began - APPLY_SECONDS]
         if due and held["version"] < max(due):
             text = f"{gateway.host} read back {held['version']} after {max(due)}"
-            self.witness.break_promise(text)
+            self.recorder.record_violation(text)
         if held != self.sent.get(held["version"], held):
-            self.witness.break_promise(f"version {held['version']} was changed")
+            self.recorder.record_violation(f"version {held['version']} was changed")
         return True
 
-    # What goes wrong.
+    # Faults.
 
-    def do_harm(self) -> None:
-        """Let one fault follow the other; some overlap."""
+    def inject_faults(self) -> None:
+        """Inject one random fault after another until the run stops."""
         kill, kill_all = self.kill, self.kill_all
         if self.kind is FleetKind.MEMORY:
             kill = kill_all = self.kill_some
@@ -198,14 +200,18 @@
             kill_all,
             self.restart_upstream,
         ]
-        while not self.ending.is_set():
-            harm = self.random.choice(kinds)
-            self.faults.append(harm.__name__)
-            harm()
+        while not self.stopping.is_set():
+            fault = self.random.choice(kinds)
+            self.faults.append(fault.__name__)
+            fault()
             time.sleep(self.random.uniform(*FAULT_PAUSE_SECONDS))
 
     def kill(self) -> None:
-        """Kill a gateway; sometimes its disk is lost, if the others are well."""
+        """Kill and restart a gateway, sometimes with an empty disk.
+
+        The disk is only lost while the others count three voters, so that a quorum
+        keeps the configuration.
+        """
         gateway = self.random.choice(self.fleet.gateways)
         gateway.kill()
         if self.random.random() < 0.3 and self.all_voted():
@@ -214,8 +220,8 @@
         gateway.start(first=False)
 
     def kill_some(self) -> None:
-        """Kill as many gateways without disks as may be lost, if all are well."""
-        count = self.random.randint(1, MOST_LOST_IN_MEMORY)
+        """Kill up to `MAX_LOST_IN_MEMORY` gateways, if all replicas are voters."""
+        count = self.random.randint(1, MAX_LOST_IN_MEMORY)
         killed = self.random.sample(self.fleet.gateways, count)
         pause = self.random.uniform(0, 0.5)
         if not self.all_vote_in_memory():
@@ -227,12 +233,12 @@
             gateway.start(first=False)
 
     def all_vote_in_memory(self) -> bool:
-        """Tell whether every gateway's replica counts all of them as voters."""
+        """Return whether each gateway's replica counts all gateways as voters."""
         gateways = self.fleet.gateways
         return all(gateway.voters() == len(gateways) for gateway in gateways)
 
     def all_voted(self) -> bool:
-        """Tell whether each gateway that runs counts three voters and all is synced."""
+        """Return whether all gateways but one run and count three synced voters."""
         running = [g for g in self.fleet.gateways if g.process.poll() is None]
         return len(running) == len(self.fleet.gateways) - 1 and all(
             gateway.voters() == 3 for gateway in running
@@ -247,14 +253,14 @@
         time.sleep(2.0)
 
     def pause(self) -> None:
-        """Stop a gateway's process for a while."""
+        """Pause a gateway's process for a random time."""
         gateway = self.random.choice(self.fleet.gateways)
         gateway.process.send_signal(signal.SIGSTOP)
         time.sleep(self.random.uniform(*FAULT_SECONDS))
         gateway.process.send_signal(signal.SIGCONT)
 
     def restart_gracefully(self) -> None:
-        """Ask a gateway to end, and start it again."""
+        """Shut a gateway down gracefully, and start it again."""
         gateway = self.random.choice(self.fleet.gateways)
         if self.kind is FleetKind.MEMORY and not self.all_vote_in_memory():
             return
@@ -263,39 +269,42 @@
         gateway.start(first=False)
 
     def disturb_link(self) -> None:
-        """Let a link misbehave for a while."""
+        """Put a link into a random mode for a random time."""
         link = self.random.choice(self.links)
         link.mode = self.random.choice(list(LinkMode))
         time.sleep(self.random.uniform(*FAULT_SECONDS))
         link.mode = LinkMode.PASSES
 
     def restart_upstream(self) -> None:
-        """Give an upstream a new start at its address, whose heartbeats come late."""
+        """Restart an upstream under a new start id, known from its next heartbeat."""
         upstream = self.random.choice(self.upstreams)
         upstream.upstream_id = f"{upstream.upstream_id.split('.')[0]}.{uuid.uuid4()}"
         upstream.sequence = 0
 
-    # The whole.
+    # The complete run.
 
     def run(self, seconds: float) -> list[str]:
-        """Run for a time, then repair everything and look at what is left."""
+        """Run with faults for some seconds, then repair links and check recovery."""
         self.fleet.accept(document(1, *ROUTES))
         self.sent[1] = document(1, *ROUTES)
-        works: list[tuple[Callable, tuple]] = [(self.beat, ()), (self.operate, ())]
-        works += [(self.call_on, (number,)) for number in range(CALLERS)]
-        threads = [threading.Thread(target=work, args=args) for work, args in works]
-        harm = threading.Thread(target=self.do_harm)
-        for thread in (*threads, harm):
+        tasks: list[tuple[Callable, tuple]] = [
+            (self.send_heartbeats, ()),
+            (self.submit_changes, ()),
+        ]
+        tasks += [(self.send_requests, (number,)) for number in range(CALLERS)]
+        threads = [threading.Thread(target=task, args=args) for task, args in tasks]
+        injector = threading.Thread(target=self.inject_faults)
+        for thread in (*threads, injector):
             thread.start()
         time.sleep(seconds)
-        self.ending.set()
-        for thread in (*threads, harm):
+        self.stopping.set()
+        for thread in (*threads, injector):
             thread.join()
         self.check_recovery()
-        return self.witness.verdict()
+        return self.recorder.all_violations()
 
     def check_recovery(self) -> None:
-        """Check that the fleet heals by itself and holds what it accepted."""
+        """Check that the fleet recovers and still holds what it acknowledged."""
         for link in self.links:
             link.mode = LinkMode.PASSES
         time.sleep(APPLY_SECONDS)
@@ -304,18 +313,18 @@
             while not self.read_back(gateway):
                 if time.monotonic() > end:
                     text = f"{gateway.host} gives no configuration after the faults"
-                    self.witness.break_promise(text)
+                    self.recorder.record_violation(text)
                     break
                 time.sleep(0.1)
 
     def stop(self) -> None:
-        """Close what listens."""
+        """Stop all links and upstreams."""
         for each in (*self.links, *self.upstreams):
             each.stop()
 
 
-def ask_once(connection: HTTPConnection, kind: Kind) -> CallResult:
-    """Make one request with an id of its own."""
+def send_request(connection: HTTPConnection, kind: Kind) -> CallResult:
+    """Send one request with a new attempt id."""
     attempt_id = uuid.uuid4().hex
     headers = {
         "Host": HOST,
@@ -338,7 +347,7 @@
 def run_seed(
     seed: int, seconds: float, folder: Path, kind: FleetKind = FleetKind.DISKS
 ) -> list[str]:
-    """Run one seed; return the promises that were broken."""
+    """Run one seed, and return the violated guarantees."""
     with ExitStack() as stack:
         fleet = stack.enter_context(running_fleet(folder, **kind.arguments))
         world = SoakRunner(fleet, seed, kind)
