--- a/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
@@ -10,7 +10,7 @@
 from cowslipshelf_cli.internal.load.outcome import Ending, Outcome
 
 BUCKET_MAX_TOKENS = (3_000, 10_000, 30_000, 100_000, 300_000, 1_000_000)
-"""Longest prompt of each bucket; the last bucket is unbounded."""
+"""Longest prompt of each bucket; one more bucket holds all longer prompts."""
 PERCENTILES = (50.0, 95.0, 99.0)
 SIGNIFICANT_DIGITS = 3
 UNITS_PER_ONE = 1_000_000
--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -12,7 +12,7 @@
 from cowslipshelf_host.log_entries import LogEntry, read_entries
 
 LATE_LOSS_SHARE = 0.75
-"""Share of its value that a late answer loses, the same for all users."""
+"""Share of its value that a late answer loses, in the value tables of all users."""
 NO_ROUTE = "-"
 
 ATTEMPT_BEGINS = "request: Attempt begins."
--- a/packages/cli/src/cowslipshelf_cli/internal/plan_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/plan_commands.py
@@ -80,7 +80,7 @@
     """Refuse an upstream that has not announced itself.
 
     The fleet would accept a misspelt name. The operator would then believe the intended
-    upstream to be drained, and stop it with its requests.
+    upstream to be drained, and stop it while it still runs requests.
     """
     heard = [each.upstream_id for each in state.upstreams]
     if upstream in heard or upstream in state.configuration.draining:
--- a/packages/cli/src/cowslipshelf_cli/internal/query_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/query_commands.py
@@ -134,7 +134,7 @@
 
 
 def error_to_report(failed: list[ClientError]) -> ClientError | CommandFailedError:
-    """Choose the error to report: not "unknown" while an instance is unreachable."""
+    """Choose the error to report: not "unknown" if an instance could not answer."""
     unanswered = [error for error in failed if not is_not_found(error)]
     if unanswered and len(unanswered) < len(failed):
         message = f"not known to those that answered, but: {unanswered[0]}"
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -87,7 +87,7 @@
         yield
 
 
-def play_without(
+def simulate_without(
     fleet: Fleet, off: str, seconds: float, load: float, seed: int
 ) -> Figures:
     """Simulate one load with a mechanism disabled."""
@@ -105,17 +105,17 @@
     """Simulate a fleet's load with each mechanism disabled, on the same arrivals."""
     first_kind = FLEETS[fleet].kinds[0].name
     with ProcessPoolExecutor(processes) as pool:
-        plays = {
+        simulations = {
             off: [
-                pool.submit(play_without, FLEETS[fleet], off, seconds, load, seed)
+                pool.submit(simulate_without, FLEETS[fleet], off, seconds, load, seed)
                 for seed in seeds
             ]
             for off in ABLATIONS
         }
-        for off, submitted in plays.items():
-            played = [each.result() for each in submitted]
+        for off, submitted in simulations.items():
+            results = [each.result() for each in submitted]
             yield AblationResult(
                 off,
-                tuple(each.value for each in played),
-                mean(each.kinds[first_kind].in_time for each in played),
+                tuple(each.value for each in results),
+                mean(each.kinds[first_kind].in_time for each in results),
             )
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -75,7 +75,7 @@
 
 SHORT_PEAK = (2.4, 0.5, 0.05)
 LONG_PEAK = (0.38, 1.3, 2.8)
-"""Rate factors of short, middle and long prompts while demand peaks."""
+"""Rate factors of short, middle and long prompts while short or long ones peak."""
 
 ENGINE = EngineModel(
     slots=8,
--- a/packages/emulator/src/cowslipshelf_emulator/internal/log_comparison.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/log_comparison.py
@@ -29,7 +29,9 @@
 KIND_BOUNDS = (("short", 24_000), ("middle", 110_001), ("long", 10_000_000))
 """Kinds, each with the prompt tokens that it stays below."""
 ANY_LENGTHS = LengthDistribution(1.0, 0.0, 1.0)
+"""Placeholder, as the lengths come from the log."""
 NEVER_SECONDS = 1e6
+"""Limit that emulated callers never reach."""
 
 
 class LoggedAttempt(NamedTuple):
--- a/tests/cover/emulator/test_ablation.py
+++ b/tests/cover/emulator/test_ablation.py
@@ -6,7 +6,7 @@
     ABLATIONS,
     ALL_ON,
     mechanism_disabled,
-    play_without,
+    simulate_without,
 )
 from cowslipshelf_emulator.internal.fleet import build
 from cowslipshelf_emulator.internal.load import CODELIJN, draw_arrivals
@@ -25,7 +25,7 @@
 def test_every_ablation_can_be_applied_and_is_undone(off):
     with mechanism_disabled(ABLATIONS[off]):
         pass
-    assert play_without(CODELIJN, ALL_ON, SECONDS, LOAD, SEED) == baseline()
+    assert simulate_without(CODELIJN, ALL_ON, SECONDS, LOAD, SEED) == baseline()
 
 
 @pytest.mark.parametrize(
@@ -44,5 +44,5 @@
     prompt, 0.768 without harm to decoding requests, 0.847 without harm to queued
     requests, and 0.582 without gossip between gateways.
     """
-    without = play_without(CODELIJN, off, SECONDS, LOAD, SEED)
+    without = simulate_without(CODELIJN, off, SECONDS, LOAD, SEED)
     assert without.value < baseline().value
