--- a/tests/common/matrix_control_cluster.py
+++ b/tests/common/matrix_control_cluster.py
@@ -1,4 +1,4 @@
-"""Join replicas of the control state for the fault matrix."""
+"""Run replicas of the control state for the fault matrix."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -25,15 +25,15 @@
 
 
 class Applied(msgspec.Struct, array_like=True):
-    """Be a snapshot of both what the cluster checks and the control state."""
+    """Hold a snapshot of the cluster's checked commands and of the control state."""
 
     commands: list[str]
     state: bytes
 
 
 @dataclass
-class Mail:
-    """Be a message to or from a process without a replica."""
+class PendingMessage:
+    """Hold an undelivered message to or from a process without a replica."""
 
     sender: str
     recipient: str
@@ -41,8 +41,8 @@
 
 
 @dataclass
-class Viewer:
-    """Be the configuration in force in one process, and every version it had."""
+class ConfigurationObserver:
+    """Hold one process's configuration view and every version it had in force."""
 
     view: ConfigurationView
     versions: list[int] = field(default_factory=list)
@@ -50,11 +50,11 @@
 
 @dataclass(repr=False)
 class ControlCluster(Cluster):
-    """Apply the control state on top of the replicas, as the replica's actor does."""
+    """Apply committed commands to the control state, as the replica's actor does."""
 
     states: dict[str, ControlState] = field(default_factory=dict)
-    proposers: dict[str, Callable] = field(default_factory=dict)
-    questions: dict[str, Callable] = field(default_factory=dict)
+    answer_callbacks: dict[str, Callable] = field(default_factory=dict)
+    pending_reads: dict[str, Callable] = field(default_factory=dict)
     frozen: dict[str, list] = field(default_factory=dict)
 
     def restart(self, instance) -> None:
@@ -72,11 +72,11 @@
         events = self.frozen.pop(instance, [])
         self.step(instance, events)
 
-    def put(self, instance, command: bytes, answer: Callable) -> None:
-        """Propose under an id of its own: every copy is answered for itself."""
+    def submit(self, instance, command: bytes, answer: Callable) -> None:
+        """Propose under a new id, so that each copy of a command is answered."""
         self.proposed += 1
         proposal_id = f"proposal-{self.proposed}"
-        self.proposers[f"{instance} {proposal_id}"] = answer
+        self.answer_callbacks[f"{instance} {proposal_id}"] = answer
         at = 1000.0 + self.nodes[instance].clock
         self.step(instance, [CommandProposed(proposal_id, command, at)])
 
@@ -92,22 +92,23 @@
             return
         super().perform(node, effect)
         read_id = getattr(effect, "read_id", None)
-        if read_id in self.questions:
+        if read_id in self.pending_reads:
             confirmed = read_id in self.confirmed_reads
-            self.questions.pop(read_id)(confirmed)
+            self.pending_reads.pop(read_id)(confirmed)
 
     def refuse(self, instance, effect: ProposalRefused) -> None:
-        """Refuse what was not answered here.
+        """Refuse a proposal that this instance has not answered.
 
-        A leader that was frozen may say "outcome unknown" of what another leader has
-        committed meanwhile; the cluster alone would take that one for the answer.
+        A leader that was frozen may report "outcome unknown" for a command that
+        another leader has committed meanwhile. The base class would treat that commit
+        as this instance's answer.
         """
-        assert f"{instance} {effect.proposal_id}" in self.proposers
+        assert f"{instance} {effect.proposal_id}" in self.answer_callbacks
         self.refused[effect.proposal_id] = effect.reason
         self.answer(instance, effect.proposal_id, 0, b"", effect)
 
     def answer(self, instance, proposal_id, index, outcome, refused=None) -> None:
-        answer = self.proposers.pop(f"{instance} {proposal_id}", None)
+        answer = self.answer_callbacks.pop(f"{instance} {proposal_id}", None)
         if answer is not None:
             reason = refused.reason if refused else None
             leader = refused.leader if refused else None
@@ -126,7 +127,7 @@
         super().install(node, ENCODER.encode(applied.commands), index)
         self.states[node.instance] = ControlState.from_snapshot(applied.state)
 
-    def ask_quorum(self, instance, answer: Callable) -> None:
+    def read_from_quorum(self, instance, answer: Callable) -> None:
         if self.nodes[instance].running and instance not in self.frozen:
-            self.questions[f"read-{len(self.reads)}"] = answer
+            self.pending_reads[f"read-{len(self.reads)}"] = answer
             self.read(instance)
