--- a/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
+++ b/packages/host/src/cowslipshelf_host/internal/logs/line_writers.py
@@ -7,7 +7,7 @@
 from typing import TextIO
 
 MAX_QUEUED_LINES = 4_000
-"""Lines queued for a slow reader: some seconds of a busy process's lines."""
+"""Enough for a slow reader: some seconds of a busy process's lines."""
 MAX_LINES_PER_SECOND = 400
 """Average rate, with a burst of one second's lines. A request logs three lines. A
 process serves some ten requests per second, and a hundred if few processes are left."""
@@ -62,7 +62,7 @@
         self.thread.start()
 
     def write_line(self, line: str) -> None:
-        """Queue one line, or drop it if the queue or the rate limit is full."""
+        """Queue one line, or drop it if the queue is full or the rate too high."""
         with self.condition:
             if not self.admit_line():
                 self.dropped_lines += 1
--- a/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
+++ b/packages/host/src/cowslipshelf_host/internal/metrics/registry.py
@@ -82,7 +82,7 @@
                 metric = Metric(validate_name(name), kind, {})
                 self.metrics[name] = metric
             if metric.series_type is not kind:
-                raise MetricError(f"{name} is of two kinds")
+                raise MetricError(f"{name} is used for two kinds of metrics")
             if key not in metric.series and len(metric.series) >= self.max_label_sets:
                 self.count_overflow(name)
                 key = OVERFLOW_LABELS
@@ -120,11 +120,11 @@
     """Raise `MetricError` for a label name that the text format does not allow."""
     for label, _ in labels:
         if label in RESERVED_LABELS or not METRIC_NAME.match(label):
-            raise MetricError(f"{label!r} is no label name, or one with a meaning")
+            raise MetricError(f"{label!r} is reserved or not a valid label name")
 
 
 def validate_name(name: str) -> str:
     """Return a name that the text format allows, or raise `MetricError`."""
     if not METRIC_NAME.match(name):
-        raise MetricError(f"{name!r} is no metric name: a-z, 0-9 and '_' only")
+        raise MetricError(f"{name!r} is not a valid metric name: only a-z, 0-9 and '_'")
     return name
--- a/packages/host/src/cowslipshelf_host/internal/settings/documents.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/documents.py
@@ -47,16 +47,16 @@
 
 
 class EntryAddress(SettingsDocument, frozen=True):
-    """Locate one entry instance."""
+    """Describe one entry instance."""
 
     instance: Annotated[InstanceId, Name]
     """Name of the entry instance."""
     data_centre: Annotated[DataCentre, Name]
     """Data centre of the entry instance."""
     mailbox_address: PeerAddress
-    """Address on which other instances send it messages."""
+    """Address to which other instances send it messages."""
     replica: bool = False
-    """Whether it holds a replica of the replicated control state."""
+    """Whether it holds a replica of the control state."""
 
 
 class LimitSettings(SettingsDocument, frozen=True):
@@ -77,7 +77,7 @@
     largest_stored_answer_bytes: Annotated[int, between(0, 16 * MEBIBYTE)] = (
         256 * KIBIBYTE
     )
-    """Maximum size, in bytes, of answers stored for their idempotency key."""
+    """Maximum size of answers stored for retries of an idempotency key, in bytes."""
 
 
 class EntrySettings(SettingsDocument, frozen=True):
@@ -131,7 +131,7 @@
     announce_seconds: Annotated[float, between(0.05, 60)] = 0.5
     """Seconds between two announcements of an upstream."""
     lease_seconds: Annotated[float, between(0.1, 600)] = 3.0
-    """Seconds for which an announcement is valid; at least two intervals."""
+    """Seconds for which an announcement is valid; at least two announce intervals."""
     heartbeat_seconds: Annotated[float, between(0.05, 60)] = 0.5
     """Seconds without other traffic after which a connection sends a heartbeat."""
     silence_seconds: Annotated[float, between(0.1, 600)] = 2.5
@@ -180,7 +180,7 @@
     ]
     """Key that all instances of the fleet share; it is never printed."""
     mailbox_address: PeerAddress
-    """Address on which other instances send messages to this one."""
+    """Address to which other instances send messages to this one."""
     entries: tuple[EntryAddress, ...]
     """Entry instances known at start; a sidecar needs at least one."""
     entry: EntrySettings | None = None
--- a/packages/host/src/cowslipshelf_host/internal/settings/page.py
+++ b/packages/host/src/cowslipshelf_host/internal/settings/page.py
@@ -24,7 +24,7 @@
 # Settings
 
 One JSON file holds the settings of one daemon. `cowslipshelf check FILE...` checks
-files without starting anything and prints every problem in one line: the file, the
+files without starting anything and prints each problem on one line: the file, the
 field, what was found and what is allowed. A daemon with wrong settings does not start.
 Examples: [an entry](../examples/settings/entry.json),
 [a sidecar](../examples/settings/sidecar.json).
@@ -36,7 +36,8 @@
 
 {proportions}
 
-This page is generated from the types by `make settings-page`; tests compare it.
+This page is generated from the types by `make settings-page`; tests check that it is
+up to date.
 """
 TABLE_HEAD = ("| field | allowed | default | meaning |", "| --- | --- | --- | --- |")
 
--- a/packages/host/src/cowslipshelf_host/internal/storage/framing.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/framing.py
@@ -101,7 +101,7 @@
 
 
 def has_zero_sector(data: bytes, offset: int) -> bool:
-    """Return whether any sector after an offset holds only zeros."""
+    """Return whether any sector from an offset on holds only zeros."""
     start = offset
     while start < len(data):
         end = min(len(data), start - start % SECTOR_BYTES + SECTOR_BYTES)
--- a/packages/host/src/cowslipshelf_host/internal/storage/segments.py
+++ b/packages/host/src/cowslipshelf_host/internal/storage/segments.py
@@ -108,7 +108,7 @@
         ]
 
     def truncate_torn_tail(self) -> None:
-        """Truncate an incomplete record that a crash left, and sync the rest."""
+        """Truncate what a crash left incomplete, and sync the rest."""
         segment = self.segments[-1]
         if os.fstat(self.descriptor).st_size > segment.size:
             os.ftruncate(self.descriptor, segment.size)
