--- a/tests/common/matrix_change_fleet.py
+++ b/tests/common/matrix_change_fleet.py
@@ -73,16 +73,18 @@
         self.instances = tuple(sorted(self.cluster.nodes))
         self.messages: list[PendingMessage] = []
         self.delayed: list[tuple[int, object]] = []
+        """Delayed messages, each with the round in which it is delivered."""
         self.scheduled: list[tuple[int, Callable[[], None]]] = []
         self.round = 0
         self.message_fault = ""
         self.message_fault_ends = 0
         self.silent: set[frozenset[str]] = set()
+        """Pairs of processes whose messages to each other are dropped."""
         self.answers_to_lose = 0
         self.injected = False
         self.leader = ""
         self.dead_until = 0
-        """Round until which messages of the crashed leader are dropped."""
+        """Round up to which messages of the crashed leader are dropped."""
         self.answered = False
         self.payload = b""
         self.steps_reached: set[str] = set()
--- a/tests/common/matrix_entry.py
+++ b/tests/common/matrix_entry.py
@@ -106,6 +106,7 @@
     is_alive: Callable[[str], bool]
     """Return whether an entry is known to be alive."""
     known: dict[str, tuple[float, str, int, bool]] = field(default_factory=dict)
+    """Time, epoch, load sequence and leaving flag of each last announcement."""
     attempts: int = 0
 
     def boot(self) -> None:
@@ -165,9 +166,11 @@
         self.calls = 0
         self.waiting = False
         self.crossed_run: RequestRun | None = None
+        """Request that also gets this one's events while messages are reordered."""
         self.events: list = []
         self.answer: list[bytes] = []
         self.finals: list[tuple[float, object]] = []
+        """Time and effect of each final answer; there must be exactly one."""
         self.deadline = self.scheduler.now + request.deadline_seconds
 
     def begin(self) -> None:
@@ -244,14 +247,14 @@
         send_request(deliver)
         self.scheduler.set_timer(self.entry.process, seconds, lambda: answer(lost))
 
-    def call_sidecar(self, upstream: str, lost, refused, ask: Callable) -> None:
+    def call_sidecar(self, upstream: str, lost, refused, request: Callable) -> None:
         """Call a sidecar and wait for its answer."""
         sidecar = self.entry.sidecars[upstream]
 
         def send_request(answer: Callable) -> None:
             self.scheduler.send(
                 sidecar.process,
-                lambda: ask(sidecar, answer),
+                lambda: request(sidecar, answer),
                 lambda: answer(refused),
             )
 
@@ -268,9 +271,9 @@
                 )
             case AskClaim(claim) | MoveClaim(claim) | LookUpClaim(claim):
                 left = self.deadline - self.scheduler.now
-                self.ask_control(claim, max(0.0, min(MAX_CLAIM_SECONDS, left)))
+                self.submit_claim(claim, max(0.0, min(MAX_CLAIM_SECONDS, left)))
             case FinishClaim(claim, wait_seconds):
-                self.ask_control(claim, wait_seconds)
+                self.submit_claim(claim, wait_seconds)
             case SendHandOver(upstream, hand_over):
                 self.close()
                 self.send_hand_over(upstream, hand_over)
@@ -304,10 +307,10 @@
             case AnswerEnd() | AnswerRefusal():
                 self.finals.append((self.scheduler.now, effect))
 
-    def ask_control(self, claim, timeout_seconds: float) -> None:
+    def submit_claim(self, claim, timeout_seconds: float) -> None:
         """Submit a claim command; a finishing request expects no event in return."""
 
-        def event_of(outcome):
+        def to_event(outcome):
             if isinstance(claim, FinishClaim) or self.machine.has_ended():
                 return None
             match outcome:
@@ -323,9 +326,9 @@
         )
         self.wait_for_answer(
             timeout_seconds + 1.0,
-            event_of(unknown),
+            to_event(unknown),
             lambda answer: self.entry.control.submit(
-                claim, timeout_seconds, lambda outcome: answer(event_of(outcome))
+                claim, timeout_seconds, lambda outcome: answer(to_event(outcome))
             ),
         )
 
--- a/tests/common/matrix_scheduler.py
+++ b/tests/common/matrix_scheduler.py
@@ -13,6 +13,7 @@
 DELAY_SECONDS = 8.0
 DUPLICATE_DELAYS_SECONDS = (0.05, 6.0)
 REORDER_FACTOR = 3.0
+"""Delays shrink as the fault goes on, so messages sent later arrive earlier."""
 MISDELIVERY_SECONDS = 2.0
 """How long after the fault reordered answers still reach the wrong request."""
 
@@ -23,6 +24,7 @@
 
     name: str
     start: int = 1
+    """Number of this start; timers of earlier starts don't run."""
     alive: bool = True
     frozen: bool = False
     pending: list[Action] = field(default_factory=list)
