--- a/tests/common/matrix_fleet.py
+++ b/tests/common/matrix_fleet.py
@@ -22,6 +22,7 @@
 from cowslipshelf_core.sidecar import (
     AnswerRevoke,
     CancelAtUpstream,
+    ConfigurationApplied,
     DropFrames,
     EndAttempt,
     FirstTokenArrived,
@@ -40,7 +41,6 @@
     UpstreamAccepted,
     UpstreamFinished,
 )
-from cowslipshelf_core.sidecar import ConfigurationApplied as InForce
 from cowslipshelf_core.upstream import HandOver
 
 CHUNK_SECONDS = 0.1
@@ -262,7 +262,7 @@
         self.readers: list = []
         self.runners: dict[AttemptId, AttemptRunner] = {}
         self.ticks = 0
-        self.handle(InForce(self.configuration))
+        self.handle(ConfigurationApplied(self.configuration))
         self.tick()
 
     @property
@@ -278,7 +278,7 @@
         self.left_at = self.scheduler.now
         self.configuration = configuration(2, draining=(self.process.name,))
         if self.process.alive:
-            self.handle(InForce(self.configuration))
+            self.handle(ConfigurationApplied(self.configuration))
 
     def tick(self) -> None:
         self.ticks += 1
