--- a/benchmarks/slopes/target_size.py
+++ b/benchmarks/slopes/target_size.py
@@ -18,7 +18,7 @@
     failures_per_day: float = 34.0
     restarts_per_day: float = 1_800.0
     set_aside: int = 16
-    """Processes dedicated to replicas."""
+    """Processes set aside for replicas."""
     core_percent: float = 4.5
     memory_mebibytes: float = 244.1
     """256 MB."""
@@ -34,7 +34,7 @@
     claimed_share: float = 0.05
     """Share of all requests that must run at most once."""
     usable_core_percent: float = 60.0
-    """Share of a core that a dedicated process may use at the peak."""
+    """Share of a core that a process set aside may use at the peak."""
     replicas_in_group: int = 5
     region_round_trip_seconds: float = 0.15
     claim_kept_seconds: float = CLAIM_RETENTION_SECONDS + DEFAULT_DEADLINE_SECONDS
