--- a/packages/core/src/cowslipshelf_core/internal/__init__.py
+++ b/packages/core/src/cowslipshelf_core/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Keep what no other package imports directly."""
+"""Implement the public modules; other packages import only those."""
--- a/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claim_records.py
@@ -88,7 +88,7 @@
     if record.request_id == command.request_id and grace_expired(record, at):
         return "deadline_passed"
     if command.to_attempt in (*record.retired, record.attempt_id):
-        # Its sidecar promised never to run a retired attempt, and will refuse it.
+        # Its sidecar guaranteed never to run a retired attempt, and refuses it.
         return "attempt_retired"
     return ""
 
--- a/packages/core/src/cowslipshelf_core/internal/control/claims.py
+++ b/packages/core/src/cowslipshelf_core/internal/control/claims.py
@@ -138,9 +138,9 @@
     def move(self, command: ClaimMoved, at: float) -> ClaimGranted | ClaimRefused:
         """Replace an attempt that never ran and never will by a new one.
 
-        The holder moves its claim after the sidecar has promised not to run the old
+        The holder moves its claim after the sidecar has guaranteed not to run the old
         attempt. Another request with the same key takes the claim over after such a
-        promise, or after a stored "not run" refusal, which implies it.
+        guarantee, or after a stored "not run" refusal, which implies it.
         """
         self.remove_expired(at)
         key = claim_key(command.customer, command.key)
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -17,10 +17,10 @@
 from cowslipshelf_core.internal.gateway.prompt_cost import decode_pass_seconds
 
 ROUNDING_CHUNKS = 1e-9
-"""A smaller rest of a part is a rounding error."""
+"""A part with at most this much left counts as prefilled: it is a rounding error."""
 MIN_PASS_SECONDS = 1e-4
-"""Length of a pass whose steps take no time in their model: the simulation of such an
-engine would not end. A real pass takes four hundred times as long."""
+"""Lower bound on the length of a pass: with a model whose steps take no time, the
+simulation would not end. A real pass takes four hundred times as long."""
 
 
 @dataclass(slots=True)
@@ -140,7 +140,11 @@
         self.clock = max(self.clock, now)
 
     def begin_pass(self, model: EngineModel, begins_at: float, now: float) -> None:
-        """Begin a pass that decodes; with no prefills pending, skip to the last one."""
+        """Begin a pass that decodes.
+
+        Without pending prefills all passes are alike, so this skips to the end of the
+        one that is running at `now`.
+        """
         pending = self.pending_parts()
         chunks = float(model.steps_per_pass)
         prefilling = 0.0
@@ -199,10 +203,10 @@
             tracked.decoding = True
 
     def pending_parts(self) -> list[TrackedPart]:
-        """Return the parts that no pass has finished, in the order of their prefill.
+        """Return the parts that the current pass leaves unfinished, in prefill order.
 
-        A part for another engine goes before all others, also before such parts that
-        came earlier; the engine's own prompts keep their order.
+        The newest part for another engine goes first and the engine's own prompts last,
+        in the order in which they came.
         """
         left = [tracked for tracked in self.parts.values() if not tracked.is_prefilled]
         helping = [tracked for tracked in left if not tracked.part.decodes]
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_tracker.py
@@ -19,10 +19,11 @@
 )
 
 OVERRUN_SECONDS = 0.05
-"""Remaining time assumed for a prefill that should be done: about one pass of a
-decoding engine."""
+"""Remaining time assumed for an overdue prefill: about one pass of a decoding
+engine."""
 LONG_PREFILL_SECONDS = 0.12
-"""Prefill that explains a silence: longer than a pass that only decodes."""
+"""Prefills longer than this explain a silence: no pass that only decodes takes as
+long."""
 SILENCE_MARGIN_OBJECTIVES = 0.25
 """Silence allowed beyond the time at which an engine should have prefilled everything,
 as a share of the objective: 1 s for the longest prompts, whose predictions are off by
@@ -54,7 +55,7 @@
 
 
 class PartInPass(NamedTuple):
-    """Describe a part that the current pass finishes, or that should be finished."""
+    """Describe a part that the current pass finishes, or that is overdue."""
 
     work: EngineWork
     ready_seconds: float
@@ -172,7 +173,8 @@
             begun_at = now - held.age_seconds
             self.begin(held.work, owner, begun_at)
             if held.first_token:
-                # The message does not say when; the present time would count as late.
+                # The message does not say when the first token came; the present time
+                # would count as late.
                 self.first_token(held.work.attempt_id, begun_at)
 
     def forget_old(self, now: float) -> int:
@@ -213,7 +215,7 @@
                 continue
             view.helping_parts += not part.decodes
             if tracked.is_prefilled:
-                # A prefill that should be done but is not reported as done continues.
+                # A prefill that was not reported as done is assumed to continue.
                 overrun = OVERRUN_SECONDS if part.decodes else 0.0
                 ready = max(view.pass_left_seconds, overrun)
                 view.parts_in_pass.append(PartInPass(tracked.work, ready))
--- a/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/peer_table.py
@@ -145,7 +145,7 @@
         return tuple(sorted(holders))
 
     def replicas_to_ask(self, now: float) -> tuple[InstanceId, ...]:
-        """Return the replicas, the own one first, then those that are alive."""
+        """Return the replicas: the own one, those that are alive, then all others."""
         own = self.config.instance
         return tuple(
             sorted(self.replicas(), key=lambda p: (p != own, not self.is_alive(p, now)))
--- a/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/placement_cost.py
@@ -28,8 +28,9 @@
 """Cost of each request beyond the slots, as a share of its value: it waits until a
 running one has ended."""
 EMPTY_ENGINE_COST = 0.08
-"""Charged to a short prompt that would be the first on an engine, in short prompts, to
-keep empty engines free for long prefills. Below what any lateness costs."""
+"""Cost of placing a short prompt on an engine without requests, in units of the value
+of a short prompt's answer. It keeps empty engines free for long prefills, and is lower
+than the cost of any lateness."""
 SHORT_PREFILL_SECONDS = 0.12
 """A prompt prefilled faster than this fits into the allowed pauses of decoding requests
 (250 ms, of which a pass takes 50 to 100), so it may share engines with them."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_cost.py
@@ -45,7 +45,7 @@
 
 
 def answer_value(size: PromptSize) -> float:
-    """Return the assumed value of an answer, in answers to short prompts.
+    """Return the assumed value of an answer, relative to that of a short prompt.
 
     Operators configure no value. Longer prompts are worth more to both users of this
     software, nearly in proportion to their length; a short one has a value of its own
@@ -55,9 +55,9 @@
 
 
 TOKENS_PER_VALUE = 10_000
-"""Prompt tokens that add the value of one empty prompt. The users' tables of value give
-1.3 to prompts of 5,000 tokens, 3.9 to 45,000 and 24 to 182,000; this gives 1.5, 5.5 and
-19."""
+"""Prompt tokens that add a value of 1, which is that of an empty prompt. The users'
+tables of value give 1.3 to prompts of 5,000 tokens, 3.9 to 45,000 and 24 to 182,000;
+this gives 1.5, 5.5 and 19."""
 
 
 def admission_priority(size: PromptSize) -> int:
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -38,14 +38,14 @@
 )
 
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
-"""Numbers of engines that are tried for one prompt; the engines take 16 helpers."""
+"""Numbers of engines that are tried for one prompt; an engine accepts 16 helpers."""
 EXTRA_ENGINE_COST = 0.016
-"""Charged for each further engine, in short prompts; parts of a few milliseconds gain
-less than the extra passes cost."""
+"""Cost of each further engine, in units of the value of a short prompt's answer; parts
+of a few milliseconds gain less than the extra passes cost."""
 MAX_ENGINES_WEIGHED = 24
 """Engines that are weighed for a prompt that fits one engine, a new random sample each
-time. A long prompt may use 16; weighing more costs as much processor time as it
-gains."""
+time. A long prompt may use 16; weighing more engines costs as much processor time as
+the better choice gains."""
 MAX_ENGINES_WEIGHED_FOR_SHORT = 8
 """The same for a prompt with a short prefill. Such prompts arrive by the hundred, and
 gateways that weigh the same engines all choose the cheapest one before they hear of
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -49,7 +49,7 @@
     """Largest jitter between gateways, as a share of that time, so that they don't
     probe at the same moment."""
     hold_growth: float = 8.0
-    """Factor by which that time grows with each probe."""
+    """Factor by which that time grows with each unsuccessful probe."""
     forget_seconds: float = 600.0
     """Time since its last change after which a request that runs is forgotten."""
     forget_held_seconds: float = 6 * 3600.0
--- a/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/upstream_choice.py
@@ -6,8 +6,8 @@
 from cowslipshelf_core.identifiers import UpstreamId
 
 FAILURE_COST = 3.0
-"""Cost of a failure rate of one, in fully used upstreams: a rate of one third counts
-like an upstream whose slots are all busy."""
+"""Cost of a failure rate of 1, as a share of the slots: a rate of one third counts as
+much as requests in all slots."""
 AVOIDED_COST = 100.0
 """Makes an upstream that was just unreachable the last choice, but still one."""
 REMOTE_COST = 0.05
--- a/packages/core/src/cowslipshelf_core/internal/requests/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/requests/events.py
@@ -42,7 +42,7 @@
 
     answer: ClaimGranted | ClaimHeld | ClaimRefused | ClaimAbsent
     owner_gone: bool = False
-    """Whether the entry instance that holds the key is believed dead."""
+    """Whether the entry instance that holds the key is considered dead."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/admission.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/admission.py
@@ -44,7 +44,7 @@
 
         A hand-over that was decided under an older version is accepted unless the
         changes since then affect it. One decided under a version newer than the
-        sidecar's own is accepted: its entry knows more.
+        sidecar's own is accepted, because its entry has the newer configuration.
         """
         if hand_over.configuration_version > self.version:
             return None
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/attempts.py
@@ -41,7 +41,7 @@
 
     An attempt that is not yet handed to the upstream is either handed over or
     tombstoned, never both. Both happen only in this class, so an attempt can't start
-    while a promise is made that it never will.
+    while the sidecar guarantees that it never will.
     """
 
     config: SidecarConfig
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/ended_attempts.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/ended_attempts.py
@@ -32,11 +32,11 @@
 
 @dataclass
 class EndedAttempts:
-    """Hold a bounded number of ended attempts, without breaking earlier promises.
+    """Hold a bounded number of ended attempts, without breaking earlier guarantees.
 
     If an attempt were simply forgotten, a late copy of its hand-over could run after a
-    promise that it never would. So each evicted attempt raises a watermark to its load
-    sequence, and hand-overs with that sequence or a lower one are refused. Load
+    guarantee that it never would. So each evicted attempt raises a watermark to its
+    load sequence, and hand-overs with that sequence or a lower one are refused. Load
     sequences are counted by the sidecar itself, and all copies of a hand-over carry the
     same one, so this is independent of clocks and holds for any delay.
     """
@@ -70,7 +70,7 @@
 
         The watermark only decides for attempts whose load sequence is known. One with
         an unknown sequence may have a higher one, and its copy would run after the
-        promise that it never would.
+        guarantee that it never would.
         """
         if attempt_id in self.records:
             return True
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/events.py
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeArrived:
-    """Request the promise that an attempt never ran and never will."""
+    """Request the guarantee that an attempt never ran and never will."""
 
     attempt_id: AttemptId
     epoch: Epoch
--- a/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
+++ b/packages/core/src/cowslipshelf_core/internal/sidecar/state.py
@@ -295,7 +295,7 @@
 
         A non-idempotent attempt that was handed over runs on until its deadline. If it
         were cancelled half-way, its outcome would never be known, while a complete
-        answer can still be read by the entry that receives the caller's retry.
+        answer can still be read by the entry that receives the caller's resend.
         """
         effects: list[SidecarEffect] = []
         for attempt in tuple(self.table.alive.values()):
--- a/packages/core/src/cowslipshelf_core/messages.py
+++ b/packages/core/src/cowslipshelf_core/messages.py
@@ -195,7 +195,7 @@
 
 
 class ClaimMoved(Message, frozen=True):
-    """Move a claim to a new attempt after a promise that the old one never runs.
+    """Move a claim to a new attempt after a guarantee that the old one never runs.
 
     Another request with the same key and body can take over the claim this way.
     """
@@ -213,7 +213,7 @@
 
 
 class StoredAnswer(Message, frozen=True):
-    """Hold the answer that retries with the same key receive."""
+    """Hold the answer that resends with the same key receive."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -339,7 +339,7 @@
 
 
 class NeverRan(Message, frozen=True):
-    """Promise that an attempt was never handed to the upstream and never will be."""
+    """Guarantee that an attempt was not handed to the upstream and never will be."""
 
     attempt_id: AttemptId
 
