--- a/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/answer_writer.py
@@ -107,7 +107,7 @@
             self.send("answer", b"")
 
     def send_refusal(self, refusal: Refusal, status: int | None = None) -> None:
-        """Send a refusal as the whole answer; its reason gives a missing status."""
+        """Send a refusal as the whole answer; `status` overrides that of its reason."""
         response = error_response(refusal, self.request_id, status)
         headers = [*response.headers, ("Content-Length", str(len(response.body)))]
         body = b"" if self.method == "HEAD" else response.body
--- a/packages/callers/src/cowslipshelf_callers/internal/handler.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/handler.py
@@ -1,4 +1,4 @@
-"""Define the interface through which the server has calls answered."""
+"""Define the handler that the server calls to answer callers."""
 
 from typing import Protocol
 
--- a/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/refusal_response.py
@@ -93,7 +93,7 @@
 def error_response(
     refusal: Refusal, request_id: RequestId, status: int | None = None
 ) -> RefusalResponse:
-    """Return a refusal as a response; its reason gives a missing status."""
+    """Return a refusal as a response; `status` overrides that of its reason."""
     status = status or status_of(refusal)
     seconds = refusal.retry_after_seconds
     if status in RETRYABLE_STATUSES:
--- a/packages/callers/src/cowslipshelf_callers/internal/server.py
+++ b/packages/callers/src/cowslipshelf_callers/internal/server.py
@@ -154,7 +154,7 @@
         return self.server.requests.open_calls()
 
     def drain(self) -> None:
-        """Accept no new connection and no further call on one; open calls go on."""
+        """Accept no new connection and no further call on one; open calls continue."""
         self.server.draining = True
         self.server.stop_listening()
 
--- a/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/load/statistics.py
@@ -71,7 +71,7 @@
         return cls(fixed, slope)
 
     def seconds(self, tokens: int) -> float:
-        """Predict for a prompt length."""
+        """Return the predicted seconds for a prompt length."""
         return self.fixed_seconds + self.seconds_per_token * tokens
 
 
@@ -89,22 +89,22 @@
     planned: int
     endings: dict[str, int]
     refusals: dict[str, int]
-    """By code and reason."""
+    """Number of refusals by code and reason."""
     breaks: dict[str, int]
-    """By error, for answers that were cut and requests without an answer."""
+    """Number of cut answers and of requests without an answer, by error."""
     late_arrivals: int
-    """Requests that the tool itself sent late; the figures are void if many."""
+    """Requests that the tool itself sent late; if many, the figures are invalid."""
     in_time_share: float
     """Share of planned requests with a complete answer within the deadline."""
     first_token_seconds: dict[str, Quantiles]
-    """By bucket of prompt lengths, of complete answers."""
+    """For complete answers, by bucket of prompt lengths."""
     short_slowdown: Quantiles | None
     """Time to first token relative to an idle fleet; None if that is unknown."""
     customers: dict[str, CustomerFigures]
 
 
 class FiguresConfig(NamedTuple):
-    """Configure the bounds of short and timely, and the unloaded time."""
+    """Configure which prompts are short, the deadline, and times on an idle fleet."""
 
     short_tokens: int
     deadline_seconds: float
--- a/packages/cli/src/cowslipshelf_cli/internal/log_history.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_history.py
@@ -18,7 +18,7 @@
 
 
 class RequestHistory(NamedTuple):
-    """Hold the log entries of one request and its cause of failure."""
+    """Hold the log entries of one request, and how and why it ended."""
 
     request: str
     cause: str
--- a/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/log_losses.py
@@ -28,7 +28,7 @@
 
     route: str
     value: float
-    """Value of a complete answer in time, in answers to short prompts."""
+    """Value of a complete answer in time; an answer to an empty prompt has 1."""
     share: float = 0.0
     """Part of the value that was lost."""
     cause: str = ""
--- a/packages/cli/src/cowslipshelf_cli/internal/suspect_commands.py
+++ b/packages/cli/src/cowslipshelf_cli/internal/suspect_commands.py
@@ -18,7 +18,7 @@
 
 
 def release(digest: str, fleet: FleetClients, writer: Writer) -> ExitCode:
-    """Release a request from quarantine and list the remaining ones."""
+    """Release a request that is held back and list the remaining ones."""
     answer = fleet.any_instance.release(digest)
     writer.show(answer, [f"released {digest}", *suspect_lines(answer)])
     return ExitCode.DONE
--- a/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/ablation.py
@@ -1,4 +1,4 @@
-"""Disable one mechanism of prompt placement at a time and measure the loss."""
+"""Disable one mechanism of prompt placement at a time and measure the lost value."""
 
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
--- a/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/engine.py
@@ -4,7 +4,7 @@
 prefill one chunk in each step; any other pass prefills one chunk. A long prefill
 therefore delays every answer that is decoded on the engine until the pass ends, and
 nothing shortens the pass. A prompt whose prefill completes has its first event at the
-end of that pass, which is at once where no other answer is decoded.
+end of that pass; if no other answer is decoded, this is right after its last chunk.
 """
 
 from dataclasses import dataclass, field
--- a/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/fleet.py
@@ -21,7 +21,7 @@
 
 CLOCK_ROUNDING_SECONDS = 1e-6
 """Tolerance for rounding in sums of times. Without it, a check that runs slightly
-before a caller's limit would schedule itself again at the same time for ever."""
+before a caller's limit would schedule itself again at the same time forever."""
 
 
 class Delays(NamedTuple):
@@ -47,7 +47,7 @@
     max_pause_seconds: float = 0.0
     last_event_at: float | None = None
     end: str = ""
-    """`answered`, `refused` or `left`."""
+    """`answered`, `refused`, or `left` by its caller at a silence limit or deadline."""
 
     @property
     def in_time(self) -> bool:
--- a/packages/emulator/src/cowslipshelf_emulator/internal/load.py
+++ b/packages/emulator/src/cowslipshelf_emulator/internal/load.py
@@ -14,7 +14,7 @@
     spread: float
     """Standard deviation of the logarithm."""
     max_length: float
-    """Longer draws are cut to this."""
+    """Longer draws are reduced to this."""
 
     def draw(self, random: Random) -> float:
         """Draw one length."""
@@ -35,9 +35,9 @@
     """Longest pause between two events that is still in time."""
     deadline_seconds: float
     value: float
-    """Of an answer in time."""
+    """Value of a complete answer in time."""
     late_value: float
-    """Of a complete answer that was late."""
+    """Value of a complete answer that was late."""
     per_second: float
     """Arrivals per second at the usual rate."""
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/attempts_server.py
@@ -70,9 +70,9 @@
 class EntryConnection(HTTPConnection):
     """Let the kernel close a connection whose peer acknowledges nothing.
 
-    After an entry vanished without closing, the heartbeats of its stream still go into
-    the kernel's send buffer: by default the stream would occupy its thread for a
-    quarter of an hour.
+    If an entry vanishes without closing its connection, the heartbeats of its stream
+    still go into the kernel's send buffer: by default the stream would occupy its
+    thread for a quarter of an hour.
     """
 
     def __init__(self, server: HTTPServer, sock: socket, *more: Any) -> None:
@@ -119,7 +119,7 @@
         return format_address(HostPort(*self.bind_addr[:2]))
 
     def start(self) -> None:
-        """Listen, and serve on own threads; raise `OSError` if listening fails."""
+        """Listen and serve in background threads; raise `OSError` if that fails."""
         self.prepare()
         self.accept_thread.start()
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/envelope.py
@@ -45,7 +45,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Define why received bytes were dropped."""
+    """Define why received bytes were rejected."""
 
     OVERSIZED = "oversized"
     WRONG_VERSION = "wrong_version"
@@ -54,7 +54,7 @@
 
 
 class Rejected(NamedTuple):
-    """Report why received bytes were dropped."""
+    """Report why received bytes were rejected."""
 
     reason: RejectionReason
 
--- a/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/growing_pool.py
@@ -35,7 +35,7 @@
             self.growth_requested.set()
 
     def grow_on_demand(self) -> None:
-        """Add threads on an own thread, since starting one could block accepting."""
+        """Add threads in the background, since starting one could delay accepting."""
         while True:
             self.growth_requested.wait()
             self.growth_requested.clear()
--- a/packages/fleet/src/cowslipshelf_fleet/internal/link.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/link.py
@@ -9,7 +9,7 @@
 """Heartbeats sent per `max_unacknowledged_bytes` of messages, if sent in a burst."""
 
 FOLLOWER_INTERVAL_FACTOR = 1.5
-"""Factor on the heartbeat interval of the side that lets the peer begin."""
+"""Factor on the heartbeat interval of the side that waits for the peer to start."""
 
 FIRST_NUMBER_BITS = 32
 
@@ -130,8 +130,8 @@
     def heartbeat_interval(self) -> float:
         """Return the seconds between heartbeats that are not answers.
 
-        An answer is a heartbeat too, so one side is enough to begin. The side with the
-        lower number waits longer and only begins if the other one does not: this takes
+        An answer is a heartbeat too, so only one side has to start. The side with the
+        lower number waits longer and only starts if the other one does not: this takes
         two messages per interval instead of four.
         """
         leads = self.last_number > self.received_number
@@ -154,8 +154,8 @@
     def record_heartbeat(self, heartbeat: MailboxHeartbeat, now: float) -> None:
         """Record a heartbeat of the peer, and which heartbeat it acknowledges.
 
-        A heartbeat from a peer that does not use the connection itself extends
-        nothing: two idle peers would otherwise exchange heartbeats forever.
+        A heartbeat from a peer that does not use the connection itself does not keep
+        the link open: two idle peers would otherwise exchange heartbeats forever.
         """
         self.received_number = heartbeat.number
         self.received_bytes = heartbeat.sent_bytes
--- a/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
+++ b/packages/fleet/src/cowslipshelf_fleet/internal/mailbox.py
@@ -36,9 +36,9 @@
 FLUSH_POLL_SECONDS = 0.005
 LIBRARY_UNLOAD_DELAY_SECONDS = 0.05
 RECEIVE_LIMIT_FACTOR = 2
-"""Multiple of the maximum size beyond which the library closes the connection.
+"""Multiple of the maximum message size beyond which the library closes the connection.
 
-Oversized messages below it are counted as rejected."""
+Messages between the maximum size and this limit are counted as rejected."""
 
 
 @cache
--- a/packages/operators/src/cowslipshelf_operators/internal/client.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/client.py
@@ -98,7 +98,7 @@
         return decode_success(self.request("GET", path), ExplainAnswer)
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests that upstreams exited under."""
+        """List the requests during which upstreams exited."""
         return decode_success(self.request("GET", "/v1/suspects"), SuspectsAnswer)
 
     def release(self, digest: str) -> SuspectsAnswer:
--- a/packages/operators/src/cowslipshelf_operators/internal/documents.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/documents.py
@@ -139,22 +139,22 @@
 
 
 class SuspectStatus(Document, frozen=True):
-    """Describe a request that upstreams exited under."""
+    """Describe a request during which upstreams exited."""
 
     digest: str
     """Digest of customer, method, service, path and body, as in the logs."""
     upstreams: tuple[UpstreamId, ...]
-    """The upstreams whose exits under it have not been cleared."""
+    """Upstreams that exited during it and whose exits were not cleared."""
     last_end_seconds: float
     """Time since the last exit or trial."""
     held: bool
-    """Whether the request is refused."""
+    """Whether the request is held back, which means refused."""
     probe_in_seconds: float
     """Time until the answering instance may try it again; zero if it is not held."""
 
 
 class SuspectsAnswer(Document, frozen=True):
-    """List the requests that upstreams exited under, most suspect first."""
+    """List the requests during which upstreams exited, most suspect first."""
 
     answered_by: InstanceId
     suspects: tuple[SuspectStatus, ...]
--- a/packages/operators/src/cowslipshelf_operators/internal/handler.py
+++ b/packages/operators/src/cowslipshelf_operators/internal/handler.py
@@ -1,4 +1,4 @@
-"""Define the interface through which the server has operators answered."""
+"""Define the handler that the server calls to answer operators."""
 
 from typing import Protocol
 
@@ -23,7 +23,7 @@
 
 
 class OperatorsHandler(Protocol):
-    """Answer operators; every method may raise `HandlerError`, from any thread."""
+    """Answer operators, on any thread; every method may raise `HandlerError`."""
 
     def plan(
         self, operator: OperatorName, document: PlanDocument
@@ -45,7 +45,7 @@
         """Explain a request, an upstream or a change; None if it is unknown."""
 
     def suspects(self) -> SuspectsAnswer:
-        """List the requests that upstreams exited under."""
+        """List the requests during which upstreams exited."""
 
     def release(self, operator: OperatorName, digest: str) -> bool:
         """Release a request that is held back; return False if it is unknown."""
--- a/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/event_writer.py
@@ -109,7 +109,7 @@
             raise StreamCutError("the stream is cut")
 
     def write_all(self, keep_alive_seconds: float) -> None:
-        """Write all unsent bytes, or a comment after `keep_alive_seconds` without."""
+        """Write all unsent bytes; if none for `keep_alive_seconds`, write a comment."""
         with self.lock:
             if not self.ended:
                 self.append_new_events()
--- a/packages/standins/src/cowslipshelf_standins/internal/faults.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/faults.py
@@ -17,7 +17,7 @@
     drop_after_events: int | None = None
     """Cut every event stream after this many events on one connection."""
     lose_cancel: bool = False
-    """Confirm cancels without doing them."""
+    """Confirm cancellations without carrying them out."""
     drop_before_answer: bool = False
     """Run a request, then cut its connection instead of answering."""
     end_on: str | None = None
--- a/packages/standins/src/cowslipshelf_standins/internal/orders.py
+++ b/packages/standins/src/cowslipshelf_standins/internal/orders.py
@@ -25,7 +25,7 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """Describe the state that orders produced, and the orders in the sequence run."""
+    """Describe the state that orders produced, and the orders as they were run."""
 
     role: str
     models: tuple[tuple[str, str], ...]
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/answer_assembly.py
@@ -36,7 +36,7 @@
         "user",
     )
 )
-"""Request fields with which a complete answer is its chunks' texts joined."""
+"""Request fields with which joining the texts of the chunks gives the whole answer."""
 
 STREAM_FIELDS = {
     "stream": msgspec.Raw(b"true"),
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_client.py
@@ -49,7 +49,7 @@
         "x-token-range",
     )
 )
-"""Headers that only this client sets; a caller's would steer the engine."""
+"""Headers that only this client sets; a caller could control the engine by them."""
 
 Document = TypeVar("Document")
 
@@ -126,7 +126,7 @@
         stream = UpstreamStream(answer, self.connections.peer)
         if stream.is_event_stream:
             return self.assembled_stream(attempt_id, answer, 0)
-        # The engine refused, or sent a non-streamed answer all the same.
+        # The engine refused, or ignored the request for a stream.
         del self.assemblies[attempt_id]
         return stream
 
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_documents.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/engine_documents.py
@@ -71,7 +71,7 @@
     """Report the orders that an engine accepted and ran since its start."""
 
     newest_fencing: FencingNumber
-    """Of the newest accepted order, which may still be running."""
+    """Fencing number of the newest accepted order, which may still be running."""
     orders_run: tuple[EngineOrder, ...] = ()
 
 
--- a/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
+++ b/packages/upstreams/src/cowslipshelf_upstreams/internal/stream.py
@@ -137,7 +137,7 @@
             yield UpstreamPiece(self.sequence, data, 0)
 
     def check_framing(self) -> None:
-        """Raise if a body has no length or chunks, as a cut could not be detected."""
+        """Raise if a body has no length or chunks: truncation would go undetected."""
         headers = self.response.headers
         framed = "Content-Length" in headers or self.response.chunked
         bodiless = self.status in BODILESS_STATUSES
