--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_actor.py
@@ -65,7 +65,7 @@
                 self.answer(query, message.sender_address)
 
     def handle(self, event: ConfigurationViewEvent, now: float) -> None:
-        """Pass an event to the configuration view and carry out its effects."""
+        """Pass an event to the configuration view and perform its effects."""
         for effect in self.view.handle(event, now):
             match effect:
                 case AskForConfiguration(address, query):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/request_driver.py
@@ -178,7 +178,7 @@
             self.handle(DeadlinePassed())
 
     def handle(self, event: RequestEvent) -> None:
-        """Pass an event to the machine and queue its effects."""
+        """Pass an event to the state machine and queue its effects."""
         self.effects.extend(self.machine.handle(event, time.monotonic()))
 
     def seconds_left(self) -> float:
@@ -379,7 +379,10 @@
             self.note_caller_left("closed its connection")
 
     def note_caller_left(self, detail: str) -> None:
-        """Tell the machine once; work that must run at most once goes on without it."""
+        """Tell the state machine, once, that the caller has gone.
+
+        Work that must run at most once goes on without a caller.
+        """
         self.record.note(f"caller gone: {detail}")
         if not self.caller_left:
             self.caller_left = True
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -348,7 +348,7 @@
         self.handle_router_event(ConfigurationApplied(configuration), now)
 
     def handle_directory_event(self, event: DirectoryEvent, now: float) -> None:
-        """Pass an event to the directory and carry out its effects."""
+        """Pass an event to the directory and perform its effects."""
         for effect in self.directory.handle(event, now):
             match effect:
                 case SendSuspicion(suspect):
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/spread_hand_over.py
@@ -83,7 +83,7 @@
         return self.outcome(self.result)
 
     def handle(self, event: SpreadEvent) -> None:
-        """Pass an event to the machine and queue its effects."""
+        """Pass an event to the state machine and queue its effects."""
         now = time.monotonic()
         self.effects.extend(self.machine.handle(event, now, self.random))
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/attempt.py
@@ -179,7 +179,7 @@
     ) -> AttemptOutcome:
         """Acquire a connection, use it, and return it to the pool if reusable."""
         upstream = placement.upstream
-        # The upstream may close a reused connection just as the request is sent, and
+        # The upstream may close a pooled connection just as the request is sent, and
         # then it is unknown whether the request ran.
         fresh = not task.route.repeatable
         try:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/fleet_view.py
@@ -162,8 +162,9 @@
 
         The later start has its own id and inherits nothing; attempts on the former one
         would otherwise wait until their silence is noticed. They are kept if the later
-        start is only known to have left: a gateway that did not know the upstream may
-        have made up its start time, and the upstream still finishes its open attempts.
+        start is only known to have left. Its start time may then be the time at which a
+        gateway that did not know the upstream heard of its leaving, and the upstream
+        still finishes its open attempts.
         """
         upstream_id = former.start.upstream_id
         if upstream_id in self.registry.known:
@@ -334,7 +335,7 @@
         return self.registry.heartbeats_of(upstream_ids, time.monotonic())
 
     def all_heartbeats(self) -> tuple[HeartbeatSeen, ...]:
-        """List the latest heartbeats of all upstreams."""
+        """List the latest heartbeats of all upstreams, for a peer or a restart."""
         return self.registry.all_heartbeats(time.monotonic())
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/http_server.py
@@ -121,7 +121,7 @@
             self.server.close()
 
     def close_idle(self) -> None:
-        """Close the connections without a request."""
+        """Close the connections that have no request in progress."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_pool.py
@@ -35,7 +35,11 @@
     async def acquire(
         self, upstream_id: UpstreamId, address: str, fresh: bool
     ) -> UpstreamConnection:
-        """Return a pooled connection, or a new one if none fits or `fresh` is set."""
+        """Return a pooled connection, or a new one if none fits or `fresh` is set.
+
+        Requests that may not be retried need a fresh one: the upstream may close a
+        pooled connection just as the request is sent.
+        """
         while not fresh and self.idle.get(upstream_id):
             connection = self.idle[upstream_id].pop()
             if is_usable(connection) and connection.address == address:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/attempts_handler.py
@@ -75,9 +75,9 @@
             return MayHaveRun(attempt_id, known=False)
 
     def begin(self, attempt_id: AttemptId, parts: tuple[KvReference, ...]) -> None:
-        """Start a reserved attempt with the other parts of its prompt."""
+        """Start a reserved attempt, given the KV cache of its prompt's other parts."""
         self.sidecar.tell(PartsArrived(attempt_id, parts))
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt whose result is no longer needed."""
         self.sidecar.tell(CancelArrived(attempt_id))
--- a/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/sidecar/sidecar_actor.py
@@ -113,7 +113,7 @@
 
 
 class SidecarParts(NamedTuple):
-    """Hold what the sidecar's actor is made of."""
+    """Hold the dependencies of the sidecar's actor."""
 
     settings: DaemonSettings
     description: UpstreamDescription
@@ -300,7 +300,10 @@
             self.engine_worker.cancel(attempt_id)
 
     def request_fencing(self) -> None:
-        """Ask all replicas for the fencing number; only the leader answers."""
+        """Ask all replicas for the newest fencing number of the upstream.
+
+        Only the leader answers, once a quorum has confirmed the number.
+        """
         query = FencingAsked(self.description.upstream_id, self.epoch)
         for entry in self.settings.entries:
             if entry.replica:
--- a/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/suspect_requests.py
@@ -33,7 +33,7 @@
     UPSTREAM_EXITS: "Upstreams that ended under a request, as seen here.",
 }
 MAX_REPORTS_PER_MESSAGE = 4_000
-"""Reports that are read of one message; a process keeps fewer."""
+"""Most reports that are read from one message; a process keeps fewer."""
 
 
 class RequestIdentity(NamedTuple):
