--- a/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/configuration.py
@@ -35,7 +35,10 @@
     kind: RouteKind
     timeout_seconds: float
     objective_seconds: float
-    """Latency objective: time to the answer, or to a stream's first event."""
+    """Latency objective: time to the answer, or to a stream's first event.
+
+    An answer within it counts in full; a later one has lost most of its value.
+    """
     services: tuple[WeightedService, ...]
     priority: int = 0
     """Zero is the most urgent."""
--- a/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/engine_simulation.py
@@ -2,8 +2,8 @@
 
 A pass prefills the parts that are pending when it begins; later ones wait for its end,
 however urgent. A pass that also decodes prefills up to one chunk in each step, so with
-long prompts it lasts up to seconds, and the rest of it decides whether a short prompt
-is in time there.
+long prompts it can last for seconds. The time until its end then decides whether a
+short prompt is answered in time there.
 """
 
 import math
--- a/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/prompt_placement.py
@@ -55,7 +55,7 @@
 """More engines than any fleet has."""
 MEMORY_MARGIN = 1.03
 """Factor on the memory that is reserved: engines allocate it in blocks, and a prompt
-that lacks one is cut off."""
+that lacks a block is cut off."""
 DEFAULT_PAUSE_SECONDS = 1.0
 """Allowed pause on a route that configures none."""
 
--- a/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
+++ b/packages/core/src/cowslipshelf_core/internal/gateway/suspect_request.py
@@ -25,7 +25,7 @@
 MAX_EXITS = 16
 """Most exits that are kept for one request."""
 MAX_HOLD_STEPS = 4
-"""Most probes by which the time between two probes grows."""
+"""Most probes, or further exits, with which the time until the next probe grows."""
 SHARE_BYTES = 4
 MAX_COUNT = 2**31
 """Largest counter that is accepted from another gateway."""
@@ -49,7 +49,8 @@
     """Largest jitter between gateways, as a share of that time, so that they don't
     probe at the same moment."""
     hold_growth: float = 8.0
-    """Factor by which that time grows with each unsuccessful probe."""
+    """Factor by which that time grows with each unsuccessful probe, or with each exit
+    beyond `held_after_exits` if there are more of these."""
     forget_seconds: float = 600.0
     """Time since its last change after which a request that runs is forgotten."""
     forget_held_seconds: float = 6 * 3600.0
--- a/packages/core/src/cowslipshelf_core/internal/routing/settings.py
+++ b/packages/core/src/cowslipshelf_core/internal/routing/settings.py
@@ -18,7 +18,10 @@
     """Limit how long requests of one class may wait, in predicted seconds."""
 
     max_upstream_wait_seconds: float
-    """An upstream with more work than this ahead of the request is not chosen."""
+    """An upstream with more work than this ahead of the request is not chosen.
+
+    The request then waits in the queue of the entry.
+    """
     max_queued_seconds: float
     """Limit of the predicted time to drain the queue of this class."""
 
