--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_in_force.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/configuration_in_force.py
@@ -22,7 +22,7 @@
 
     configuration: FleetConfiguration
     since: float
-    """Time at which this process applied the configuration, in seconds since 1970."""
+    """Unix time in seconds at which this process applied the configuration."""
     customers: dict[CustomerName, Customer]
     customers_by_key_hash: dict[str, Customer]
     services: dict[ServiceName, Service]
--- a/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/entry/routing_actor.py
@@ -78,7 +78,7 @@
     running: int
     configuration_version: ConfigurationVersion
     version_since: float
-    """Time at which the sidecar first reported that version, seconds since 1970."""
+    """Unix time in seconds at which the sidecar first reported that version."""
     heard_at: float
 
 
--- a/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
+++ b/packages/daemon/src/cowslipshelf_daemon/internal/gateway/upstream_connection.py
@@ -211,7 +211,7 @@
 
 
 def no_excuse() -> float:
-    """Excuse no silence."""
+    """Return zero: no silence is excused."""
     return 0.0
 
 
